--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -87,8 +87,9 @@
     def changes_a_day(self) -> float:
         """Lines told to every sidecar on an ordinary day."""
         a = self.a
-        fleet = (RESTARTED * a["changes_a_restart"] + FAILED * 2 + 2 * a["rack"] / 7
-                 + 2 * SERVERS / ZONES / 60) * min(1.0, a["listed"])
+        fleet = (
+            RESTARTED * a["changes_a_restart"] + FAILED * 2 + 2 * a["rack"] / 7 + 2 * SERVERS / ZONES / 60
+        ) * min(1.0, a["listed"])
         return fleet + CONFIG_CHANGES * a["lines_a_config_change"]
 
     def change_ms(self) -> float:
@@ -119,57 +120,178 @@
         told = "watch; changes only"
         by_list = "MISSING: cost by the change, not by the list"
         return [
-            Row("sidecar, list", "processor, ordinary day",
-                day * change + idle * MEASURED["idle_ms"] + self.at("sweep"), CORE_MS_S, "ms/s", told),
+            Row(
+                "sidecar, list",
+                "processor, ordinary day",
+                day * change + idle * MEASURED["idle_ms"] + self.at("sweep"),
+                CORE_MS_S,
+                "ms/s",
+                told,
+            ),
             Row("sidecar, list", "processor, half the fleet released", release * change, CORE_MS_S, "ms/s", by_list),
-            Row("sidecar, list", "processor, a zone told one by one", one_by_one / a["zone_s"], CORE_MS_S, "ms/s",
-                by_list),
-            Row("sidecar, list", "processor, the same if none were taken together",
-                self.at("zone_one_by_one") / a["zone_s"], CORE_MS_S, "ms/s", "answers hold all that is new"),
+            Row(
+                "sidecar, list",
+                "processor, a zone told one by one",
+                one_by_one / a["zone_s"],
+                CORE_MS_S,
+                "ms/s",
+                by_list,
+            ),
+            Row(
+                "sidecar, list",
+                "processor, the same if none were taken together",
+                self.at("zone_one_by_one") / a["zone_s"],
+                CORE_MS_S,
+                "ms/s",
+                "answers hold all that is new",
+            ),
             Row("sidecar, list", "stall of the loop, one change", self.at("stall_change"), ADDED_MS, "ms", by_list),
-            Row("sidecar, list", "stall of the loop, a zone as one change", self.zone_stall_ms(), ADDED_MS, "ms",
-                by_list),
-            Row("sidecar, list", "stall of the loop, whole list, first", self.at("stall_first"), ADDED_MS, "ms",
-                "MISSING: parsed and taken in slices"),
-            Row("sidecar, list", "stall of the loop, whole list, known", self.at("stall_again"), ADDED_MS, "ms",
-                "MISSING: compared, parsed and taken in slices"),
-            Row("sidecar, data path", "part of time stalled, half the fleet released", release * change / 1e3, 0.01,
-                "of time", by_list),
-            Row("sidecar, list", "bytes, ordinary day",
-                idle * MEASURED["idle_bytes"] + day * MEASURED["change_bytes"], BYTES_S, "B/s", told),
-            Row("sidecar, list", "bytes, half the fleet released", release * MEASURED["change_bytes"], BYTES_S, "B/s",
-                told),
-            Row("sidecar, list", "bytes, a zone told within its time",
-                (answers * MEASURED["idle_bytes"] + zone * whole / self.length) / a["zone_s"], BYTES_S, "B/s",
-                "MISSING: a pause to gather a burst"),
-            Row("sidecar, list", "bytes, one whole list, in its second", whole, BYTES_S, "B/s",
-                "MISSING: a list of what is called, by discovery; none needed while numbers are kept"),
+            Row(
+                "sidecar, list",
+                "stall of the loop, a zone as one change",
+                self.zone_stall_ms(),
+                ADDED_MS,
+                "ms",
+                by_list,
+            ),
+            Row(
+                "sidecar, list",
+                "stall of the loop, whole list, first",
+                self.at("stall_first"),
+                ADDED_MS,
+                "ms",
+                "MISSING: parsed and taken in slices",
+            ),
+            Row(
+                "sidecar, list",
+                "stall of the loop, whole list, known",
+                self.at("stall_again"),
+                ADDED_MS,
+                "ms",
+                "MISSING: compared, parsed and taken in slices",
+            ),
+            Row(
+                "sidecar, data path",
+                "part of time stalled, half the fleet released",
+                release * change / 1e3,
+                0.01,
+                "of time",
+                by_list,
+            ),
+            Row(
+                "sidecar, list",
+                "bytes, ordinary day",
+                idle * MEASURED["idle_bytes"] + day * MEASURED["change_bytes"],
+                BYTES_S,
+                "B/s",
+                told,
+            ),
+            Row(
+                "sidecar, list",
+                "bytes, half the fleet released",
+                release * MEASURED["change_bytes"],
+                BYTES_S,
+                "B/s",
+                told,
+            ),
+            Row(
+                "sidecar, list",
+                "bytes, a zone told within its time",
+                (answers * MEASURED["idle_bytes"] + zone * whole / self.length) / a["zone_s"],
+                BYTES_S,
+                "B/s",
+                "MISSING: a pause to gather a burst",
+            ),
+            Row(
+                "sidecar, list",
+                "bytes, one whole list, in its second",
+                whole,
+                BYTES_S,
+                "B/s",
+                "MISSING: a list of what is called, by discovery; none needed while numbers are kept",
+            ),
             Row("sidecar, list", "memory, what the list holds", kept, MEMORY_MB, "MB", "tuples and slots"),
-            Row("sidecar, list", "memory, and while a whole one is read", kept + self.at("parse_peak_mb"), MEMORY_MB,
-                "MB", "tuples and slots"),
-            Row("sidecar, all", "memory, the whole process if all of it is control",
+            Row(
+                "sidecar, list",
+                "memory, and while a whole one is read",
+                kept + self.at("parse_peak_mb"),
+                MEMORY_MB,
+                "MB",
+                "tuples and slots",
+            ),
+            Row(
+                "sidecar, all",
+                "memory, the whole process if all of it is control",
                 MEASURED["process_mb"]
                 + (MEASURED["process_7200_mb"] - MEASURED["process_mb"]) * self.length / SERVERS,
-                MEMORY_MB, "MB", "the interpreter is 25 to 29 of it"),
-            Row("sidecar, probes", "bytes, four probes a call, requests alone", 4 * CALLS_S / SERVERS
-                * MEASURED["probe_bytes"], BYTES_S, "B/s", "off from a price of 0.0025 a probe on"),
-            Row("sidecar, control", "stall of the loop, figures read", self.at("census"), ADDED_MS, "ms",
-                "MISSING: counted as they change"),
-            Row("discovery", "bytes, one change to all, in 1 s, each of nine", SERVERS * MEASURED["change_bytes"]
-                / MACHINES / 1e6, a["machine_mb_s"], "MB/s", "its own"),
-            Row("discovery", "bytes, whole list to all within 6 s, each of nine",
-                SERVERS * whole / MACHINES / TOLD_S / 1e6, a["machine_mb_s"], "MB/s",
-                "its own; numbers that are kept"),
-            Row("discovery", "processor, idle calls, nine cores of the stand-in's speed",
-                SERVERS * idle * MEASURED["discovery_us"] / 1e6, MACHINES, "cores", "its own"),
-            Row("discovery", "processor, a zone one by one, the same",
+                MEMORY_MB,
+                "MB",
+                "the interpreter is 25 to 29 of it",
+            ),
+            Row(
+                "sidecar, probes",
+                "bytes, four probes a call, requests alone",
+                4 * CALLS_S / SERVERS * MEASURED["probe_bytes"],
+                BYTES_S,
+                "B/s",
+                "off from a price of 0.0025 a probe on",
+            ),
+            Row(
+                "sidecar, control",
+                "stall of the loop, figures read",
+                self.at("census"),
+                ADDED_MS,
+                "ms",
+                "MISSING: counted as they change",
+            ),
+            Row(
+                "discovery",
+                "bytes, one change to all, in 1 s, each of nine",
+                SERVERS * MEASURED["change_bytes"] / MACHINES / 1e6,
+                a["machine_mb_s"],
+                "MB/s",
+                "its own",
+            ),
+            Row(
+                "discovery",
+                "bytes, whole list to all within 6 s, each of nine",
+                SERVERS * whole / MACHINES / TOLD_S / 1e6,
+                a["machine_mb_s"],
+                "MB/s",
+                "its own; numbers that are kept",
+            ),
+            Row(
+                "discovery",
+                "processor, idle calls, nine cores of the stand-in's speed",
+                SERVERS * idle * MEASURED["discovery_us"] / 1e6,
+                MACHINES,
+                "cores",
+                "its own",
+            ),
+            Row(
+                "discovery",
+                "processor, a zone one by one, the same",
                 SERVERS * answers * MEASURED["discovery_us"] / 1e6 / a["zone_s"],
-                MACHINES, "cores", "its own; a pause to gather a burst"),
-            Row("operators", "bytes, figures of all read, each of nine", SERVERS * self.at("figures_bytes")
-                / a["scrape_s"] / MACHINES / 1e6, a["machine_mb_s"], "MB/s", "text, counters"),
-            Row("servers", f"attempts at the end of {HOPS} hops, all failing, of what is left over",
-                (1 + RETRY_RATIO) ** HOPS, 1 / min(1.0, a["capacity_used"]), "times",
-                "retry budget at each hop; MISSING: one for the path"),
+                MACHINES,
+                "cores",
+                "its own; a pause to gather a burst",
+            ),
+            Row(
+                "operators",
+                "bytes, figures of all read, each of nine",
+                SERVERS * self.at("figures_bytes") / a["scrape_s"] / MACHINES / 1e6,
+                a["machine_mb_s"],
+                "MB/s",
+                "text, counters",
+            ),
+            Row(
+                "servers",
+                f"attempts at the end of {HOPS} hops, all failing, of what is left over",
+                (1 + RETRY_RATIO) ** HOPS,
+                1 / min(1.0, a["capacity_used"]),
+                "times",
+                "retry budget at each hop; MISSING: one for the path",
+            ),
         ]
 
 
@@ -224,8 +346,15 @@
         stall = model.at("stall_change") + part * max(0.0, model.zone_stall_ms() - model.at("stall_change"))
         if event.over_s >= 60:
             together = one
-    return (answers, size / 1e3, one, together, stall, size * SERVERS / 1e6,
-            SERVERS * (answers * MEASURED["discovery_us"] + size / 1e3 * MEASURED["discovery_us_kb"]) / 1e6)
+    return (
+        answers,
+        size / 1e3,
+        one,
+        together,
+        stall,
+        size * SERVERS / 1e6,
+        SERVERS * (answers * MEASURED["discovery_us"] + size / 1e3 * MEASURED["discovery_us_kb"]) / 1e6,
+    )
 
 
 def load(path: pathlib.Path | None) -> dict[int, dict[str, float]]:
@@ -260,10 +389,13 @@
     print(f"{model.changes_a_day():,.0f} changes a day, {model.length:,.0f}{star} servers in each list\n")
     print("| role | what | need | bound | need / bound | mechanism |\n| --- | --- | --- | --- | --- | --- |")
     for row in rows:
-        print(f"| {row.role} | {row.what} | {text(row.need)}{star} {row.unit} | {text(row.bound)} {row.unit} | "
-              f"{text(row.ratio)}{star} | {row.mechanism} |")
-    print("\n| event | changes | answers | KB | ms, as told | ms, as one | longest stall, ms | "
-          "discovery: MB | core s |")
+        print(
+            f"| {row.role} | {row.what} | {text(row.need)}{star} {row.unit} | {text(row.bound)} {row.unit} | "
+            f"{text(row.ratio)}{star} | {row.mechanism} |"
+        )
+    print(
+        "\n| event | changes | answers | KB | ms, as told | ms, as one | longest stall, ms | discovery: MB | core s |"
+    )
     print("| --- |" + " --- |" * 8)
     for event in events(model):
         cells = " | ".join(text(value) + star for value in cost(model, event))
@@ -281,8 +413,10 @@
         for row in rows:
             key = row.role, row.what
             if row.ratio >= 0.1 and (abs(below[key] / row.ratio - 1) > 0.1 or abs(above[key] / row.ratio - 1) > 0.1):
-                print(f"| {name} {value:g} | {row.what} | {text(below[key])} | {text(row.ratio)} | "
-                      f"{text(above[key])}{'*' if high.beyond else ''} |")
+                print(
+                    f"| {name} {value:g} | {row.what} | {text(below[key])} | {text(row.ratio)} | "
+                    f"{text(above[key])}{'*' if high.beyond else ''} |"
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -29,14 +29,24 @@
 NEWS = ("whole", "some", "ones", "whole", "zone", "zone back", "zone gone", "whole")
 RAW = {
     "classes": [{"name": "a", "onTimeNs": SECOND, "hardLimitNs": 2 * SECOND, "repeat": "free"}],
-    "failureDomains": [f"z{i}" for i in range(ZONES)], "kinds": ["m"], "discovery": "subscribe",
+    "failureDomains": [f"z{i}" for i in range(ZONES)],
+    "kinds": ["m"],
+    "discovery": "subscribe",
 }
 
 
 def line(i: int, **changes: Any) -> dict[str, Any]:
-    return {"name": f"booking-{i:05d}.svc", "zone": f"z{i % ZONES}", "type": "m", "group": i % 40 + 1,
-            "status": "SERVING", "weight": 1.0, "since_ms": 0, "address": f"127.1.{i >> 8 & 255}.{i & 255}:8080",
-            **changes}
+    return {
+        "name": f"booking-{i:05d}.svc",
+        "zone": f"z{i % ZONES}",
+        "type": "m",
+        "group": i % 40 + 1,
+        "status": "SERVING",
+        "weight": 1.0,
+        "since_ms": 0,
+        "address": f"127.1.{i >> 8 & 255}.{i & 255}:8080",
+        **changes,
+    }
 
 
 def timed(work: Callable[[], object]) -> float:
@@ -62,11 +72,16 @@
         entry = lists[0][i // 2 * 37 % servers]
         entry = entry._replace(started_ns=SECOND + i) if i % 2 else entry._replace(lifecycle="draining")
         ones.append(timed(lambda entry=entry: balancer.handle(2 * SECOND, Directory("INCREMENTAL", (entry,)))))
-    zone = [timed(lambda entry=entry: balancer.handle(2 * SECOND, Directory("INCREMENTAL", (entry,))))
-            for entry in (e._replace(lifecycle="removed") for e in lists[0][2::ZONES])]
-    print(f"| {servers:,} | {len(body) // 1000:,} | {statistics.median(reads) * 1e3:.1f} | {first * 1e3:.1f} | "
-          f"{statistics.median(again) * 1e3:.2f} | {statistics.median(ones) * 1e6:.1f} | {max(ones) * 1e6:.0f} | "
-          f"{len(zone):,}: {sum(zone) * 1e3:.1f} | {max(zone) * 1e3:.2f} |", flush=True)
+    zone = [
+        timed(lambda entry=entry: balancer.handle(2 * SECOND, Directory("INCREMENTAL", (entry,))))
+        for entry in (e._replace(lifecycle="removed") for e in lists[0][2::ZONES])
+    ]
+    print(
+        f"| {servers:,} | {len(body) // 1000:,} | {statistics.median(reads) * 1e3:.1f} | {first * 1e3:.1f} | "
+        f"{statistics.median(again) * 1e3:.2f} | {statistics.median(ones) * 1e6:.1f} | {max(ones) * 1e6:.0f} | "
+        f"{len(zone):,}: {sum(zone) * 1e3:.1f} | {max(zone) * 1e3:.2f} |",
+        flush=True,
+    )
 
 
 # --- a sidecar
@@ -119,8 +134,20 @@
 
     loop = asyncio.get_running_loop()
     known = {"index": 0, "snapshot": True, "endpoints": []}
-    made = Sidecar(Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", port), 7, 1024, known,
-                          Settings.parse(RAW), None, memory_mb=192), loop)
+    made = Sidecar(
+        Config(
+            "n0",
+            Address("127.0.0.1", 0),
+            Address("127.0.0.1", port),
+            7,
+            1024,
+            known,
+            Settings.parse(RAW),
+            None,
+            memory_mb=192,
+        ),
+        loop,
+    )
     await made.start()
     gc.collect()
     gc.freeze()
@@ -164,8 +191,9 @@
     for what in ("first", *NEWS):
         took.clear()
         most = await longest_turn(lambda what=what: play("whole" if what == "first" else what))
-        print(f"| {servers:,} | {what} | {sum(took) * 1e3:.2f} | {max(took) * 1e3:.3f} | {most * 1e3:.2f} |",
-              flush=True)
+        print(
+            f"| {servers:,} | {what} | {sum(took) * 1e3:.2f} | {max(took) * 1e3:.3f} | {most * 1e3:.2f} |", flush=True
+        )
 
 
 def main() -> None:
@@ -180,19 +208,23 @@
         return
     if not chosen.plain and not native.prefer():
         sys.exit("nothing was compiled from these sources: run deploy/build.sh, or choose --plain")
-    print("| servers | KB | read, ms | first, ms | again, ms | one change, us | longest | a zone, one by one, ms "
-          "| longest |")
+    print(
+        "| servers | KB | read, ms | first, ms | again, ms | one change, us | longest | a zone, one by one, ms "
+        "| longest |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |", flush=True)
     for servers in chosen.servers:
         module(servers)
     if chosen.module:
         return
     import uvloop
+
     print("\n| servers | news | taken up in all, ms | a piece at most | longest turn |")
     print("| --- | --- | --- | --- | --- |", flush=True)
     for servers in chosen.servers:
-        discovery = subprocess.Popen([sys.executable, "-m", "benchmarks.changes", "--serve", str(servers)],
-                                     stdout=subprocess.PIPE)
+        discovery = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.changes", "--serve", str(servers)], stdout=subprocess.PIPE
+        )
         try:
             assert discovery.stdout is not None
             uvloop.run(sidecar(servers, int(discovery.stdout.readline())))
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -52,15 +52,26 @@
     calls, work, figures = ColdStarts(setting, multiple), ColdStarts(setting, multiple, True), Figures(setting)
     World(setting, "module", seed, (calls, work, figures)).play()
     result = figures.result()
-    return Row(case, seed, len(calls.any), calls.worst(calls.any), calls.worst(calls.told), work.worst(work.told),
-               calls.broken, work.broken, result["served"], result["goodput"])
+    return Row(
+        case,
+        seed,
+        len(calls.any),
+        calls.worst(calls.any),
+        calls.worst(calls.told),
+        work.worst(work.told),
+        calls.broken,
+        work.broken,
+        result["served"],
+        result["goodput"],
+    )
 
 
 def cases(instances: list[int], reports: list[str]) -> list[Case]:
     """All cases; the heavy instance is a fresh one at odd seeds, see `main`."""
-    return [Case(n, starts, late, "fresh", kind, *TRAFFIC[settings], settings)
-            for n, settings, starts, kind, late in itertools.product(
-                instances, SETTINGS, STARTS, reports, (False, True))]
+    return [
+        Case(n, starts, late, "fresh", kind, *TRAFFIC[settings], settings)
+        for n, settings, starts, kind, late in itertools.product(instances, SETTINGS, STARTS, reports, (False, True))
+    ]
 
 
 def shown(rows: list[Row]) -> str:
@@ -70,13 +81,21 @@
     worst = max((r for r in rows if r.told), key=lambda r: r.told.over if r.told else 0.0, default=None)
     work = max((r.work.over for r in rows if r.work), default=float("nan"))
     cells = [
-        f"{case.instances}/{FLEETS[case.instances]}", case.settings, case.starts, case.reports,
-        "3 s late" if case.late else "soon", str(sum(r.starts for r in rows)),
+        f"{case.instances}/{FLEETS[case.instances]}",
+        case.settings,
+        case.starts,
+        case.reports,
+        "3 s late" if case.late else "soon",
+        str(sum(r.starts for r in rows)),
         f"{anyone.any.over:.1f}" if anyone and anyone.any else "-",
         f"{worst.told.over:.1f} ({worst.told.sent:.0f}, N {worst.told.bears:.1f}; {worst.seed})"
-        if worst and worst.told else "-",
-        f"{work:.1f}", str(sum(r.broken for r in rows)), str(sum(r.broken_work for r in rows)),
-        f"{sum(r.served for r in rows) / len(rows):.3f}", f"{sum(r.goodput for r in rows) / len(rows):.3f}",
+        if worst and worst.told
+        else "-",
+        f"{work:.1f}",
+        str(sum(r.broken for r in rows)),
+        str(sum(r.broken_work for r in rows)),
+        f"{sum(r.served for r in rows) / len(rows):.3f}",
+        f"{sum(r.goodput for r in rows) / len(rows):.3f}",
     ]
     return "| " + " | ".join(cells) + " |"
 
@@ -86,16 +105,22 @@
     parser.add_argument("--instances", type=int, nargs="+", default=list(FLEETS), choices=list(FLEETS))
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--workers", type=int, default=2)
-    parser.add_argument("--reports", nargs="+", default=["none", "rates"],
-                        choices=["none", "some", "probes", "rates"])
+    parser.add_argument(
+        "--reports", nargs="+", default=["none", "rates"], choices=["none", "some", "probes", "rates"]
+    )
     chosen = parser.parse_args()
-    print("| instances/servers | settings | cold | reports | told | starts | any over | told over (calls, N; seed) | "
-          "by work | broken | by work | served | goodput |")
+    print(
+        "| instances/servers | settings | cold | reports | told | starts | any over | told over (calls, N; seed) | "
+        "by work | broken | by work | served | goodput |"
+    )
     print("|" + " --- |" * 13, flush=True)
     broken = 0
     todo = cases(chosen.instances, chosen.reports)
-    runs = [(case._replace(heavy="fresh" if seed % 2 else "old"), seed)
-            for case in todo for seed in range(1, chosen.seeds + 1)]
+    runs = [
+        (case._replace(heavy="fresh" if seed % 2 else "old"), seed)
+        for case in todo
+        for seed in range(1, chosen.seeds + 1)
+    ]
     with ProcessPoolExecutor(chosen.workers, get_context("spawn")) as pool:
         found = pool.map(one, runs)
         for _ in todo:
--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -115,7 +115,7 @@
 def length(head: bytes) -> int:
     """The body's length by an answer's head."""
     at = head.lower().find(b"content-length:")
-    return int(head[at + 15:].split(b"\r\n")[0])
+    return int(head[at + 15 :].split(b"\r\n")[0])
 
 
 class Work:
@@ -168,6 +168,7 @@
 
 def free_port() -> int:
     import socket
+
     with socket.socket() as made:
         made.bind(("127.0.0.1", 0))
         return int(made.getsockname()[1])
@@ -175,19 +176,39 @@
 
 def config(port: int, discovery: int, servers: list[int]) -> dict[str, object]:
     """What the platform tells a sidecar."""
-    lines = [{"name": f"s{i}", "address": f"127.0.0.1:{p}", "zone": "a", "type": "m", "group": 0,
-              "status": "SERVING", "weight": 1.0, "since_ms": 0} for i, p in enumerate(servers)]
+    lines = [
+        {
+            "name": f"s{i}",
+            "address": f"127.0.0.1:{p}",
+            "zone": "a",
+            "type": "m",
+            "group": 0,
+            "status": "SERVING",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        for i, p in enumerate(servers)
+    ]
     kinds = ("free", "single_shot", "guarded")
     return {
-        "name": "bench", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "seed": "7",
+        "name": "bench",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 1, "snapshot": True, "endpoints": lines},
         "settings": {
-            "classes": [{"name": k, "onTimeNs": 3 * 10**9, "hardLimitNs": 6 * 10**9, "repeat": k}
-                        for k in kinds],
-            "failureDomains": ["a"], "kinds": ["m"], "projects": [{"name": "acme", "share": 1.0}],
-            "limits": {"maxAttempts": 3, "retryAfter": True, "maxRetryAfterNs": 10**9,
-                       "connectTimeoutNs": 10**9, "connIdleNs": 30 * 10**9},
+            "classes": [{"name": k, "onTimeNs": 3 * 10**9, "hardLimitNs": 6 * 10**9, "repeat": k} for k in kinds],
+            "failureDomains": ["a"],
+            "kinds": ["m"],
+            "projects": [{"name": "acme", "share": 1.0}],
+            "limits": {
+                "maxAttempts": 3,
+                "retryAfter": True,
+                "maxRetryAfterNs": 10**9,
+                "connectTimeoutNs": 10**9,
+                "connIdleNs": 30 * 10**9,
+            },
             "invariants": {"drainGraceNs": 10**9},
         },
     }
@@ -240,7 +261,10 @@
             else:
                 command = [sys.executable, *(self.arguments or ["-m", "hollyport"])]
             process = await asyncio.create_subprocess_exec(
-                *command, cwd=self.folder or HERE, env=env, stderr=asyncio.subprocess.DEVNULL,
+                *command,
+                cwd=self.folder or HERE,
+                env=env,
+                stderr=asyncio.subprocess.DEVNULL,
             )
             try:
                 start = time.monotonic()
@@ -286,9 +310,11 @@
         ratio = statistics.median(a / b for a, b in zip(costs, relay, strict=True))
         start = f"{statistics.median(subject.starts):9.2f}" if subject.starts else " " * 9
         total = sum(subject.statuses.values())
-        yield (f"{subject.name:14}{statistics.median(costs):14.1f}{min(costs):8.1f}{max(costs):8.1f}"
-               f"{ratio:8.2f}{start}{statistics.median(subject.memory):7.1f}"
-               f"  {subject.statuses.get(b'200', 0) / total:.4f}")
+        yield (
+            f"{subject.name:14}{statistics.median(costs):14.1f}{min(costs):8.1f}{max(costs):8.1f}"
+            f"{ratio:8.2f}{start}{statistics.median(subject.memory):7.1f}"
+            f"  {subject.statuses.get(b'200', 0) / total:.4f}"
+        )
 
 
 def main() -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -56,8 +56,25 @@
 EVENTS = ("nothing", "change", "zone", "back", "renumbered", "restart")
 POINTS = [(100, 100), (100, 450), (100, 1800), (100, 7200), (1000, 100), (1000, 1800)]
 QUICK = [(100, 100), (100, 1800)]
-HEAD = ("event", "s", "p50", "p99", "last", "late", "msgs/s", "B/s", "ms/s", "disc. core", "disc. KB/s", "stall ms",
-        "shared ms", "real ms/s", "real p99 ms", "longest ms", "check")
+HEAD = (
+    "event",
+    "s",
+    "p50",
+    "p99",
+    "last",
+    "late",
+    "msgs/s",
+    "B/s",
+    "ms/s",
+    "disc. core",
+    "disc. KB/s",
+    "stall ms",
+    "shared ms",
+    "real ms/s",
+    "real p99 ms",
+    "longest ms",
+    "check",
+)
 
 
 def settings(mode: str) -> dict[str, Any]:
@@ -65,11 +82,23 @@
     return {
         "classes": [{"name": "list", "onTimeNs": 400_000_000, "hardLimitNs": 1_500_000_000, "repeat": "free"}],
         "discovery": "subscribe" if mode == "ask" else "automatic",
-        "failureDomains": list(ZONES), "kinds": ["m"],
-        "limits": {"maxAttempts": 3, "retryAfter": True, "maxRetryAfterNs": SECOND,
-                   "connectTimeoutNs": SECOND // 4, "cancel": True, "connIdleNs": 30 * SECOND},
-        "invariants": {"drainGraceNs": SECOND // 4, "coldFrom": 0.1, "coldNs": 4 * SECOND, "fallMultiple": 3.0,
-                       "fallNs": 3 * SECOND // 2},
+        "failureDomains": list(ZONES),
+        "kinds": ["m"],
+        "limits": {
+            "maxAttempts": 3,
+            "retryAfter": True,
+            "maxRetryAfterNs": SECOND,
+            "connectTimeoutNs": SECOND // 4,
+            "cancel": True,
+            "connIdleNs": 30 * SECOND,
+        },
+        "invariants": {
+            "drainGraceNs": SECOND // 4,
+            "coldFrom": 0.1,
+            "coldNs": 4 * SECOND,
+            "fallMultiple": 3.0,
+            "fallNs": 3 * SECOND // 2,
+        },
     }
 
 
@@ -119,11 +148,17 @@
     """The stand-in for discovery."""
 
     async def begin(
-        self, port: int, servers: int, backend: int, lines: Mapping[str, Any] | None = None, index: int = 0,
+        self,
+        port: int,
+        servers: int,
+        backend: int,
+        lines: Mapping[str, Any] | None = None,
+        index: int = 0,
         gone: int | None = None,
     ) -> dict[str, Any]:
         """Listen, at a port of before and with what was known then, but for a server that is gone since."""
         from rosechute.standin.discovery import StandInDiscovery
+
         self.discovery = StandInDiscovery()
         self.backend = backend
         for number in range(servers):
@@ -138,8 +173,9 @@
 
     def _put(self, number: int, status: str, since_ms: int | None = None) -> None:
         # All lines lead to one server on this machine: the list is what is tried here.
-        self.discovery.put(name_of(number), self.backend, status, since_ms, zone=ZONES[number % len(ZONES)],
-                           group=number % 16)
+        self.discovery.put(
+            name_of(number), self.backend, status, since_ms, zone=ZONES[number % len(ZONES)], group=number % 16
+        )
 
     async def change(self, numbers: list[int], status: str, over_s: float = 0.0) -> dict[str, Any]:
         """Change lines one by one, evenly over a time; when the last was put, and the version then."""
@@ -152,9 +188,13 @@
 
     async def list(self) -> dict[str, Any]:
         """The list as it is."""
-        return {"index": self.discovery.index, "lines": {
-            name: {"status": line["status"], "since_ms": line["since_ms"]}
-            for name, line in self.discovery._lines.items()}}
+        return {
+            "index": self.discovery.index,
+            "lines": {
+                name: {"status": line["status"], "since_ms": line["since_ms"]}
+                for name, line in self.discovery._lines.items()
+            },
+        }
 
     async def figures(self) -> dict[str, Any]:
         at = self.discovery
@@ -169,6 +209,7 @@
         from hollyport.core.address import Address
         from hollyport.core.clock import Clock
         from hollyport.platform.discovery import Discovery
+
         self._loop, self._clock, self._ask, self._stale = loop, Clock(), told.must_ask, stale
         self.module = Balancer(told, seed, self._clock())
         self.lines: dict[str, Any] = {}
@@ -177,14 +218,18 @@
         self.over = False
         # Some checkouts tell large lists in parts, by comparing them with what is known here, or draw their pauses.
         takes = inspect.signature(Discovery).parameters
-        more = {name: value for name, value in (("known", self.lines), ("draw", random.Random(seed).random))
-                if name in takes}
+        more = {
+            name: value
+            for name, value in (("known", self.lines), ("draw", random.Random(seed).random))
+            if name in takes
+        }
         self._discovery = Discovery(loop, Address("127.0.0.1", port), told, 0, self._told, **more)
         self._follows: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Begin to ask, or to listen to what is pushed."""
         from dunefield.interface import Directory
+
         self.deliver(Directory("SAVED", (), 0))
         if not self._ask:
             self._follows = self._loop.create_task(self._discovery.follow())
@@ -199,6 +244,7 @@
     def deliver(self, event: Any) -> None:
         """What the module says to an event, carried out."""
         from dunefield.interface import Defer, Fetch, Subscribe
+
         if self.over:
             return
         for action in self.module.handle(self._clock(), event):
@@ -211,6 +257,7 @@
 
     def _alarm(self, due: int, tag: int) -> None:
         from dunefield.interface import Alarm
+
         if self._clock() < due:  # timers of the loop may be early, and the module's clock is finer: as in the core
             self._loop.call_later(0.001, self._alarm, due, tag)
         else:
@@ -218,6 +265,7 @@
 
     def _told(self, listing: Any) -> None:
         from dunefield.interface import Directory
+
         if isinstance(listing, str):
             self.deliver(Directory(listing))
             return
@@ -234,14 +282,18 @@
                 self.lines.pop(line.entry.server, None)
             else:
                 self.lines[line.entry.server] = line
-        self.deliver(Directory("FULL" if listing.whole else "INCREMENTAL", tuple(line.entry for line in lines),
-                               listing.version))
+        self.deliver(
+            Directory(
+                "FULL" if listing.whole else "INCREMENTAL", tuple(line.entry for line in lines), listing.version
+            )
+        )
         if listing.version != self.version and not getattr(listing, "part", False):
             self.version, self.at = listing.version, time.monotonic()
 
     def chosen(self, calls: int) -> set[str]:
         """Where the module sends so many calls."""
         from dunefield.interface import Accept, Hangup, How, Response, Submit
+
         servers = set()
         for number in range(calls):
             tid = f"check-{number}"
@@ -262,6 +314,7 @@
 
     async def begin(self, count: int, first: int, port: int, mode: str, seed: int, fault: str) -> dict[str, Any]:
         from dunefield.interface import Settings
+
         self.told, self.port, self.seed, self.fault = settings(mode), port, seed, fault
         self.parse, self.first, self.count = Settings.parse, first, count
         self.hollow: list[Hollow] = []
@@ -277,8 +330,9 @@
             if before:
                 before[turn].close()
             told = self.parse({**self.told, "index": number, "zone": number % len(ZONES)})
-            made = Hollow(self.loop, told, self.seed * 100_003 + number, self.port,
-                          self.fault == "stale" and number == 0)
+            made = Hollow(
+                self.loop, told, self.seed * 100_003 + number, self.port, self.fault == "stale" and number == 0
+            )
             self.hollow.append(made)
             made.start()
         return {}
@@ -294,6 +348,7 @@
     async def check(self, lines: Mapping[str, Any]) -> dict[str, Any]:
         """What is not as it must be, of the list and of what the module would send."""
         from hollyport.platform.discovery import LIFECYCLES
+
         listed = {name: LIFECYCLES[line["status"]] for name, line in lines.items() if line["status"] != "DELETED"}
         up = {name for name, lifecycle in listed.items() if lifecycle == "up"}
         wrong = []
@@ -316,6 +371,7 @@
 
     async def begin(self) -> dict[str, Any]:
         from benchmarks.cpu import Serving
+
         server = await self.loop.create_server(Serving, "127.0.0.1", 0)
         self.calls: list[tuple[float, float, bool]] = []  # when, how long, whether served
         self.free: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
@@ -325,6 +381,7 @@
     async def load(self, port: int, per_s: float, seed: int) -> dict[str, Any]:
         """Call from now on, at times that are drawn."""
         from benchmarks.cpu import until_ready
+
         await until_ready(port)
         task = self.loop.create_task(self._loading(port, per_s, random.Random(seed)))
         self.tasks.add(task)
@@ -346,8 +403,9 @@
             while self.free and (self.free[-1][1].is_closing() or self.free[-1][0].at_eof()):
                 self.free.pop()
             reader, writer = self.free.pop() if self.free else await asyncio.open_connection("127.0.0.1", port)
-            writer.write(b"GET /list/7 HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: f%x\r\nX-Timeout: 1.500\r\n\r\n"
-                         % number)
+            writer.write(
+                b"GET /list/7 HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: f%x\r\nX-Timeout: 1.500\r\n\r\n" % number
+            )
             head = await reader.readuntil(b"\r\n\r\n")
             size = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
             await reader.readexactly(size)
@@ -359,12 +417,19 @@
         """Calls since then: how many, how many served, p99 and longest in ms."""
         calls = [call for call in self.calls if call[0] >= start]
         times = [call[1] * 1e3 for call in calls]
-        return {"calls": len(calls), "served": sum(call[2] for call in calls), "p99": quantile(times, 0.99),
-                "max": max(times, default=math.nan)}
+        return {
+            "calls": len(calls),
+            "served": sum(call[2] for call in calls),
+            "p99": quantile(times, 0.99),
+            "max": max(times, default=math.nan),
+        }
 
 
 ROLES: dict[str, Callable[[], Role]] = {
-    "discovery": DiscoveryRole, "hollow": HollowRole, "application": ApplicationRole}
+    "discovery": DiscoveryRole,
+    "hollow": HollowRole,
+    "application": ApplicationRole,
+}
 
 
 class Child:
@@ -373,8 +438,16 @@
     async def start(self, role: str, tree: pathlib.Path) -> Child:
         env = {**os.environ, "PYTHONPATH": f"{tree}{os.pathsep}{HERE}", "PYTHONHASHSEED": "0"}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, str(pathlib.Path(__file__).resolve()), "--role", role, cwd=tree, env=env,
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, limit=1 << 26)
+            sys.executable,
+            str(pathlib.Path(__file__).resolve()),
+            "--role",
+            role,
+            cwd=tree,
+            env=env,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            limit=1 << 26,
+        )
         return self
 
     async def do(self, what: str, **told: Any) -> Any:
@@ -442,8 +515,15 @@
         first = 0
         # The one alone is the last: with a fault planted in number 0, a shared one has it.
         for child, count in zip([*shared, self.alone], [*counts[1:], counts[0]], strict=True):
-            await child.do("begin", count=count, first=first, port=self.port, mode=chosen.mode, seed=chosen.seed,
-                           fault=chosen.fault)
+            await child.do(
+                "begin",
+                count=count,
+                first=first,
+                port=self.port,
+                mode=chosen.mode,
+                seed=chosen.seed,
+                fault=chosen.fault,
+            )
             first += count
         assert first == self.sidecars
         self.empty = [(await child.do("figures"))["rss"] for child in shared]
@@ -461,16 +541,40 @@
             found.bind(("127.0.0.1", 0))
             port = found.getsockname()[1]
         # It starts with one server: the rest comes from discovery, as with the hollow ones.
-        known = {"index": 0, "snapshot": True, "endpoints": [
-            {"name": name_of(0), "address": f"127.0.0.1:{self.backend}", "zone": "a", "type": "m", "group": 0,
-             "status": "SERVING", "weight": 1.0, "since_ms": 0}]}
+        known = {
+            "index": 0,
+            "snapshot": True,
+            "endpoints": [
+                {
+                    "name": name_of(0),
+                    "address": f"127.0.0.1:{self.backend}",
+                    "zone": "a",
+                    "type": "m",
+                    "group": 0,
+                    "status": "SERVING",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+            ],
+        }
         path = folder / "config.json"
-        path.write_text(json.dumps({
-            "name": "real", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{self.port}", "seed": "7",
-            "limits": {"sockets": 1024}, "known": known, "settings": settings(chosen.mode)}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "real",
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": f"127.0.0.1:{self.port}",
+                    "seed": "7",
+                    "limits": {"sockets": 1024},
+                    "known": known,
+                    "settings": settings(chosen.mode),
+                }
+            )
+        )
         env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": str(folder), "PYTHONPATH": str(chosen.tree)}
         self.real = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hollyport", cwd=chosen.tree, env=env, stderr=subprocess.DEVNULL)
+            sys.executable, "-m", "hollyport", cwd=chosen.tree, env=env, stderr=subprocess.DEVNULL
+        )
         await self.application.do("load", port=port, per_s=chosen.per_s, seed=chosen.seed)
 
     def _real_rss(self) -> float:
@@ -492,8 +596,11 @@
         parts = chosen.events
         await self._event("all start", self._start, born=True)
         held = [(await child.do("figures"))["rss"] for child in self.hollow[1:]]
-        self.memory = {"hollow_mb": (sum(held) - sum(self.empty)) / 1e6 / max(1, self.sidecars - 1),
-                       "empty_mb": statistics.fmean(self.empty) / 1e6, "real_mb": self._real_rss()}
+        self.memory = {
+            "hollow_mb": (sum(held) - sum(self.empty)) / 1e6 / max(1, self.sidecars - 1),
+            "empty_mb": statistics.fmean(self.empty) / 1e6,
+            "real_mb": self._real_rss(),
+        }
         if "nothing" in parts:
             await self._event("nothing", lambda: asyncio.sleep(chosen.idle_s))
         for turn in range(chosen.changes if "change" in parts else 0):
@@ -530,17 +637,29 @@
         down = time.monotonic()
         self.discovery = await self._child("discovery", HERE)
         await asyncio.sleep(max(0.0, down + DOWN_S - time.monotonic()))
-        await self.discovery.do("begin", port=self.port, servers=self.servers, backend=self.backend,
-                                lines=known["lines"], index=known["index"] if numbers_kept else 0, gone=gone)
+        await self.discovery.do(
+            "begin",
+            port=self.port,
+            servers=self.servers,
+            backend=self.backend,
+            lines=known["lines"],
+            index=known["index"] if numbers_kept else 0,
+            gone=gone,
+        )
         return time.monotonic()
 
     async def _totals(self) -> dict[str, float]:
         told = await self.discovery.do("figures")
         shared = await all_do(self.hollow, "figures")
-        return {"calls": told["calls"] + self.lost_calls, "bytes": told["bytes"] + self.lost_bytes,
-                "disc_s": told["cpu_s"] + self.lost_cpu, "cpu_s": sum(one["cpu_s"] for one in shared),
-                "real_s": self._real_cpu_s(), "stall": shared[0]["stalled_s"] * 1e3,
-                "shared": max(one["stalled_s"] for one in shared[1:]) * 1e3}
+        return {
+            "calls": told["calls"] + self.lost_calls,
+            "bytes": told["bytes"] + self.lost_bytes,
+            "disc_s": told["cpu_s"] + self.lost_cpu,
+            "cpu_s": sum(one["cpu_s"] for one in shared),
+            "real_s": self._real_cpu_s(),
+            "stall": shared[0]["stalled_s"] * 1e3,
+            "shared": max(one["stalled_s"] for one in shared[1:]) * 1e3,
+        }
 
     async def _event(self, name: str, work: Callable[[], Awaitable[Any]], born: bool = False) -> None:
         """Let something happen, wait until it is in force everywhere, and check."""
@@ -556,30 +675,42 @@
         seconds = time.monotonic() - start
         told = await self.application.do("window", start=start)
         since = float(since) if isinstance(since, float) else start
-        took = [max(0.0, at - (birth if born else since)) for one in waited
-                for at, birth in zip(one["at"], one["born"], strict=True)]
+        took = [
+            max(0.0, at - (birth if born else since))
+            for one in waited
+            for at, birth in zip(one["at"], one["born"], strict=True)
+        ]
         asleep = name == "nothing"
         if len(took) < self.sidecars:
-            self.failures.append(f"{name}: not in force at {self.sidecars - len(took)} of {self.sidecars} "
-                                 f"after {chosen.limit_s:g} s")
+            self.failures.append(
+                f"{name}: not in force at {self.sidecars - len(took)} of {self.sidecars} after {chosen.limit_s:g} s"
+            )
         await asyncio.sleep(GRACE_S)
         wrong = [text for one in await all_do(self.hollow, "check", lines=known["lines"]) for text in one["wrong"]]
         self.failures += [f"{name}: {text}" for text in wrong]
         share = self.sidecars * seconds
         asking = (self.sidecars + (self.real is not None)) * seconds  # the real one asks, too
-        self.rows.append({
-            "event": name, "s": seconds, "took": [] if asleep else took,
-            "late": 0 if asleep else sum(one > TOLD_S for one in took) + self.sidecars - len(took),
-            "msgs/s": (after["calls"] - before["calls"]) / asking,
-            "B/s": (after["bytes"] - before["bytes"]) / asking,
-            "ms/s": (after["cpu_s"] - before["cpu_s"] - self.base_hollow * seconds) / share * 1e3,
-            "disc. core": (after["disc_s"] - before["disc_s"]) / seconds - self.base_discovery,
-            "disc. KB/s": (after["bytes"] - before["bytes"]) / seconds / 1e3,
-            "real ms/s": (after["real_s"] - before["real_s"]) / seconds * 1e3,
-            "stall ms": after["stall"], "shared ms": after["shared"], "real p99 ms": told["p99"],
-            "longest ms": told["max"], "check": "ok" if not wrong and len(took) == self.sidecars else "FAILED",
-            "real calls": told["calls"], "real served": told["served"],
-        })
+        self.rows.append(
+            {
+                "event": name,
+                "s": seconds,
+                "took": [] if asleep else took,
+                "late": 0 if asleep else sum(one > TOLD_S for one in took) + self.sidecars - len(took),
+                "msgs/s": (after["calls"] - before["calls"]) / asking,
+                "B/s": (after["bytes"] - before["bytes"]) / asking,
+                "ms/s": (after["cpu_s"] - before["cpu_s"] - self.base_hollow * seconds) / share * 1e3,
+                "disc. core": (after["disc_s"] - before["disc_s"]) / seconds - self.base_discovery,
+                "disc. KB/s": (after["bytes"] - before["bytes"]) / seconds / 1e3,
+                "real ms/s": (after["real_s"] - before["real_s"]) / seconds * 1e3,
+                "stall ms": after["stall"],
+                "shared ms": after["shared"],
+                "real p99 ms": told["p99"],
+                "longest ms": told["max"],
+                "check": "ok" if not wrong and len(took) == self.sidecars else "FAILED",
+                "real calls": told["calls"],
+                "real served": told["served"],
+            }
+        )
 
 
 def merged(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
@@ -591,29 +722,46 @@
     for name, same in made.items():
         took = [one for row in same for one in row["took"]]
         seconds = sum(row["s"] for row in same)
-        out.append({
-            "event": name if len(same) == 1 else f"{name}, {len(same)} times", "s": seconds,
-            "p50": quantile(took, 0.5), "p99": quantile(took, 0.99), "last": max(took, default=math.nan),
-            **{key: sum(row[key] for row in same) for key in ("late", "real calls", "real served")},
-            **{key: sum(row[key] * row["s"] for row in same) / seconds
-               for key in ("msgs/s", "B/s", "ms/s", "disc. core", "disc. KB/s", "real ms/s")},
-            **{key: max(row[key] for row in same) for key in ("stall ms", "shared ms", "real p99 ms", "longest ms")},
-            "check": "ok" if all(row["check"] == "ok" for row in same) else "FAILED"})
+        out.append(
+            {
+                "event": name if len(same) == 1 else f"{name}, {len(same)} times",
+                "s": seconds,
+                "p50": quantile(took, 0.5),
+                "p99": quantile(took, 0.99),
+                "last": max(took, default=math.nan),
+                **{key: sum(row[key] for row in same) for key in ("late", "real calls", "real served")},
+                **{
+                    key: sum(row[key] * row["s"] for row in same) / seconds
+                    for key in ("msgs/s", "B/s", "ms/s", "disc. core", "disc. KB/s", "real ms/s")
+                },
+                **{
+                    key: max(row[key] for row in same)
+                    for key in ("stall ms", "shared ms", "real p99 ms", "longest ms")
+                },
+                "check": "ok" if all(row["check"] == "ok" for row in same) else "FAILED",
+            }
+        )
     return out
 
 
 def table(point: Point) -> str:
     """A point's rows and what stands beside them."""
-    lines = [f"\n{point.sidecars:,} sidecars, {point.servers:,} servers\n",
-             "| " + " | ".join(HEAD) + " |", "| --- |" + " --- |" * (len(HEAD) - 1)]
+    lines = [
+        f"\n{point.sidecars:,} sidecars, {point.servers:,} servers\n",
+        "| " + " | ".join(HEAD) + " |",
+        "| --- |" + " --- |" * (len(HEAD) - 1),
+    ]
     digits = {"s": 2, "p50": 3, "p99": 3, "last": 3, "late": 0, "msgs/s": 2, "B/s": 0, "ms/s": 2, "disc. core": 3}
     rows = merged(point.rows)
     for row in rows:
         cells = [row[key] if isinstance(row[key], str) else f"{row[key]:,.{digits.get(key, 1)}f}" for key in HEAD]
         lines.append("| " + " | ".join("-" if cell == "nan" else cell for cell in cells) + " |")
     calls, served = (sum(row[key] for row in rows) for key in ("real calls", "real served"))
-    lines.append("\n" + ", ".join(f"{key.removesuffix('_mb')} {value:.2f} MB" for key, value in point.memory.items())
-                 + f"; calls through the real one: {calls:,}, served {served:,}")
+    lines.append(
+        "\n"
+        + ", ".join(f"{key.removesuffix('_mb')} {value:.2f} MB" for key, value in point.memory.items())
+        + f"; calls through the real one: {calls:,}, served {served:,}"
+    )
     lines += [f"FAILED {text}" for text in point.failures[:12]]
     if len(point.failures) > 12:
         lines.append(f"FAILED and {len(point.failures) - 12} more")
@@ -667,12 +815,14 @@
     chosen = options()
     if chosen.role:
         from hollyport import native
+
         native.prefer()
         import gc
 
         import uvloop
 
         from hollyport.core.log import setup
+
         setup(level="error")
         if chosen.role == "hollow":
             import dunefield.rules  # noqa: F401 - what is loaded is no part of a sidecar's memory
@@ -681,18 +831,33 @@
         uvloop.run(act(chosen.role))
         return 0
     import uvloop
+
     with open("/proc/meminfo", encoding="ascii") as file:
         total = int(file.readline().split()[1]) / (1 << 20)
     built = subprocess.run([sys.executable, str(chosen.tree / "deploy" / "compile.py"), "--check"]).returncode == 0
     plain = os.environ.get("ROSECHUTE_PLAIN") == "1" or not built
-    print(f"{'plain' if plain else 'compiled'}, {chosen.mode}, seed {chosen.seed}, {chosen.helpers} processes for "
-          f"the hollow, {os.cpu_count()} cores, {total:.0f} GiB, load before {os.getloadavg()[0]:.1f}, "
-          f"Python {sys.version.split()[0]}")
+    print(
+        f"{'plain' if plain else 'compiled'}, {chosen.mode}, seed {chosen.seed}, {chosen.helpers} processes for "
+        f"the hollow, {os.cpu_count()} cores, {total:.0f} GiB, load before {os.getloadavg()[0]:.1f}, "
+        f"Python {sys.version.split()[0]}"
+    )
     points = uvloop.run(measure(chosen))
     print(f"\nload after {os.getloadavg()[0]:.1f}; failures: {sum(len(point.failures) for point in points)}")
     if chosen.json:
-        chosen.json.write_text(json.dumps([{"sidecars": p.sidecars, "servers": p.servers, "rows": merged(p.rows),
-                                            "memory": p.memory, "failures": p.failures} for p in points]))
+        chosen.json.write_text(
+            json.dumps(
+                [
+                    {
+                        "sidecars": p.sidecars,
+                        "servers": p.servers,
+                        "rows": merged(p.rows),
+                        "memory": p.memory,
+                        "failures": p.failures,
+                    }
+                    for p in points
+                ]
+            )
+        )
     return 1 if any(point.failures for point in points) else 0
 
 
--- a/benchmarks/fleet_capacity.py
+++ b/benchmarks/fleet_capacity.py
@@ -78,7 +78,7 @@
     "release_s": "not told",
     "changes_a_restart": "drains, goes, is back",
     "rack": "not told",
-    "apart_s": "\"minutes\"",
+    "apart_s": '"minutes"',
     "revoke_s": "the sites that are known, with `strict_revoke`",
     "sync_ms": "the sites that are known",
     "one_way_ms": "not told",
@@ -130,17 +130,25 @@
 def needs(slopes: Slopes, assumed: Assumed) -> list[Need]:
     """All rows, the worst first."""
     rows = [
-        *_edge_configuration(slopes, assumed), *_edge_membership(slopes), *_edge_list(slopes, assumed),
-        *_edge_data(slopes, assumed), *_edge_tables(slopes), *_chain(slopes, assumed), *_leader(slopes, assumed),
-        *_leader_list(slopes, assumed), *_storage(slopes, assumed),
+        *_edge_configuration(slopes, assumed),
+        *_edge_membership(slopes),
+        *_edge_list(slopes, assumed),
+        *_edge_data(slopes, assumed),
+        *_edge_tables(slopes),
+        *_chain(slopes, assumed),
+        *_leader(slopes, assumed),
+        *_leader_list(slopes, assumed),
+        *_storage(slopes, assumed),
     ]
     return sorted(rows, key=lambda row: -row.ratio)
 
 
 def _edge_configuration(slopes: Slopes, assumed: Assumed) -> list[Need]:
     sent = slopes.at("compressed, sent to each edge", "routes", assumed.routes)
-    take_ms = (slopes.at("edge: take the update", "routes", assumed.routes)
-               + slopes.at("edge: read it and put it in force", "routes", assumed.routes)) / 1e3
+    take_ms = (
+        slopes.at("edge: take the update", "routes", assumed.routes)
+        + slopes.at("edge: read it and put it in force", "routes", assumed.routes)
+    ) / 1e3
     followers = SIZE.edges_a_zone - 1
     pass_ms = slopes.at("home: pass a configuration on", "followers", followers) / 1e3
     rate, peak = SIZE.changes_per_s, SIZE.changes_per_s * assumed.peak_changes
@@ -151,8 +159,14 @@
         Need("edge, configuration", "processor, at the busiest", peak * take_ms, CONTROL_MS_S, "ms/s", "in one turn"),
         Need("home, configuration", "bytes out, ordinary day", rate * sent * followers, CONTROL_B_S, "B/s", whole),
         Need("home, configuration", "bytes out, at the busiest", peak * sent * followers, CONTROL_B_S, "B/s", whole),
-        Need("home, configuration", "processor, at the busiest", peak * (take_ms + pass_ms), CONTROL_MS_S, "ms/s",
-             "encoded anew for each follower"),
+        Need(
+            "home, configuration",
+            "processor, at the busiest",
+            peak * (take_ms + pass_ms),
+            CONTROL_MS_S,
+            "ms/s",
+            "encoded anew for each follower",
+        ),
     ]
 
 
@@ -166,12 +180,30 @@
     return [
         Need("edge, membership", "bytes of renewals", RENEWALS_S * b, CONTROL_B_S, "B/s", "lease of 2 s"),
         Need("edge, membership", "processor of renewals", RENEWALS_S * ms, CONTROL_MS_S, "ms/s", "lease of 2 s"),
-        Need("edge, subscriptions", "bytes, 14 topics", topics / RESUBSCRIBE_S * subscription_b, CONTROL_B_S, "B/s",
-             "one for each topic"),
-        Need("home, subscriptions", "bytes of one topic", a_topic * subscription_b, CONTROL_B_S, "B/s",
-             "one for each topic; hash"),
-        Need("home, subscriptions", "processor of one topic, without the links", a_topic * subscription_ms,
-             CONTROL_MS_S, "ms/s", "one for each topic; hash"),
+        Need(
+            "edge, subscriptions",
+            "bytes, 14 topics",
+            topics / RESUBSCRIBE_S * subscription_b,
+            CONTROL_B_S,
+            "B/s",
+            "one for each topic",
+        ),
+        Need(
+            "home, subscriptions",
+            "bytes of one topic",
+            a_topic * subscription_b,
+            CONTROL_B_S,
+            "B/s",
+            "one for each topic; hash",
+        ),
+        Need(
+            "home, subscriptions",
+            "processor of one topic, without the links",
+            a_topic * subscription_ms,
+            CONTROL_MS_S,
+            "ms/s",
+            "one for each topic; hash",
+        ),
     ]
 
 
@@ -179,27 +211,65 @@
     servers, per = SIZE.servers, SIZE.servers_a_service
     whole_b = slopes.at("whole list, all services", "servers", servers)
     service_b = slopes.at("whole list", "servers", per)
-    delta_ms = (slopes.at("take a delta of one server", "servers", per)
-                + slopes.at("put a list in force, one server changed", "servers", per)) / 1e3
-    again_ms = SIZE.services * (slopes.at("take a whole list of a new term, the same", "servers", per)
-                                + slopes.at("put a list in force, one server changed", "servers", per)) / 1e3
-    first_ms = SIZE.services * (slopes.at("take a whole list, nothing known", "servers", per)
-                                + slopes.at("put a first list in force", "servers", per)) / 1e3
+    delta_ms = (
+        slopes.at("take a delta of one server", "servers", per)
+        + slopes.at("put a list in force, one server changed", "servers", per)
+    ) / 1e3
+    again_ms = (
+        SIZE.services
+        * (
+            slopes.at("take a whole list of a new term, the same", "servers", per)
+            + slopes.at("put a list in force, one server changed", "servers", per)
+        )
+        / 1e3
+    )
+    first_ms = (
+        SIZE.services
+        * (
+            slopes.at("take a whole list, nothing known", "servers", per)
+            + slopes.at("put a first list in force", "servers", per)
+        )
+        / 1e3
+    )
     count_ms = slopes.at("put another number of living edges in force", "servers", per) / 1e3
     release = per / 2 * assumed.changes_a_restart / assumed.release_s
     day = (SIZE.fail_a_day * 2 + SIZE.restart_a_day * assumed.changes_a_restart) / 86_400
     term = "MISSING: a position that outlives the leader"
     return [
-        Need("edge, list", "bytes, whole list, within the drain bound", whole_b / assumed.drain_s, CONTROL_B_S, "B/s",
-             term),
-        Need("home, list", "bytes, whole list of one service passed on, within the drain bound",
-             service_b * (SIZE.edges_a_zone - 1) / assumed.drain_s, CONTROL_B_S, "B/s", term),
+        Need(
+            "edge, list",
+            "bytes, whole list, within the drain bound",
+            whole_b / assumed.drain_s,
+            CONTROL_B_S,
+            "B/s",
+            term,
+        ),
+        Need(
+            "home, list",
+            "bytes, whole list of one service passed on, within the drain bound",
+            service_b * (SIZE.edges_a_zone - 1) / assumed.drain_s,
+            CONTROL_B_S,
+            "B/s",
+            term,
+        ),
         Need("edge, list", "stall of streams, whole list again, all in one turn", again_ms, 61, "ms", term),
         Need("edge, list", "stall at its own start, not ready yet", first_ms, 1500, "ms", "readiness"),
-        Need("edge, list", "processor, half of a model released", release * delta_ms, CONTROL_MS_S, "ms/s",
-             "deltas; cost by the service's length"),
-        Need("edge, shares", "processor, edges restarted one after the other", RENEWALS_S * SIZE.services * count_ms,
-             CONTROL_MS_S, "ms/s", "MISSING: shares that follow the number of edges in steps"),
+        Need(
+            "edge, list",
+            "processor, half of a model released",
+            release * delta_ms,
+            CONTROL_MS_S,
+            "ms/s",
+            "deltas; cost by the service's length",
+        ),
+        Need(
+            "edge, shares",
+            "processor, edges restarted one after the other",
+            RENEWALS_S * SIZE.services * count_ms,
+            CONTROL_MS_S,
+            "ms/s",
+            "MISSING: shares that follow the number of edges in steps",
+        ),
         Need("edge, list", "processor, ordinary day", day * delta_ms, CONTROL_MS_S, "ms/s", "deltas"),
         Need("edge, list", "stall of streams, one delta", delta_ms, 61, "ms", "deltas"),
     ]
@@ -214,10 +284,17 @@
     ask_b = sum(slopes.at(name, "edges that ask for it", SIZE.edges) for name in ("demand", "issue"))
     report_b = sum(slopes.at(name, "tenants in it", _reported(assumed)) for name in ("report", "grants"))
     return [
-        Need("edge, streams", "processor of events", events * event_ms, assumed.edge_ms_s, "ms/s",
-             "one turn an event"),
-        Need("edge, data path", "processor of requests", requests * request_ms, assumed.edge_ms_s, "ms/s",
-             "ordinary path"),
+        Need(
+            "edge, streams", "processor of events", events * event_ms, assumed.edge_ms_s, "ms/s", "one turn an event"
+        ),
+        Need(
+            "edge, data path",
+            "processor of requests",
+            requests * request_ms,
+            assumed.edge_ms_s,
+            "ms/s",
+            "ordinary path",
+        ),
         Need("edge, routing", "processor of picks", requests * pick_ms, assumed.edge_ms_s, "ms/s", "two choices"),
         Need("edge, quota", "bytes of demands", requests * assumed.asks * ask_b, CONTROL_B_S, "B/s", "issued tokens"),
         Need("edge, quota", "bytes of reports", report_b / REPORT_S, CONTROL_B_S, "B/s", "one message for all"),
@@ -234,18 +311,45 @@
     mb = 1e6
     prefix = slopes.each("table of shared prefixes, 8 holders each", "prefixes")
     session = slopes.each("table of sessions, 1 holder each", "sessions")
-    server = (slopes.each("list in the store", "servers") + slopes.each("servers in the router", "servers")
-              + slopes.each("servers in the table of connections", "servers"))
+    server = (
+        slopes.each("list in the store", "servers")
+        + slopes.each("servers in the router", "servers")
+        + slopes.each("servers in the table of connections", "servers")
+    )
     return [
         Need("edge, prefixes", "entries", SIZE.prefixes, PREFIX_ENTRIES, "entries", "bounded table"),
-        Need("edge, prefixes", "memory, all shared prefixes", SIZE.prefixes * prefix / mb, SIZE.control_mb, "MB",
-             "bounded table"),
-        Need("edge, sessions", "entries, if each session keeps to one edge", SIZE.sessions / SIZE.edges,
-             SESSION_ENTRIES, "entries", "not by the table: by the rendezvous hash, without state"),
-        Need("edge, sessions", "memory, if each session keeps to one edge", SIZE.sessions / SIZE.edges * session / mb,
-             SIZE.control_mb, "MB", "bounded table"),
-        Need("edge, sessions", "time between two requests of a session, over the time that a prompt is kept",
-             SIZE.sessions / SIZE.requests_per_s, 60, "s", "not by the table: by the rendezvous hash, without state"),
+        Need(
+            "edge, prefixes",
+            "memory, all shared prefixes",
+            SIZE.prefixes * prefix / mb,
+            SIZE.control_mb,
+            "MB",
+            "bounded table",
+        ),
+        Need(
+            "edge, sessions",
+            "entries, if each session keeps to one edge",
+            SIZE.sessions / SIZE.edges,
+            SESSION_ENTRIES,
+            "entries",
+            "not by the table: by the rendezvous hash, without state",
+        ),
+        Need(
+            "edge, sessions",
+            "memory, if each session keeps to one edge",
+            SIZE.sessions / SIZE.edges * session / mb,
+            SIZE.control_mb,
+            "MB",
+            "bounded table",
+        ),
+        Need(
+            "edge, sessions",
+            "time between two requests of a session, over the time that a prompt is kept",
+            SIZE.sessions / SIZE.requests_per_s,
+            60,
+            "s",
+            "not by the table: by the rendezvous hash, without state",
+        ),
         Need("edge, list", "memory of 6,800 servers", SIZE.servers * server / mb, SIZE.control_mb, "MB", "slots"),
     ]
 
@@ -253,24 +357,61 @@
 def _chain(slopes: Slopes, assumed: Assumed) -> list[Need]:
     body = slopes.at("body", "routes", assumed.routes)
     peak = SIZE.changes_per_s * assumed.peak_changes
-    member_ms = (slopes.at("core: compress and take over quotas", "routes", assumed.routes)
-                 + slopes.at("core: a chain write, out and in", "routes", assumed.routes)
-                 + slopes.at("append", "B", body)) / 1e3
+    member_ms = (
+        slopes.at("core: compress and take over quotas", "routes", assumed.routes)
+        + slopes.at("core: a chain write, out and in", "routes", assumed.routes)
+        + slopes.at("append", "B", body)
+    ) / 1e3
     read_ms = slopes.at("core: read and check the order", "routes", assumed.routes) / 1e3
     hops = SIZE.core_machines - 1
-    order_s = (SIZE.core_machines * (assumed.sync_ms + member_ms) + assumed.hops_between * assumed.one_way_ms
-               + (hops - assumed.hops_between) * 1.4 + assumed.one_way_ms + read_ms) / 1e3
+    order_s = (
+        SIZE.core_machines * (assumed.sync_ms + member_ms)
+        + assumed.hops_between * assumed.one_way_ms
+        + (hops - assumed.hops_between) * 1.4
+        + assumed.one_way_ms
+        + read_ms
+    ) / 1e3
     return [
-        Need("chain, head", "time of one order after the other, at the busiest", peak * order_s, 1.0, "of time",
-             "one write under way; MISSING: several orders in one write"),
-        Need("chain, each", "processor, at the busiest", peak * (member_ms + read_ms), assumed.core_ms_s, "ms/s",
-             "whole body"),
-        Need("chain, each", "bytes in and out, at the busiest", 2 * peak * body / 1e6, assumed.link_mb_s, "MB/s",
-             "whole body"),
-        Need("chain", "regions apart: time without orders, where neither side has a majority", assumed.apart_s,
-             SIZE.in_force_s, "s", "MISSING: an odd number of acceptors over three places"),
-        Need("edge, configuration", "regions apart: time without a lease on it, side without majority",
-             assumed.apart_s, assumed.revoke_s, "s", "none: `strict_revoke` forbids to serve keys on old knowledge"),
+        Need(
+            "chain, head",
+            "time of one order after the other, at the busiest",
+            peak * order_s,
+            1.0,
+            "of time",
+            "one write under way; MISSING: several orders in one write",
+        ),
+        Need(
+            "chain, each",
+            "processor, at the busiest",
+            peak * (member_ms + read_ms),
+            assumed.core_ms_s,
+            "ms/s",
+            "whole body",
+        ),
+        Need(
+            "chain, each",
+            "bytes in and out, at the busiest",
+            2 * peak * body / 1e6,
+            assumed.link_mb_s,
+            "MB/s",
+            "whole body",
+        ),
+        Need(
+            "chain",
+            "regions apart: time without orders, where neither side has a majority",
+            assumed.apart_s,
+            SIZE.in_force_s,
+            "s",
+            "MISSING: an odd number of acceptors over three places",
+        ),
+        Need(
+            "edge, configuration",
+            "regions apart: time without a lease on it, side without majority",
+            assumed.apart_s,
+            assumed.revoke_s,
+            "s",
+            "none: `strict_revoke` forbids to serve keys on old knowledge",
+        ),
     ]
 
 
@@ -284,41 +425,109 @@
     report_ms = edges / REPORT_S * reports / 1e3
     changed_b = slopes.at("answer with the zone's members", "members", edges)
     return [
-        Need("leader, membership", "processor of renewals and ticks", renew_ms + tick_ms, assumed.core_ms_s, "ms/s",
-             "lease of 2 s at one machine"),
-        Need("leader, membership", "bytes, all edges restarted: members of the zone in each answer, in a second",
-             edges * RENEWALS_S * changed_b / 1e6, assumed.link_mb_s, "MB/s", "revision; the zone in the answer"),
-        Need("leader, quota", "processor of reports on rate leases", report_ms, assumed.core_ms_s, "ms/s",
-             "MISSING: a home for each tenant and zone; cost by the report, not by all who hold"),
-        Need("leader, quota", "processor of demands", ask_ms, assumed.core_ms_s, "ms/s",
-             "one bucket at one machine; cost by the edges that ask"),
+        Need(
+            "leader, membership",
+            "processor of renewals and ticks",
+            renew_ms + tick_ms,
+            assumed.core_ms_s,
+            "ms/s",
+            "lease of 2 s at one machine",
+        ),
+        Need(
+            "leader, membership",
+            "bytes, all edges restarted: members of the zone in each answer, in a second",
+            edges * RENEWALS_S * changed_b / 1e6,
+            assumed.link_mb_s,
+            "MB/s",
+            "revision; the zone in the answer",
+        ),
+        Need(
+            "leader, quota",
+            "processor of reports on rate leases",
+            report_ms,
+            assumed.core_ms_s,
+            "ms/s",
+            "MISSING: a home for each tenant and zone; cost by the report, not by all who hold",
+        ),
+        Need(
+            "leader, quota",
+            "processor of demands",
+            ask_ms,
+            assumed.core_ms_s,
+            "ms/s",
+            "one bucket at one machine; cost by the edges that ask",
+        ),
     ]
 
 
 def _leader_list(slopes: Slopes, assumed: Assumed) -> list[Need]:
     servers = SIZE.servers
     calls = -(-servers // assumed.page)
-    reading_ms = (calls * slopes.at("a page of 50 entries, read", "page", 50)
-                  + slopes.at("leader: a reading with one change", "servers", servers)) / 1e3
+    reading_ms = (
+        calls * slopes.at("a page of 50 entries, read", "page", 50)
+        + slopes.at("leader: a reading with one change", "servers", servers)
+    ) / 1e3
     all_calls_s = calls / assumed.list_calls_s
     term_ms = slopes.at("leader: first reading of a term, with its links, one turn", "members", SIZE.edges) / 1e3
     term_mb = slopes.at("leader: bytes of it", "members", SIZE.edges) / 1e6
     paced = "MISSING: pages at an even pace, readings by zone or by change"
     return [
-        Need("leader, list", "calls of a reading, made at once, over those of a second", calls, assumed.list_calls_s,
-             "calls", "MISSING: the reading fails, always; " + paced.removeprefix("MISSING: ")),
-        Need("leader, list", "from a change until it is read, at the share of the calls",
-             2 * all_calls_s / assumed.list_share, assumed.drain_s, "s", paced),
-        Need("leader, list", "from a change until it is read, at all of the calls", 2 * all_calls_s, assumed.drain_s,
-             "s", paced),
-        Need("leader, list", "processor of readings, two a second, without HTTP", reading_ms / READING_S,
-             assumed.core_ms_s, "ms/s", "compared entry by entry"),
-        Need("leader, list", "new term: its first reading, in one turn, over what its lease leaves", term_ms,
-             LEASE_LEFT_S * 1e3, "ms", "MISSING: encoded once, sent to homes only, in slices"),
-        Need("leader, list", "new term: bytes to all edges before they fetch", term_mb / PATIENCE_S,
-             assumed.link_mb_s, "MB/s", "MISSING: a position that outlives the leader"),
-        Need("leader, list", "new term: memory of the messages", term_mb, assumed.core_mb - 50, "MB",
-             "MISSING: the same"),
+        Need(
+            "leader, list",
+            "calls of a reading, made at once, over those of a second",
+            calls,
+            assumed.list_calls_s,
+            "calls",
+            "MISSING: the reading fails, always; " + paced.removeprefix("MISSING: "),
+        ),
+        Need(
+            "leader, list",
+            "from a change until it is read, at the share of the calls",
+            2 * all_calls_s / assumed.list_share,
+            assumed.drain_s,
+            "s",
+            paced,
+        ),
+        Need(
+            "leader, list",
+            "from a change until it is read, at all of the calls",
+            2 * all_calls_s,
+            assumed.drain_s,
+            "s",
+            paced,
+        ),
+        Need(
+            "leader, list",
+            "processor of readings, two a second, without HTTP",
+            reading_ms / READING_S,
+            assumed.core_ms_s,
+            "ms/s",
+            "compared entry by entry",
+        ),
+        Need(
+            "leader, list",
+            "new term: its first reading, in one turn, over what its lease leaves",
+            term_ms,
+            LEASE_LEFT_S * 1e3,
+            "ms",
+            "MISSING: encoded once, sent to homes only, in slices",
+        ),
+        Need(
+            "leader, list",
+            "new term: bytes to all edges before they fetch",
+            term_mb / PATIENCE_S,
+            assumed.link_mb_s,
+            "MB/s",
+            "MISSING: a position that outlives the leader",
+        ),
+        Need(
+            "leader, list",
+            "new term: memory of the messages",
+            term_mb,
+            assumed.core_mb - 50,
+            "MB",
+            "MISSING: the same",
+        ),
     ]
 
 
@@ -328,8 +537,14 @@
     snapshots = peak * body / LOG_BYTES
     written = peak * body + snapshots * 2 * body
     return [
-        Need("storage", "time of the disk in syncs, at the busiest", (peak + 2 * snapshots) * assumed.sync_ms, 1000,
-             "ms/s", "two slots and a log"),
+        Need(
+            "storage",
+            "time of the disk in syncs, at the busiest",
+            (peak + 2 * snapshots) * assumed.sync_ms,
+            1000,
+            "ms/s",
+            "two slots and a log",
+        ),
         Need("storage", "bytes written, at the busiest", written / 1e6, 10, "MB/s", "two slots and a log"),
         Need("storage", "disk", 2 * (3 * body + TAKEN_BYTES + LOG_BYTES) / 1e6, 128, "MB", "two slots and a log"),
     ]
@@ -338,17 +553,23 @@
 def event_table(slopes: Slopes, assumed: Assumed) -> str:
     """What events cost."""
     per, edges = SIZE.servers_a_service, SIZE.edges
-    delta_ms = (slopes.at("take a delta of one server", "servers", per)
-                + slopes.at("put a list in force, one server changed", "servers", per)) / 1e3
+    delta_ms = (
+        slopes.at("take a delta of one server", "servers", per)
+        + slopes.at("put a list in force, one server changed", "servers", per)
+    ) / 1e3
     first_us = slopes.at("take a whole list, nothing known", "servers", per)
     again_us = slopes.at("take a whole list of a new term, the same", "servers", per)
     in_force_us = slopes.at("put a list in force, one server changed", "servers", per)
     start_us = first_us + slopes.at("put a first list in force", "servers", per)
-    config_us = (slopes.at("edge: take the update", "routes", assumed.routes)
-                 + slopes.at("edge: read it and put it in force", "routes", assumed.routes))
+    config_us = slopes.at("edge: take the update", "routes", assumed.routes) + slopes.at(
+        "edge: read it and put it in force", "routes", assumed.routes
+    )
     costs = Costs(
-        entry_b=slopes.each("whole list", "servers"), entry_ms=first_us / per / 1e3, delta_ms=delta_ms,
-        config_b=slopes.at("compressed, sent to each edge", "routes", assumed.routes), config_ms=config_us / 1e3,
+        entry_b=slopes.each("whole list", "servers"),
+        entry_ms=first_us / per / 1e3,
+        delta_ms=delta_ms,
+        config_b=slopes.at("compressed, sent to each edge", "routes", assumed.routes),
+        config_ms=config_us / 1e3,
         lists_b=slopes.at("whole list, all services", "servers", SIZE.servers),
         term_ms=SIZE.services * (again_us + in_force_us) / 1e3,
         members_b=slopes.at("answer with the zone's members", "members", edges),
@@ -358,16 +579,20 @@
     )
     released = per / 2 * assumed.changes_a_restart
     lines = [f"| {' | '.join(HEAD)} |", "| --- " * len(HEAD) + "|"]
-    lines += [f"| {' | '.join(row(event, costs))} |"
-              for event in events(released, assumed.changes_a_restart, assumed.rack)]
+    lines += [
+        f"| {' | '.join(row(event, costs))} |" for event in events(released, assumed.changes_a_restart, assumed.rack)
+    ]
     return "\n".join(lines)
 
 
 def table(rows: Sequence[Need]) -> str:
     """Needs, bounds and ratios."""
     lines = ["| role | what | need | bound | need / bound | mechanism |", "| --- | --- | --- | --- | --- | --- |"]
-    lines += [f"| {row.role} | {row.what} | {short(row.need)} {row.unit} | {short(row.bound)} {row.unit} "
-              f"| {short(row.ratio)} | {row.mechanism} |" for row in rows]
+    lines += [
+        f"| {row.role} | {row.what} | {short(row.need)} {row.unit} | {short(row.bound)} {row.unit} "
+        f"| {short(row.ratio)} | {row.mechanism} |"
+        for row in rows
+    ]
     return "\n".join(lines)
 
 
@@ -389,8 +614,13 @@
         for key, ratio in base.items():
             moved = max(abs(less[key] - ratio), abs(more[key] - ratio)) > 0.1 * ratio
             if moved and max(ratio, less[key], more[key]) >= LEAST_WORTH:
-                cells = (f"{each.name} {short(value)}", f"{key[0]}: {key[1]}", short(less[key]), short(ratio),
-                         short(more[key]))
+                cells = (
+                    f"{each.name} {short(value)}",
+                    f"{key[0]}: {key[1]}",
+                    short(less[key]),
+                    short(ratio),
+                    short(more[key]),
+                )
                 lines.append(f"| {' | '.join(cells)} |")
     return "\n".join(lines)
 
--- a/benchmarks/fleet_days/__main__.py
+++ b/benchmarks/fleet_days/__main__.py
@@ -20,8 +20,12 @@
 
 
 def play(
-    bench: str, site: str, why: str, points: str | tuple[str, ...] = tuple(POINTS),
-    seeds: int | tuple[int, ...] = (1,), jobs: int = 1,
+    bench: str,
+    site: str,
+    why: str,
+    points: str | tuple[str, ...] = tuple(POINTS),
+    seeds: int | tuple[int, ...] = (1,),
+    jobs: int = 1,
 ) -> None:
     """Play the days of these points and seeds on a deployment. Exit status 1 where one is not good.
 
--- a/benchmarks/fleet_days/day.py
+++ b/benchmarks/fleet_days/day.py
@@ -7,10 +7,21 @@
 ONE = 0.9  # marks between which the bench scores a day; of no account for rules
 ZERO = 0.4
 FLOOR = 0.2  # of the worth owed: these days are there for the rules
-PLANNED_KINDS = frozenset({
-    "bad_config", "config_change", "config_race", "config_storm", "hup", "release", "revoke", "roll_term", "scale_in",
-    "scale_out", "seed_turnover",
-})
+PLANNED_KINDS = frozenset(
+    {
+        "bad_config",
+        "config_change",
+        "config_race",
+        "config_storm",
+        "hup",
+        "release",
+        "revoke",
+        "roll_term",
+        "scale_in",
+        "scale_out",
+        "seed_turnover",
+    }
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +66,11 @@
     def toml(self) -> str:
         """The file, as the bench reads it."""
         head: dict[str, str | float | int] = {
-            "name": self.name, "slot": "trouble", "seed": self.seed, "length_s": self.length_s, "one": ONE,
+            "name": self.name,
+            "slot": "trouble",
+            "seed": self.seed,
+            "length_s": self.length_s,
+            "one": ONE,
             "zero": ZERO,
         }
         lines = [f"{name} = {_value(value)}" for name, value in head.items()]
--- a/benchmarks/fleet_events.py
+++ b/benchmarks/fleet_events.py
@@ -70,16 +70,30 @@
     passed = event.entries * costs.entry_b + event.deltas * DELTA_HEAD_B + event.configurations * costs.config_b
     twice = event.terms * costs.lists_b
     kb = (passed + lists * costs.lists_b + twice + event.revisions * costs.members_b) / 1e3
-    ms = (event.deltas * costs.delta_ms + event.entries * costs.entry_ms + event.configurations * costs.config_ms
-          + event.terms * costs.term_ms + event.starts * costs.start_ms)
+    ms = (
+        event.deltas * costs.delta_ms
+        + event.entries * costs.entry_ms
+        + event.configurations * costs.config_ms
+        + event.terms * costs.term_ms
+        + event.starts * costs.start_ms
+    )
     homes_kb = followers * (passed + twice) / 1e3
     whole = lists * costs.lists_b + event.revisions * costs.members_b
     leader_kb = (ZONES * passed + SIZE.edges * whole) / 1e3
     leader_ms = event.terms * costs.leader_term_ms + event.revisions * SIZE.edges * costs.leader_renewal_ms
     messages = event.deltas + event.configurations + lists * SIZE.services
-    return event.name, *(f"{value:,.0f}" if value >= 100 else f"{value:.3g}"
-                         for value in (messages, kb, ms, homes_kb, leader_kb, leader_ms))
-
-
-HEAD = ("event", "edge: messages", "edge: KB in", "edge: ms", "homes of a zone: KB out", "leader: KB out",
-        "leader: ms")
+    return event.name, *(
+        f"{value:,.0f}" if value >= 100 else f"{value:.3g}"
+        for value in (messages, kb, ms, homes_kb, leader_kb, leader_ms)
+    )
+
+
+HEAD = (
+    "event",
+    "edge: messages",
+    "edge: KB in",
+    "edge: ms",
+    "homes of a zone: KB out",
+    "leader: KB out",
+    "leader: ms",
+)
--- a/benchmarks/fleet_list.py
+++ b/benchmarks/fleet_list.py
@@ -59,8 +59,10 @@
     logger.remove()
     whole, calls, refused = asyncio.run(readings(options.listed, options.list_rate, options.seconds))
     first = f"the first after {whole[0]:.2f} s, the last after {whole[-1]:.2f} s" if whole else "none"
-    print(f"{options.listed} servers, {options.list_rate:g} calls a second, {options.seconds:g} s: "
-          f"{len(whole)} whole readings, {first}; {calls} calls, {refused} refused")
+    print(
+        f"{options.listed} servers, {options.list_rate:g} calls a second, {options.seconds:g} s: "
+        f"{len(whole)} whole readings, {first}; {calls} calls, {refused} refused"
+    )
     return 0 if whole else 1
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -64,29 +64,65 @@
     draw = random.Random(1)
     letters = "0123456789abcdefghijklmnopqrstuvwxyz"
     key = lambda: "".join(draw.choices(letters, k=20))  # noqa: E731
-    return msgspec.json.encode({
-        "config_version": version,
-        "routes": [
-            {"name": f"r-{key()[:7]}", "host": HOST, "path_prefix": f"/{key()[:6]}/", "route_type": "streaming",
-             "timeout_ms": 30_000 + version % 997 if number == 0 else 30_000, "target_latency_ms": 1500,
-             "priority": number % 3, "service": service_name(number % services), "max_attempts": 2,
-             "public_access": False, "sticky": True, "stream_resume": True, "gap_aim_ms": 600}
-            for number in range(routes)
-        ],
-        "services": [
-            {"name": service_name(number), "health_path": "/health", "max_connections": 830, "protocol": "h1",
-             "tls": False, "engine": {"slots": 64, "kv_capacity": 400_000, "kv_token_bytes": 18_432,
-                                      "link_mbps": 280_000.0, "stride": 6, "models": [{"name": "m"}]}}
-            for number in range(services)
-        ],
-        "limits": {"max_header_bytes": 16_384, "max_body_bytes": 4_194_304, "header_timeout_ms": 3000,
-                   "idle_timeout_ms": 15_000},
-        "tenants": [
-            {"name": f"t-{number:04d}", "api_keys": [key(), key()], "priority": number % 3, "unit": "token_stream",
-             "uncached_tokens": 200, "rate_per_s": 81_813, "burst": 81_813}
-            for number in range(tenants)
-        ],
-    })
+    return msgspec.json.encode(
+        {
+            "config_version": version,
+            "routes": [
+                {
+                    "name": f"r-{key()[:7]}",
+                    "host": HOST,
+                    "path_prefix": f"/{key()[:6]}/",
+                    "route_type": "streaming",
+                    "timeout_ms": 30_000 + version % 997 if number == 0 else 30_000,
+                    "target_latency_ms": 1500,
+                    "priority": number % 3,
+                    "service": service_name(number % services),
+                    "max_attempts": 2,
+                    "public_access": False,
+                    "sticky": True,
+                    "stream_resume": True,
+                    "gap_aim_ms": 600,
+                }
+                for number in range(routes)
+            ],
+            "services": [
+                {
+                    "name": service_name(number),
+                    "health_path": "/health",
+                    "max_connections": 830,
+                    "protocol": "h1",
+                    "tls": False,
+                    "engine": {
+                        "slots": 64,
+                        "kv_capacity": 400_000,
+                        "kv_token_bytes": 18_432,
+                        "link_mbps": 280_000.0,
+                        "stride": 6,
+                        "models": [{"name": "m"}],
+                    },
+                }
+                for number in range(services)
+            ],
+            "limits": {
+                "max_header_bytes": 16_384,
+                "max_body_bytes": 4_194_304,
+                "header_timeout_ms": 3000,
+                "idle_timeout_ms": 15_000,
+            },
+            "tenants": [
+                {
+                    "name": f"t-{number:04d}",
+                    "api_keys": [key(), key()],
+                    "priority": number % 3,
+                    "unit": "token_stream",
+                    "uncached_tokens": 200,
+                    "rate_per_s": 81_813,
+                    "burst": 81_813,
+                }
+                for number in range(tenants)
+            ],
+        }
+    )
 
 
 def server(number: int, services: int = SIZE.services, ready: bool = True) -> ListedServer:
--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -81,12 +81,15 @@
         figures["sent"].points[size] = len(message.SerializeToString())
         figures["read"].points[size] = microseconds(lambda body=body: parse(body))
         figures["committed"].points[size] = microseconds(
-            lambda body=body, quota=quota: (Configuration.of(1, 1, body), quota.committed(NOW, body)))
+            lambda body=body, quota=quota: (Configuration.of(1, 1, body), quota.committed(NOW, body))
+        )
         figures["chain"].points[size] = microseconds(
-            lambda write=write: coordination_pb2.CoreMessage.FromString(write.SerializeToString()))
+            lambda write=write: coordination_pb2.CoreMessage.FromString(write.SerializeToString())
+        )
         raw = message.SerializeToString()
         figures["decode"].points[size] = microseconds(
-            lambda raw=raw: decode_configuration(pb.Distribution.FromString(raw).config))
+            lambda raw=raw: decode_configuration(pb.Distribution.FromString(raw).config)
+        )
         figures["force"].points[size] = microseconds(lambda body=body: InForce(parse(body).unwrap(), 1))
         assert len(zlib.decompress(value.compressed)) == len(body)
     return list(figures.values())
@@ -120,8 +123,11 @@
     while waiting:
         message = waiting.pop(0)
         for send in publisher.receive(now, number, message):
-            waiting += [action.message for action in edge.receive(now, Dialed("10.9.0.1:7500"), send.message)
-                        if hasattr(action, "message") and action.message.WhichOneof("body") in ("renew", "fetch")]
+            waiting += [
+                action.message
+                for action in edge.receive(now, Dialed("10.9.0.1:7500"), send.message)
+                if hasattr(action, "message") and action.message.WhichOneof("body") in ("renew", "fetch")
+            ]
 
 
 def renewal() -> list[Slope]:
@@ -164,8 +170,11 @@
         began = time.thread_time_ns()
         asked = [action.message.SerializeToString() for action in edge.tick(now)]
         half = time.thread_time_ns() - began
-        answers = [send.message.SerializeToString() for data in asked
-                   for send in publisher.receive(now, 0, pb.Distribution.FromString(data))]
+        answers = [
+            send.message.SerializeToString()
+            for data in asked
+            for send in publisher.receive(now, 0, pb.Distribution.FromString(data))
+        ]
         began = time.thread_time_ns()
         for answer in answers:
             edge.receive(now, Dialed("10.9.0.1:7500"), pb.Distribution.FromString(answer))
@@ -178,8 +187,10 @@
 def list_at_leader() -> list[Slope]:
     """A reading of the list, by servers in 13 services."""
     page = Slope("a page of 50 entries, read", "us", "page")
-    instances = [Instance(id=one.id, service=one.service, address=one.address, zone=one.zone, slots=one.slots)
-                 for one in servers(PAGE)]
+    instances = [
+        Instance(id=one.id, service=one.service, address=one.address, zone=one.zone, slots=one.slots)
+        for one in servers(PAGE)
+    ]
     raw = msgspec.json.encode({"instances": instances, "next_token": "i-1"})
 
     def read() -> None:
@@ -222,8 +233,14 @@
         publisher, edges = _leader(members, SIZE.servers)
         listed, terms, sizes = servers(SIZE.servers), iter(range(2, 1000)), []
 
-        def turn(once: bool, publisher: Publisher = publisher, edges: list[Subscriber] = edges,
-                 listed: list[ListedServer] = listed, terms: Iterator[int] = terms, sizes: list[int] = sizes) -> int:
+        def turn(
+            once: bool,
+            publisher: Publisher = publisher,
+            edges: list[Subscriber] = edges,
+            listed: list[ListedServer] = listed,
+            terms: Iterator[int] = terms,
+            sizes: list[int] = sizes,
+        ) -> int:
             now = NOW + 10.0
             publisher.lease_gained(now, next(terms))
             for number, edge in enumerate(edges):
@@ -307,8 +324,15 @@
         edge = turn % edges
         request = pb.QuotaRequest(request=turn + 1, edge=f"edge-east-1-{edge:04d}", boot=edge + 1, term=1)
         for number in range(tenants):
-            request.held.add(tenant=f"t-{number:04d}", rate=900.0, depth=2000.0, stored=1000.0, lifetime_ms=4500,
-                             demand=234.0, request_mean=1700.0)
+            request.held.add(
+                tenant=f"t-{number:04d}",
+                rate=900.0,
+                depth=2000.0,
+                stored=1000.0,
+                lifetime_ms=4500,
+                demand=234.0,
+                request_mean=1700.0,
+            )
         data = pb.Distribution(quota_request=request).SerializeToString()
         began = time.thread_time_ns()
         answer = _answer(service, data, now)
@@ -331,7 +355,8 @@
             append_cpu.points[size], append_wall.points[size] = _disk(lambda s=store, r=record: s.append([[r]]))
             store.replace([record])
             loading.points[size] = microseconds(
-                lambda f=folder: load(RecordStore.open(DiskFolder(f)).unwrap()[1]), rounds=3)
+                lambda f=folder: load(RecordStore.open(DiskFolder(f)).unwrap()[1]), rounds=3
+            )
             assert Path(folder).exists()
     return [append_cpu, append_wall, replace_cpu, replace_wall, loading]
 
@@ -342,5 +367,3 @@
     for _ in range(times):
         write()
     return (time.thread_time_ns() - cpu) / 1e3 / times, (time.perf_counter_ns() - wall) / 1e3 / times
-
-
--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -113,7 +113,8 @@
         answer = edge.receive(NOW, 0, subscription)
         renewed_b.points[followers] = len(raw) + 10 + sum(len(one) for one in _encode(answer))
         renewed.points[followers] = microseconds(
-            lambda e=edge, raw=raw: _encode(e.receive(NOW, 0, pb.Distribution.FromString(raw))))
+            lambda e=edge, raw=raw: _encode(e.receive(NOW, 0, pb.Distribution.FromString(raw)))
+        )
         config.points[followers] = microseconds(pass_configuration, rounds=3)
         delta.points[followers] = microseconds(pass_delta, rounds=3)
     return [config, delta, renewed, renewed_b]
@@ -126,8 +127,11 @@
 
 def _encode(actions: list[Action]) -> list[bytes]:
     """What the links do with the messages before the socket."""
-    return [encode_frame(Kind.DISTRIBUTION, action.message.SerializeToString())
-            for action in actions if isinstance(action, SendMessage)]
+    return [
+        encode_frame(Kind.DISTRIBUTION, action.message.SerializeToString())
+        for action in actions
+        if isinstance(action, SendMessage)
+    ]
 
 
 def _copy(store: TopicStore) -> TopicStore:
@@ -173,6 +177,7 @@
 def _dispatcher(loop: asyncio.AbstractEventLoop) -> tuple[Dispatcher, Servers]:
     """Router and connections with their limits told."""
     from hollyport.core.flow import Budget
+
     plane_servers = Servers(loop, Budget(200), 1000)
     dispatcher = Dispatcher(loop, Router(random.Random(1).random, RouterTuning()), plane_servers)
     dispatcher.apply_retry_budget(Bounds(), SIZE.edges)
@@ -183,11 +188,25 @@
 def _request(ticket: int, draw: random.Random, prefixes: int, sessions: int) -> RoutingRequest:
     shared = draw.randrange(prefixes)
     session = draw.randrange(sessions)
-    parts = (PromptPart(f"{shared:08x}", PARTS_TOKENS[0]), PromptPart(f"{session:08x}s", PARTS_TOKENS[1]),
-             PromptPart(f"{ticket:08x}t", PARTS_TOKENS[2]))
+    parts = (
+        PromptPart(f"{shared:08x}", PARTS_TOKENS[0]),
+        PromptPart(f"{session:08x}s", PARTS_TOKENS[1]),
+        PromptPart(f"{ticket:08x}t", PARTS_TOKENS[2]),
+    )
     return RoutingRequest(
-        ticket=ticket, service=SERVICE, route="r", priority=0, deadline=NOW + 60, target_s=1.5, arrived=NOW,
-        max_attempts=2, repeatable=True, sticky=True, model="m", parts=parts, input_tokens=sum(PARTS_TOKENS),
+        ticket=ticket,
+        service=SERVICE,
+        route="r",
+        priority=0,
+        deadline=NOW + 60,
+        target_s=1.5,
+        arrived=NOW,
+        max_attempts=2,
+        repeatable=True,
+        sticky=True,
+        model="m",
+        parts=parts,
+        input_tokens=sum(PARTS_TOKENS),
         output_tokens=300,
     )
 
@@ -264,8 +283,9 @@
 
 
 def _targets() -> list[Server]:
-    return [Server(entry, RouterTuning(), random.Random(1).random, number)
-            for number, entry in enumerate(_entries(8))]
+    return [
+        Server(entry, RouterTuning(), random.Random(1).random, number) for number, entry in enumerate(_entries(8))
+    ]
 
 
 def _table(count: int, holders: int) -> object:
@@ -301,6 +321,7 @@
 
 def _connections(count: int) -> object:
     from hollyport.core.flow import Budget
+
     loop = asyncio.new_event_loop()
     plane_servers = Servers(loop, Budget(200), 1000)
     plane_servers.apply(SERVICE, _entries(count))
--- a/benchmarks/fleet_slopes_events.py
+++ b/benchmarks/fleet_slopes_events.py
@@ -33,9 +33,22 @@
 REQUEST_RATES = (5, 10, 20, 40)  # a second, of one event each
 CONFIGURATION = {
     "config_version": 1,
-    "routes": [{"name": "r", "host": "e", "path_prefix": "/s/", "route_type": "streaming", "timeout_ms": 60_000,
-                "target_latency_ms": 1500, "priority": 0, "service": SERVICE, "max_attempts": 2, "sticky": True,
-                "stream_resume": True, "gap_aim_ms": 600}],
+    "routes": [
+        {
+            "name": "r",
+            "host": "e",
+            "path_prefix": "/s/",
+            "route_type": "streaming",
+            "timeout_ms": 60_000,
+            "target_latency_ms": 1500,
+            "priority": 0,
+            "service": SERVICE,
+            "max_attempts": 2,
+            "sticky": True,
+            "stream_resume": True,
+            "gap_aim_ms": 600,
+        }
+    ],
     "services": [{"name": SERVICE, "health_path": "/health", "max_connections": 1000}],
     "tenants": [{"name": "t", "api_keys": [KEY], "priority": 0}],
 }
@@ -60,8 +73,14 @@
 async def _edge(server_port: int) -> None:
     """Run the data plane; answer each line on standard input with the processor time in nanoseconds."""
     loop = asyncio.get_running_loop()
-    settings = ProcessSettings(node_name="edge-1", ip="127.0.0.1", zone="east-1", port_range=(7000, 7001),
-                               listen=Listen(front="127.0.0.1:0"), limits=ProcessLimits(memory_mb=300, max_fds=2000))
+    settings = ProcessSettings(
+        node_name="edge-1",
+        ip="127.0.0.1",
+        zone="east-1",
+        port_range=(7000, 7001),
+        listen=Listen(front="127.0.0.1:0"),
+        limits=ProcessLimits(memory_mb=300, max_fds=2000),
+    )
     router = Router(random.random, RouterTuning(first_budget=200))
     plane = DataPlane(loop, settings, router, AllowAll(), AlwaysFresh())
     await plane.start()
@@ -74,6 +93,7 @@
 
 async def _serve() -> None:
     """A model server: the path tells how many events and the pause between them in microseconds."""
+
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
@@ -81,9 +101,13 @@
                 lines = dict(line.split(": ", 1) for line in head.lower().split("\r\n")[1:-2])
                 await reader.readexactly(int(lines.get("content-length", 0)))
                 count, pause = (int(part) for part in head.split(" ")[1].split("/")[2:4])
-                writer.write((f"HTTP/1.1 200 OK\r\nX-Rosechute-Request-Id: {lines['x-rosechute-request-id']}\r\n"
-                              "X-Rosechute-Server-Stamp: s\r\nContent-Type: text/event-stream\r\n"
-                              "Transfer-Encoding: chunked\r\n\r\n").encode())
+                writer.write(
+                    (
+                        f"HTTP/1.1 200 OK\r\nX-Rosechute-Request-Id: {lines['x-rosechute-request-id']}\r\n"
+                        "X-Rosechute-Server-Stamp: s\r\nContent-Type: text/event-stream\r\n"
+                        "Transfer-Encoding: chunked\r\n\r\n"
+                    ).encode()
+                )
                 loop = asyncio.get_running_loop()
                 due = loop.time()
                 for number in range(1, count + 1):
@@ -103,10 +127,14 @@
 async def _stream(port: int, name: str, count: int, pause_us: int) -> int:
     """One request on a connection of its own; the events that came."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write((f"POST /s/{count}/{pause_us} HTTP/1.1\r\nHost: e\r\nX-Rosechute-Request-Id: {name}\r\n"
-                  f"X-Rosechute-Deadline-Ms: 60000\r\nX-Rosechute-Credential: {KEY}\r\nX-Rosechute-Model: m\r\n"
-                  "X-Rosechute-Token-Count: 1400,300\r\nX-Rosechute-Prompt-Prefix: aa:800,bb:400,cc:200\r\n"
-                  "Content-Length: 0\r\nConnection: close\r\n\r\n").encode())
+    writer.write(
+        (
+            f"POST /s/{count}/{pause_us} HTTP/1.1\r\nHost: e\r\nX-Rosechute-Request-Id: {name}\r\n"
+            f"X-Rosechute-Deadline-Ms: 60000\r\nX-Rosechute-Credential: {KEY}\r\nX-Rosechute-Model: m\r\n"
+            "X-Rosechute-Token-Count: 1400,300\r\nX-Rosechute-Prompt-Prefix: aa:800,bb:400,cc:200\r\n"
+            "Content-Length: 0\r\nConnection: close\r\n\r\n"
+        ).encode()
+    )
     try:
         data = await reader.read()
     finally:
@@ -116,17 +144,21 @@
 
 async def _play(port: int, streams: int, count: int, pause_us: int) -> int:
     """All streams at once, their starts spread over one pause."""
+
     async def later(number: int) -> int:
         await asyncio.sleep(number * pause_us / 1e6 / streams)
         return await _stream(port, f"q-{os.getpid()}-{time.monotonic_ns()}-{number}", count, pause_us)
+
     return sum(await asyncio.gather(*(later(number) for number in range(streams))))
 
 
 async def _requests(port: int, per_s: float, seconds: float) -> int:
     """Requests of one event, at an even pace."""
+
     async def later(number: int) -> int:
         await asyncio.sleep(number / per_s)
         return await _stream(port, f"r-{os.getpid()}-{time.monotonic_ns()}-{number}", 1, 0)
+
     return sum(value > 0 for value in await asyncio.gather(*(later(n) for n in range(int(per_s * seconds)))))
 
 
@@ -134,8 +166,12 @@
     """A process of this module in another part."""
 
     def __init__(self, *part: str) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "benchmarks.fleet_slopes_events", *part],
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.fleet_slopes_events", *part],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         self.port = self.number()
 
     def number(self) -> int:
--- a/benchmarks/hollow_checks.py
+++ b/benchmarks/hollow_checks.py
@@ -55,8 +55,10 @@
         took = times_to_force(log, order)
         slow = [name for name, seconds in took.items() if seconds is None or seconds > IN_FORCE_S]
         if slow:
-            problems.append(f"version {order.version} is not in force within {IN_FORCE_S:g} s at {len(slow)} edges, "
-                            f"one of them {slow[0]}")
+            problems.append(
+                f"version {order.version} is not in force within {IN_FORCE_S:g} s at {len(slow)} edges, "
+                f"one of them {slow[0]}"
+            )
     return problems
 
 
--- a/benchmarks/hollow_core.py
+++ b/benchmarks/hollow_core.py
@@ -121,8 +121,14 @@
         path.write_bytes(msgspec.json.encode(self._settings(machine)))
         with (self.folder / f"{machine.name}.log").open("ab") as log:
             machine.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "rosechute.processes.core", cwd=ROOT, stdout=log, stderr=log,
-                env={**os.environ, SETTINGS_VARIABLE: str(path)})
+                sys.executable,
+                "-m",
+                "rosechute.processes.core",
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+                env={**os.environ, SETTINGS_VARIABLE: str(path)},
+            )
         machine.starts += 1
 
     async def kill(self, machine: CoreMachine, wipe: bool = False) -> None:
@@ -149,15 +155,34 @@
 
     def _settings(self, machine: CoreMachine) -> dict[str, Any]:
         return {
-            "node_name": machine.name, "role": "core", "machine_class": "core", "serves": ["control_plane"],
-            "ip": machine.ip, "zone": machine.zone, "region": machine.zone[:4],
-            "zones": {zone: zone[:4] for zone in ZONES}, "listen": {"control": machine.control},
-            "port_range": PORT_RANGE, "seeds": self.controls()[:SEEDS], "bootstrap": machine.starts == 0,
+            "node_name": machine.name,
+            "role": "core",
+            "machine_class": "core",
+            "serves": ["control_plane"],
+            "ip": machine.ip,
+            "zone": machine.zone,
+            "region": machine.zone[:4],
+            "zones": {zone: zone[:4] for zone in ZONES},
+            "listen": {"control": machine.control},
+            "port_range": PORT_RANGE,
+            "seeds": self.controls()[:SEEDS],
+            "bootstrap": machine.starts == 0,
             "counts_for_quorum": True,
-            "limits": {"cpu_share": 1.0, "cores": 1, "memory_mb": 296, "max_fds": 4096, "link_mbps": 1000.0,
-                       "disk_mb": 128},
-            "data_dir": str(machine.data), "heartbeat_ms": 1200,
+            "limits": {
+                "cpu_share": 1.0,
+                "cores": 1,
+                "memory_mb": 296,
+                "max_fds": 4096,
+                "link_mbps": 1000.0,
+                "disk_mb": 128,
+            },
+            "data_dir": str(machine.data),
+            "heartbeat_ms": 1200,
             "bounds": {"quota_overshoot": 0.1, "quota_slack": 110000},
-            "cloud_api": {"address": self.list_address, "rate_per_s": self.rate_per_s, "duties": [],
-                          "max_lag_ms": 800},
+            "cloud_api": {
+                "address": self.list_address,
+                "rate_per_s": self.rate_per_s,
+                "duties": [],
+                "max_lag_ms": 800,
+            },
         }
--- a/benchmarks/hollow_edges.py
+++ b/benchmarks/hollow_edges.py
@@ -183,12 +183,22 @@
         """What was seen, and where the edge stands."""
         seen, self.seen = self.seen, Seen()
         return {
-            "name": self.identity.name, "zone": self.identity.zone, "running": self.running, "total": self.total,
+            "name": self.identity.name,
+            "zone": self.identity.zone,
+            "running": self.running,
+            "total": self.total,
             "started_at": self.started_at,
-            "received": seen.received, "sent": seen.sent, "configurations": seen.configurations,
-            "backwards": seen.backwards, "list_at": seen.list_at, "without_lease_s": seen.without_lease_s,
-            "worst_age_s": seen.worst_age_s, "attached": self.sub.attached, "leader": self.sub.leader,
-            "sequence": self.sub.position(CONFIG_TOPIC)[1], "listed": self.listed,
+            "received": seen.received,
+            "sent": seen.sent,
+            "configurations": seen.configurations,
+            "backwards": seen.backwards,
+            "list_at": seen.list_at,
+            "without_lease_s": seen.without_lease_s,
+            "worst_age_s": seen.worst_age_s,
+            "attached": self.sub.attached,
+            "leader": self.sub.leader,
+            "sequence": self.sub.position(CONFIG_TOPIC)[1],
+            "listed": self.listed,
         }
 
 
@@ -241,9 +251,12 @@
         if command["do"] == "report":
             changes, self._list_changes = self._list_changes, {}
             overhead, self.overhead_ns = self.overhead_ns, 0
-            return {"cpu_ns": time.process_time_ns(), "overhead_ns": overhead,
-                    "edges": [edge.report() for edge in self.edges],
-                    "list": [[name, state, times] for (name, state), times in changes.items()]}
+            return {
+                "cpu_ns": time.process_time_ns(),
+                "overhead_ns": overhead,
+                "edges": [edge.report() for edge in self.edges],
+                "list": [[name, state, times] for (name, state), times in changes.items()],
+            }
         if command["do"] == "stop":
             for edge in chosen:
                 edge.stop()
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -82,8 +82,11 @@
         self.told: list[list[dict[str, str]]] = [[] for _ in range(WORKERS)]
         for number in range(edges):
             zone = number % len(ZONES)
-            one = {"name": f"edge-{ZONES[zone]}-{number:03d}", "zone": ZONES[zone],
-                   "ip": f"127.{network}.{10 + zone}.{number // len(ZONES) + 1}"}
+            one = {
+                "name": f"edge-{ZONES[zone]}-{number:03d}",
+                "zone": ZONES[zone],
+                "ip": f"127.{network}.{10 + zone}.{number // len(ZONES) + 1}",
+            }
             if fault and number == edges // 2:
                 one["fault"] = fault
             self.told[number % WORKERS].append(one)
@@ -93,18 +96,25 @@
         """Start the processes, not the edges."""
         for edges in self.told:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "benchmarks.hollow_edges", stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE, limit=LINE_BYTES)
+                sys.executable,
+                "-m",
+                "benchmarks.hollow_edges",
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                limit=LINE_BYTES,
+            )
             assert process.stdin is not None
             process.stdin.write(json.dumps({"seeds": seeds, "edges": edges}).encode() + b"\n")
             self.processes.append(process)
 
     async def ask(self, **command: Any) -> list[Any]:
         """One command to all."""
+
         async def one(process: asyncio.subprocess.Process) -> Any:
             assert process.stdin is not None and process.stdout is not None
             process.stdin.write(json.dumps(command).encode() + b"\n")
             return json.loads(await process.stdout.readline())
+
         return await asyncio.gather(*(one(process) for process in self.processes))
 
     def waited_s(self) -> float:
@@ -211,8 +221,11 @@
         changes = {key: at for key, at in self.list.changes.items() if at >= began}
         cells = self.meter.figures(self.core, self.log, self.orders[orders:], changes, seconds)
         cells["edges waited %"] = 100 * (self.workers.waited_s() - waited) / WORKERS / seconds
-        cells |= {"orders sent": self.sent - sent, "list calls/s": (self.list.seen.calls - calls) / seconds,
-                  "list calls refused": self.list.seen.refused - refused}
+        cells |= {
+            "orders sent": self.sent - sent,
+            "list calls/s": (self.list.seen.calls - calls) / seconds,
+            "list calls refused": self.list.seen.refused - refused,
+        }
         problems = [*never_back(self.log), *counted(self.meter.edges)]
         if not self.options.no_list:
             problems += same_list(self.meter.edges, self.list.listed())
@@ -224,7 +237,7 @@
     def _judge(self) -> None:
         """Whether orders were in force in time. The newest are judged after the next event."""
         old = [order for order in self.orders if order.at < time.monotonic() - IN_FORCE_S]
-        self.late += late(self.log, old[self._judged:])
+        self.late += late(self.log, old[self._judged :])
         self._judged = len(old)
 
     def _trouble(self, seconds: float) -> None:
@@ -331,8 +344,10 @@
             await asyncio.sleep(0.05)
             place, length, size = self._chain(victim.data)
             if place >= 0:
-                self.tell(f"wiped: in the chain at place {place + 1} of {length} after "
-                          f"{time.monotonic() - began:.2f} s, with {size} bytes of configuration")
+                self.tell(
+                    f"wiped: in the chain at place {place + 1} of {length} after "
+                    f"{time.monotonic() - began:.2f} s, with {size} bytes of configuration"
+                )
                 break
         return began
 
@@ -370,8 +385,10 @@
             await self._report()
             problems = self._behind(version)
             if not problems:
-                return max(time.monotonic() - LOOK_S if not self.meter.list_at else self.meter.list_at,
-                           changed_at) - changed_at
+                return (
+                    max(time.monotonic() - LOOK_S if not self.meter.list_at else self.meter.list_at, changed_at)
+                    - changed_at
+                )
             await asyncio.sleep(LOOK_S)
         self.tell(f"not settled within {SETTLE_WITHIN_S:g} s: {'; '.join(problems)}")
         return float("inf")
@@ -454,13 +471,16 @@
             asyncio.run(_play(run))
         finally:
             _keep_logs(options.logs, Path(folder))
-    print(f"{options.edges} hollow edges in {WORKERS} processes, {options.core} core processes, {options.listed} "
-          f"servers, {options.routes} routes, {options.tenants} tenants; {machine_told()}\n\n{table(run.rows)}\n")
+    print(
+        f"{options.edges} hollow edges in {WORKERS} processes, {options.core} core processes, {options.listed} "
+        f"servers, {options.routes} routes, {options.tenants} tenants; {machine_told()}\n\n{table(run.rows)}\n"
+    )
     problems = run.problems()
     print("\n".join(f"FAILED  {problem}" for problem in problems) or "every check holds")
     if options.json:
-        rows = [{"name": row.name, "seconds": row.seconds, "settled_s": row.settled_s, **row.cells}
-                for row in run.rows]
+        rows = [
+            {"name": row.name, "seconds": row.seconds, "settled_s": row.settled_s, **row.cells} for row in run.rows
+        ]
         options.json.write_text(json.dumps(rows, indent=1) + "\n")
     return 1 if problems else 0
 
--- a/benchmarks/hollow_list.py
+++ b/benchmarks/hollow_list.py
@@ -41,7 +41,7 @@
         if self._ids is None:
             self._ids = sorted(self.instances)
         begin = bisect_right(self._ids, token)
-        shown = self._ids[begin:begin + self._page_entries]
+        shown = self._ids[begin : begin + self._page_entries]
         more = begin + self._page_entries < len(self._ids)
         return [self.instances[key] for key in shown], shown[-1] if more else None
 
--- a/benchmarks/hollow_meter.py
+++ b/benchmarks/hollow_meter.py
@@ -66,11 +66,19 @@
     def _core_waited_s(self, core: Core) -> float:
         """A process that was started anew counts from its start."""
         waited = {each.name: waited_s(each.pid) for each in core.machines}
-        return sum(value - self._waited_before[name] if value >= self._waited_before[name] else value
-                   for name, value in waited.items())
-
-    def figures(self, core: Core, log: Log, orders: Sequence[Acknowledged], changes: Mapping[tuple[str, str], float],
-                seconds: float) -> dict[str, float]:
+        return sum(
+            value - self._waited_before[name] if value >= self._waited_before[name] else value
+            for name, value in waited.items()
+        )
+
+    def figures(
+        self,
+        core: Core,
+        log: Log,
+        orders: Sequence[Acknowledged],
+        changes: Mapping[tuple[str, str], float],
+        seconds: float,
+    ) -> dict[str, float]:
         """The figures of the event."""
         count = max(1, len(self.edges))
         spent = {each.name: each.cpu_s() - self._core_before[each.name] for each in core.machines}
@@ -107,12 +115,17 @@
     by_order = [times_to_force(log, order) for order in orders]
     known = [value for found in by_order for value in found.values() if value is not None]
     last = [max((value for value in found.values() if value is not None), default=0.0) for found in by_order]
-    return {"force p50 s": share_of(known, 0.5), "force p99 s": share_of(known, 0.99),
-            "last edge p50 s": share_of(last, 0.5), "last edge s": max(last, default=NAN)}
+    return {
+        "force p50 s": share_of(known, 0.5),
+        "force p99 s": share_of(known, 0.99),
+        "last edge p50 s": share_of(last, 0.5),
+        "last edge s": max(last, default=NAN),
+    }
 
 
-def _list_figures(seen: Mapping[tuple[str, str], Sequence[float]], changes: Mapping[tuple[str, str], float]
-                  ) -> dict[str, float]:
+def _list_figures(
+    seen: Mapping[tuple[str, str], Sequence[float]], changes: Mapping[tuple[str, str], float]
+) -> dict[str, float]:
     """From a change of the platform's list until an edge has it."""
     took = [at - changes[key] for key, times in seen.items() if key in changes for at in times if at > changes[key]]
     last = max(took, default=NAN)
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -83,6 +83,7 @@
 
 def serve(count: int, work_s: float, seed: int, link: Connection) -> None:
     """Be the servers: tell their ports, then the counts whenever anything comes over the link."""
+
     async def run() -> None:
         loop = asyncio.get_running_loop()
         servers = [await loop.create_server(Standing, "127.0.0.1", 0, backlog=1024) for _ in range(count)]
@@ -167,8 +168,10 @@
         self.sent[timed] += 1
         self._out[talk.made.fileno()] = talk
         talk.sent_at = time.perf_counter()
-        talk.made.send(b"GET /free/7?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\n"
-                       b"X-Timeout: 3.000\r\n\r\n" % rid)
+        talk.made.send(
+            b"GET /free/7?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\n"
+            b"X-Timeout: 3.000\r\n\r\n" % rid
+        )
 
     def _wait(self, left: float) -> None:
         select.select([self._poll.fileno()], [], [], left)  # epoll itself counts whole milliseconds
@@ -263,7 +266,8 @@
         self.link, theirs = multiprocessing.Pipe()
         context = multiprocessing.get_context("spawn")
         self._process = context.Process(
-            target=serve, args=(chosen.servers, chosen.work_ms / 1e3, chosen.seed, theirs), daemon=True)
+            target=serve, args=(chosen.servers, chosen.work_ms / 1e3, chosen.seed, theirs), daemon=True
+        )
         self._process.start()
         theirs.close()
         *self.ports, self.discovery = self.link.recv()
@@ -297,8 +301,9 @@
             path = pathlib.Path(place, "config.json")
             path.write_text(json.dumps(config(port, self.discovery, self.ports)))
             env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": place, native.OFF: str(int(self._chosen.plain))}
-            process = subprocess.Popen([sys.executable, "-m", "hollyport"], cwd=folder, env=env,
-                                       stderr=subprocess.DEVNULL)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "hollyport"], cwd=folder, env=env, stderr=subprocess.DEVNULL
+            )
             try:
                 asyncio.run(until_ready(port))
                 sender = Sender([port])
@@ -338,21 +343,28 @@
     """The table of one rate."""
     direct = found["direct"].times
     base = [direct.get_value_at_percentile(point) / 1e3 for point in POINTS]
-    yield (f"{rate:g} calls/s, {'paced' if chosen.paced else 'Poisson'}, {chosen.rounds} x {chosen.seconds:g} s, "
-           f"{chosen.servers} servers, work {chosen.work_ms:g} ms, seed {chosen.seed}, load {os.getloadavg()[0]:.1f}")
-    yield (f"{'':12}{'p50':>8}{'p99':>8}{'p99.9':>8}{'added p50':>11}{'p99':>8}{'p99.9':>8}{'p99 a round':>18}"
-           f"{'lag':>7}{'start':>9}{'served':>9}{'held':>7}{'opened/s':>10}{'cpu':>7}")
+    yield (
+        f"{rate:g} calls/s, {'paced' if chosen.paced else 'Poisson'}, {chosen.rounds} x {chosen.seconds:g} s, "
+        f"{chosen.servers} servers, work {chosen.work_ms:g} ms, seed {chosen.seed}, load {os.getloadavg()[0]:.1f}"
+    )
+    yield (
+        f"{'':12}{'p50':>8}{'p99':>8}{'p99.9':>8}{'added p50':>11}{'p99':>8}{'p99.9':>8}{'p99 a round':>18}"
+        f"{'lag':>7}{'start':>9}{'served':>9}{'held':>7}{'opened/s':>10}{'cpu':>7}"
+    )
     for name, figures in found.items():
         times = [figures.times.get_value_at_percentile(point) / 1e3 for point in POINTS]
         row = f"{name:12}" + "".join(f"{value:8.2f}" for value in times)
         row += "".join(f"{a - b:{width}.2f}" for a, b, width in zip(times, base, (11, 8, 8), strict=True))
         row += f"{min(figures.p99):9.2f} ..{max(figures.p99):6.2f}"
         row += f"{figures.lag.get_value_at_percentile(99.0) / 1e3:7.2f}"
-        row += "".join(f"{served / max(1, sent):9.5f}" for served, sent in zip(figures.served, figures.sent,
-                                                                               strict=True))
+        row += "".join(
+            f"{served / max(1, sent):9.5f}" for served, sent in zip(figures.served, figures.sent, strict=True)
+        )
         if figures.held:
-            row += (f"{statistics.mean(figures.held):7.1f}{statistics.mean(figures.opened):10.2f}"
-                    f"{statistics.median(figures.costs):7.0f}")
+            row += (
+                f"{statistics.mean(figures.held):7.1f}{statistics.mean(figures.opened):10.2f}"
+                f"{statistics.median(figures.costs):7.0f}"
+            )
         others = {status.decode(): times for status, times in figures.statuses.items() if status != b"200"}
         yield row + (f"  {others}" if others else "")
 
@@ -369,8 +381,9 @@
     parser.add_argument("--plain", action="store_true", help="from the sources, whatever was compiled")
     parser.add_argument("--program", action="append", default=[], metavar="NAME=FOLDER")
     chosen = parser.parse_args()
-    subjects = {name: pathlib.Path(folder).resolve() for name, _, folder in
-                (text.partition("=") for text in chosen.program)} or {"sidecar": HERE}
+    subjects = {
+        name: pathlib.Path(folder).resolve() for name, _, folder in (text.partition("=") for text in chosen.program)
+    } or {"sidecar": HERE}
     bench = Bench(chosen)
     try:
         bench.play(subjects)
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -39,8 +39,11 @@
 SECOND = 10**9
 SETTINGS: dict[str, Any] = {
     "classes": [{"name": "once", "onTimeNs": 50 * SECOND, "hardLimitNs": 60 * SECOND, "repeat": "single_shot"}],
-    "failureDomains": ["a"], "kinds": ["m"], "discovery": "subscribe",
-    "limits": {"maxAttempts": 3, "connectTimeoutNs": SECOND}, "invariants": {"drainGraceNs": SECOND},
+    "failureDomains": ["a"],
+    "kinds": ["m"],
+    "discovery": "subscribe",
+    "limits": {"maxAttempts": 3, "connectTimeoutNs": SECOND},
+    "invariants": {"drainGraceNs": SECOND},
 }
 
 
@@ -91,9 +94,12 @@
     held: list[socket.socket] = []
     for i in range(number):
         held.append(socket.create_connection(("127.0.0.1", port)))
-        held[-1].sendall(b"".join(
-            b"POST /once HTTP/1.1\r\nHost: app\r\nX-Request-ID: %d-%d\r\nContent-Length: 0\r\n\r\n" % (i, n)
-            for n in range(AHEAD)))
+        held[-1].sendall(
+            b"".join(
+                b"POST /once HTTP/1.1\r\nHost: app\r\nX-Request-ID: %d-%d\r\nContent-Length: 0\r\n\r\n" % (i, n)
+                for n in range(AHEAD)
+            )
+        )
     pipe.send("all here")
     pipe.recv()
     start, left = time.monotonic(), {}
@@ -113,11 +119,25 @@
     serving = fork.Process(target=servers, args=(there,))
     serving.start()
     port = await asyncio.to_thread(here.recv)
-    known = {"index": 1, "snapshot": True, "endpoints": [
-        {"name": "s1", "address": f"127.0.0.1:{port}", "zone": "a", "type": "m", "group": 0, "status": "SERVING",
-         "weight": 1.0, "since_ms": 0}]}
-    sidecar = Sidecar(Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 4096, known,
-                             Settings.parse(SETTINGS)), loop)
+    known = {
+        "index": 1,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": "s1",
+                "address": f"127.0.0.1:{port}",
+                "zone": "a",
+                "type": "m",
+                "group": 0,
+                "status": "SERVING",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+        ],
+    }
+    sidecar = Sidecar(
+        Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 4096, known, Settings.parse(SETTINGS)), loop
+    )
     listening = await sidecar.start()
     noticing = Noticing(sidecar)
     sidecar._listener.service = noticing
@@ -149,10 +169,19 @@
         process.join()
     delays = sorted(1e3 * (noticing.at[i] - at) for i, at in left.items() if i in noticing.at)
     late = sum(at > left[int(rid.split("-")[0])] + LATE_S for rid, at in came)
-    return {"turn_ms": round(turn_s * 1e3), "paused": paused, "noticed": len(delays), "left": len(left),
-            "p50": round(pick(delays, 0.5), 1), "p99": round(pick(delays, 0.99), 1), "max": round(delays[-1], 1),
-            "late": late, "attempts": len(came), "look_ms": round(cost, 3),
-            "looks_ms_a_second": round(cost / LOOK_S, 1)}
+    return {
+        "turn_ms": round(turn_s * 1e3),
+        "paused": paused,
+        "noticed": len(delays),
+        "left": len(left),
+        "p50": round(pick(delays, 0.5), 1),
+        "p99": round(pick(delays, 0.99), 1),
+        "max": round(delays[-1], 1),
+        "late": late,
+        "attempts": len(came),
+        "look_ms": round(cost, 3),
+        "looks_ms_a_second": round(cost / LOOK_S, 1),
+    }
 
 
 def pick(values: list[float], part: float) -> float:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -50,14 +50,17 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "routes.toml")
         path.write_text(LIMITS, encoding="utf-8")
-        for name, file, rate in (("calm, without limits", None, 60), ("calm, with limits", path, 60),
-                                 ("5 times, without limits", None, 300), ("5 times, with limits", path, 300)):
+        for name, file, rate in (
+            ("calm, without limits", None, 60),
+            ("calm, with limits", path, 60),
+            ("5 times, without limits", None, 300),
+            ("5 times, with limits", path, 300),
+        ):
             outcome = uvloop.run(run(file, rate, chosen.seconds, chosen.seed))
             cells = ""
             for tenant in (CALM, LOUD):
                 own = outcome.of(tenant=tenant)
-                cells += (f"{len(own.done):8}{own.share():9.3f}{own.quantile_ms(0.5):8.0f}"
-                          f"{own.quantile_ms(0.99):9.0f}")
+                cells += f"{len(own.done):8}{own.share():9.3f}{own.quantile_ms(0.5):8.0f}{own.quantile_ms(0.99):9.0f}"
             print(f"{name:26}{cells}")
 
 
--- a/benchmarks/policy_trials/__main__.py
+++ b/benchmarks/policy_trials/__main__.py
@@ -16,15 +16,23 @@
 
 
 def play(
-    bench: str, sites: str | tuple[str, ...], why: str, variants: str | tuple[str, ...] = "all",
-    days: str | tuple[str, ...] = DAYS, seeds: int | tuple[int, ...] = (1, 2, 3), small: bool = False, jobs: int = 4,
-    results: str = str(RESULTS), scratch: str = str(SCRATCH),
+    bench: str,
+    sites: str | tuple[str, ...],
+    why: str,
+    variants: str | tuple[str, ...] = "all",
+    days: str | tuple[str, ...] = DAYS,
+    seeds: int | tuple[int, ...] = (1, 2, 3),
+    small: bool = False,
+    jobs: int = 4,
+    results: str = str(RESULTS),
+    scratch: str = str(SCRATCH),
 ) -> None:
     """Play days of deployments under variants; `all` for every one. What is committed is played."""
     names = tuple(VARIANTS) if variants == "all" else _several(variants)
     trials = [
         Trial(variant, str(Path(site).resolve()), day, seed, small)
-        for site in _several(sites) for day in _several(days)
+        for site in _several(sites)
+        for day in _several(days)
         for seed in ((seeds,) if isinstance(seeds, int) else seeds)
         for variant in dict.fromkeys((AS_IT_IS, *names))
     ]
--- a/benchmarks/policy_trials/player.py
+++ b/benchmarks/policy_trials/player.py
@@ -103,8 +103,15 @@
         folder = self._scratch / trial.variant
         before = set((folder / "journal").glob("*.json"))
         command = [
-            self._bench, "run", trial.site, trial.day, "--seed", str(trial.seed), "--no-cpu",
-            "--why", f"{self._why}: {trial.variant}",
+            self._bench,
+            "run",
+            trial.site,
+            trial.day,
+            "--seed",
+            str(trial.seed),
+            "--no-cpu",
+            "--why",
+            f"{self._why}: {trial.variant}",
         ]
         if trial.small:
             command.append("--small")
--- a/benchmarks/policy_trials/table.py
+++ b/benchmarks/policy_trials/table.py
@@ -40,7 +40,8 @@
     """By variant and deployment, over all pairs that were played."""
     figures = {
         (row["variant"], row["site"], row["day"], row["seed"], row["small"]): float(row["figure"])
-        for row in rows if row["figure"]
+        for row in rows
+        if row["figure"]
     }
     pairs: dict[tuple[str, str], list[float]] = defaultdict(list)
     for (variant, *day), figure in figures.items():
--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -37,12 +37,11 @@
 
 VARIANTS: Mapping[str, tuple[Replacement, ...]] = {
     AS_IT_IS: (),
-    "one-choice": _line(
-        f"{ROUTING}/pick.py", "return self._lighter(now, first, server)", "return first"
-    ),
+    "one-choice": _line(f"{ROUTING}/pick.py", "return self._lighter(now, first, server)", "return first"),
     "no-known-prefix": _line(f"{ROUTING}/sticky.py", "if known is not None:", "if known is not None and False:"),
     "no-likely-prefix": _line(
-        f"{ROUTING}/sticky.py", "for server, likely in self._likely_prefix(now, pool, call):",
+        f"{ROUTING}/sticky.py",
+        "for server, likely in self._likely_prefix(now, pool, call):",
         "for server, likely in ():",
     ),
     "no-second-likely": _constant(f"{ROUTING}/sticky.py", "LIKELY_SECOND", "0.0", "0.3"),
@@ -71,25 +70,30 @@
         "elif len(service.line) >= self._tuning.waiting_most:",
     ),
     "refuse-at-first-look": _line(
-        f"{ROUTING}/router.py", "if not call.extended and not self._hopeless(now, service, call):",
+        f"{ROUTING}/router.py",
+        "if not call.extended and not self._hopeless(now, service, call):",
         "if False and not self._hopeless(now, service, call):",
     ),
     "no-spread-retry-after": _line(
         f"{ROUTING}/router.py", "AGAIN_SHARE * left) * (0.75 + 0.5 * self._draw()))", "AGAIN_SHARE * left))"
     ),
     "first-budget-1": _line(
-        f"{ROUTING}/server.py", "self.k = min(self.limit, max(tuning.first_budget, self.slots // edges))",
+        f"{ROUTING}/server.py",
+        "self.k = min(self.limit, max(tuning.first_budget, self.slots // edges))",
         "self.k = min(self.limit, 1)",
     ),
     "no-learning-down": _line(f"{ROUTING}/server.py", "            self._lower(sent_at, result)", "            pass"),
     "no-repeats-first": _line(
-        f"{ROUTING}/router.py", "        sent = self._try(now, service, call)  # it came before all that wait\n"
-        "        if sent is not None:\n            return [sent]\n", ""
+        f"{ROUTING}/router.py",
+        "        sent = self._try(now, service, call)  # it came before all that wait\n"
+        "        if sent is not None:\n            return [sent]\n",
+        "",
     ),
     "no-rate-leases": _constant("rosechute/control/quota.py", "LEASED_SHARE", "0.0", "0.65"),
     "no-emergency-rate": _constant("rosechute/control/quota.py", "EMERGENCY_SHARE", "0.0", "0.06"),
     "no-noted-holders": _line(
-        "rosechute/coordination/lease.py", "return noted.edges if self._previous == noted.term else None",
+        "rosechute/coordination/lease.py",
+        "return noted.edges if self._previous == noted.term else None",
         "return None",
     ),
     "no-quota-prediction": _line(
--- a/benchmarks/reality.py
+++ b/benchmarks/reality.py
@@ -49,8 +49,9 @@
     head = ["scenario", *(name.replace("_", " ") for name in SHOWN), "breaches", "lag, ms"]
     print("| " + " | ".join(head) + " |\n|" + " --- |" * len(head))
     with concurrent.futures.ProcessPoolExecutor(chosen.at_once) as pool:
-        for name, (model, found, lag) in zip(wanted, pool.map(both, wanted, [chosen.seed] * len(wanted)),
-                                             strict=True):
+        for name, (model, found, lag) in zip(
+            wanted, pool.map(both, wanted, [chosen.seed] * len(wanted)), strict=True
+        ):
             cells = [f"{_said(figure, model)} / {_said(figure, found)}" for figure in SHOWN]
             broken = [str(sum(result["breaches"].values())) for result in (model, found)]
             print("| " + " | ".join([name, *cells, " / ".join(broken), f"{lag:.1f}"]) + " |", flush=True)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -54,12 +54,28 @@
     """The settings and the list that every process starts with."""
     raw = {
         "classes": [{"name": "rooms", "onTimeNs": 400_000_000, "hardLimitNs": 1_000_000_000, "repeat": "free"}],
-        "failureDomains": ["a", "b"], "kinds": ["m"], "discovery": "subscribe",
+        "failureDomains": ["a", "b"],
+        "kinds": ["m"],
+        "discovery": "subscribe",
         "limits": {"maxAttempts": 3, "connectTimeoutNs": 250_000_000},
     }
-    known = {"index": 1, "snapshot": True, "endpoints": [
-        {"name": f"s-{i}", "address": f"127.0.0.1:{1 + i}", "zone": "ab"[i % 2], "type": "m", "group": i // 2,
-         "status": "SERVING", "weight": 1.0, "since_ms": 0} for i in range(servers)]}
+    known = {
+        "index": 1,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": f"s-{i}",
+                "address": f"127.0.0.1:{1 + i}",
+                "zone": "ab"[i % 2],
+                "type": "m",
+                "group": i // 2,
+                "status": "SERVING",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+            for i in range(servers)
+        ],
+    }
     return raw, known
 
 
@@ -165,10 +181,20 @@
             for number in range(count):
                 port = free_port()
                 path = Path(folder, f"{number}.json")
-                path.write_text(json.dumps({
-                    "name": f"n{number}", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{place}",
-                    "seed": f"{number + 1:x}", "limits": {"memory_mb": 192, "sockets": 1024}, "known": known,
-                    "settings": raw}), encoding="utf-8")
+                path.write_text(
+                    json.dumps(
+                        {
+                            "name": f"n{number}",
+                            "listen": f"127.0.0.1:{port}",
+                            "discovery": f"127.0.0.1:{place}",
+                            "seed": f"{number + 1:x}",
+                            "limits": {"memory_mb": 192, "sockets": 1024},
+                            "known": known,
+                            "settings": raw,
+                        }
+                    ),
+                    encoding="utf-8",
+                )
                 env = {**os.environ, "NODE_CONFIG": str(path), **({"ROSECHUTE_PLAIN": "1"} if plain else {})}
                 since = time.monotonic()
                 processes.append(spawn(env, core))
@@ -196,8 +222,10 @@
     parser.add_argument("--servers", type=int, default=200, help="in the list")
     parser.add_argument("--plain", action="store_true", help="from the sources, also where they are compiled")
     chosen = parser.parse_args()
-    print(f"{chosen.count} processes at once on core {chosen.core}, {chosen.rounds} rounds, "
-          f"{chosen.servers} servers in the list{', plain' if chosen.plain else ''}")
+    print(
+        f"{chosen.count} processes at once on core {chosen.core}, {chosen.rounds} rounds, "
+        f"{chosen.servers} servers in the list{', plain' if chosen.plain else ''}"
+    )
     print(f"{'discovery':12}{'p50 s':>9}{'p90 s':>9}{'max s':>9}{'CPU a start, s':>16}{'in 10 s':>10}")
     for state in STATES:
         starts: list[Start] = []
@@ -206,8 +234,11 @@
         times = [start.ready_s for start in starts]
         spent = sum(start.cpu_s for start in starts) / len(starts)
         in_time = sum(1 for at in times if at <= 10.0)
-        print(f"{state:12}{quantile(times, 0.5):9.2f}{quantile(times, 0.9):9.2f}{max(times):9.2f}{spent:16.3f}"
-              f"{in_time:6}/{len(times)}", flush=True)
+        print(
+            f"{state:12}{quantile(times, 0.5):9.2f}{quantile(times, 0.9):9.2f}{max(times):9.2f}{spent:16.3f}"
+            f"{in_time:6}/{len(times)}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -58,8 +58,12 @@
     parser.add_argument("--rounds", type=int, default=5)
     chosen = parser.parse_args()
     print(f"{'routes':16}" + "".join(f"{size:>9}" for size in SIZES) + "   2000 / 1")
-    for name, way in (("paths", by_path), ("tenants", by_tenant), ("header values", by_header),
-                      ("none matches", none_matches)):
+    for name, way in (
+        ("paths", by_path),
+        ("tenants", by_tenant),
+        ("header values", by_header),
+        ("none matches", none_matches),
+    ):
         costs = [measure(way, size, chosen.looks, chosen.rounds) for size in SIZES]
         print(f"{name:16}" + "".join(f"{cost:9.2f}" for cost in costs) + f"{costs[-1] / costs[0]:11.2f}")
 
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,6 +1,6 @@
 """Time of a pick and of a list, and memory of a prefix and of a server, by the number of servers.
 
-    python -m benchmarks.routing
+python -m benchmarks.routing
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 def prompt(draw: random.Random, number: int) -> tuple[PromptPart, ...]:
     """A preamble, a subject and an own part."""
     return (
-        PromptPart(f"preamble{number % 4}", 2_500), PromptPart(f"subject{draw.randrange(SUBJECTS)}", 3_700),
+        PromptPart(f"preamble{number % 4}", 2_500),
+        PromptPart(f"subject{draw.randrange(SUBJECTS)}", 3_700),
         PromptPart(f"own{number}", 2_800),
     )
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,21 +26,31 @@
     from rosechute.file.units import Span
     from rosechute.lab.run import run
     from rosechute.lab.spec import Class, Clients, Fleet, Instances, Scenario
+
     gc.set_threshold(200_000, 50, 50)
     use = 0.6
     rate = requests / SECONDS
     work = int(use * servers * 2 / rate * 1e9)
     deadline = max(1_000_000_000, 20 * work)
-    scenario = Scenario("scale", "size", duration=Span(SECONDS * 10**9), clients=Clients(rate=rate),
-                        fleet=Fleet(servers=servers), instances=Instances(count=instances),
-                        classes=(Class("a", work=Span(work), aim=Span(deadline // 2), deadline=Span(deadline)),))
+    scenario = Scenario(
+        "scale",
+        "size",
+        duration=Span(SECONDS * 10**9),
+        clients=Clients(rate=rate),
+        fleet=Fleet(servers=servers),
+        instances=Instances(count=instances),
+        classes=(Class("a", work=Span(work), aim=Span(deadline // 2), deadline=Span(deadline)),),
+    )
     start = time.perf_counter()
     done = run(scenario, policy, 1)
     took = time.perf_counter() - start
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     breaches = sum(done.result["breaches"].values())
-    print(f"| {policy} | {instances:,} | {servers:,} | {done.result['requests']:,} | {took:.1f} | "
-          f"{done.result['requests'] / took:,.0f} | {peak:,.0f} | {breaches} |", flush=True)
+    print(
+        f"| {policy} | {instances:,} | {servers:,} | {done.result['requests']:,} | {took:.1f} | "
+        f"{done.result['requests'] / took:,.0f} | {peak:,.0f} | {breaches} |",
+        flush=True,
+    )
 
 
 def main() -> None:
@@ -58,8 +68,9 @@
     if chosen.full:
         rows.append((1000, 1000, 1_000_000))
     for row in rows:
-        subprocess.run([sys.executable, "-m", "benchmarks.scale", "--policy", chosen.policy, "--one",
-                        *map(str, row)], check=True)
+        subprocess.run(
+            [sys.executable, "-m", "benchmarks.scale", "--policy", chosen.policy, "--one", *map(str, row)], check=True
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -34,23 +34,53 @@
         {"name": "hold", "onTimeNs": 600_000_000, "hardLimitNs": 1_200_000_000, "repeat": "single_shot"},
         {"name": "list", "onTimeNs": 400_000_000, "hardLimitNs": 1_500_000_000, "repeat": "free"},
     ],
-    "discovery": "subscribe", "failureDomains": list(ZONES), "kinds": ["m"],
-    "limits": {"maxAttempts": 5, "secondCopies": True, "retryAfter": True, "maxRetryAfterNs": 1_200_000_000,
-               "connectTimeoutNs": 250_000_000, "cancel": True, "connIdleNs": 30_000_000_000},
-    "invariants": {"drainGraceNs": 250_000_000, "coldFrom": 0.1, "coldNs": 4_000_000_000, "fallMultiple": 3.0,
-                   "fallNs": 1_500_000_000},
+    "discovery": "subscribe",
+    "failureDomains": list(ZONES),
+    "kinds": ["m"],
+    "limits": {
+        "maxAttempts": 5,
+        "secondCopies": True,
+        "retryAfter": True,
+        "maxRetryAfterNs": 1_200_000_000,
+        "connectTimeoutNs": 250_000_000,
+        "cancel": True,
+        "connIdleNs": 30_000_000_000,
+    },
+    "invariants": {
+        "drainGraceNs": 250_000_000,
+        "coldFrom": 0.1,
+        "coldNs": 4_000_000_000,
+        "fallMultiple": 3.0,
+        "fallNs": 1_500_000_000,
+    },
 }
 CALLS = 20_000
 SQUARED = ("zone_one_by_one",)  # by the length of the list for each line that changes, which are a fifth of it
-UNITS = {"whole_bytes": "B", "change_bytes": "B", "figures_bytes": "B", "call_us": "us", "module_mb": "MB",
-         "lines_mb": "MB", "targets_mb": "MB", "parse_peak_mb": "MB"}
+UNITS = {
+    "whole_bytes": "B",
+    "change_bytes": "B",
+    "figures_bytes": "B",
+    "call_us": "us",
+    "module_mb": "MB",
+    "lines_mb": "MB",
+    "targets_mb": "MB",
+    "parse_peak_mb": "MB",
+}
 
 
 def line(index: int, **more: Any) -> dict[str, Any]:
     """One line of the list, as discovery tells it: a fifth of the servers in each zone."""
-    return {"name": f"s-{index * 2654435761 % 2**32:08x}", "address": f"10.1.{index // 250}.{index % 250}:3000",
-            "zone": ZONES[index % len(ZONES)], "type": "m", "group": index % 16, "status": "SERVING", "weight": 1.0,
-            "since_ms": 0, **more}
+    return {
+        "name": f"s-{index * 2654435761 % 2**32:08x}",
+        "address": f"10.1.{index // 250}.{index % 250}:3000",
+        "zone": ZONES[index % len(ZONES)],
+        "type": "m",
+        "group": index % 16,
+        "status": "SERVING",
+        "weight": 1.0,
+        "since_ms": 0,
+        **more,
+    }
 
 
 def body(lines: list[dict[str, Any]], index: int, whole: bool) -> bytes:
@@ -89,8 +119,9 @@
         return Directory(scope, tuple(told.entry for told in listing.lines), listing.version)
 
     found["json"] = statistics.median(timed(lambda: json.loads(whole)) for _ in range(rounds))
-    found["parse"] = statistics.median(timed(lambda: read_listing(json.loads(whole), settings))
-                                       for _ in range(rounds))
+    found["parse"] = statistics.median(
+        timed(lambda: read_listing(json.loads(whole), settings)) for _ in range(rounds)
+    )
     first, again = [], []
     now = 10**18
     for _ in range(rounds):
@@ -175,9 +206,11 @@
     for turn in range(9):
         script.append(("stall_change", body([line(0, status=("DRAINING", "SERVING")[turn % 2])], 2 + turn, False)))
     for turn in range(20, 29, 3):
-        script += [("stall_zone", body([line(i, status="DELETED") for i in zone], turn, False)),
-                   ("stall_zone_back", body([line(i) for i in zone], turn + 1, False)),
-                   ("stall_again", body(whole, turn + 2, True))]
+        script += [
+            ("stall_zone", body([line(i, status="DELETED") for i in zone], turn, False)),
+            ("stall_zone_back", body([line(i) for i in zone], turn + 1, False)),
+            ("stall_again", body(whole, turn + 2, True)),
+        ]
     found = [(name, [0.0]) for name, _ in script]
     script.reverse()
     now = [-1]
@@ -281,15 +314,14 @@
 def one(kind: str, size: int, seed: int) -> None:
     """In the process of its own: print what was found."""
     from hollyport import native
+
     native.prefer()
     found: dict[str, Any] = {"times": times, "stalls": stalls, "memory": memory}[kind](size, seed)
     found["compiled"] = native.in_force()
     print(json.dumps(found))
 
 
-def measure(
-    tree: pathlib.Path, sizes: list[int], seed: int, plain: bool, runs: int = 1
-) -> dict[int, dict[str, Any]]:
+def measure(tree: pathlib.Path, sizes: list[int], seed: int, plain: bool, runs: int = 1) -> dict[int, dict[str, Any]]:
     """All figures at each size: of each the median of the runs, which take turns with the sizes."""
     taken = [{size: child(tree, size, seed, "times", plain) for size in sizes} for _ in range(runs)]
     rows: dict[int, dict[str, Any]] = {}
@@ -318,8 +350,10 @@
     rows = measure(chosen.tree.resolve(), chosen.sizes, chosen.seed, chosen.plain, chosen.runs)
     last = rows[chosen.sizes[-1]]
     load = os.getloadavg()[0]
-    print(f"{'compiled' if last['compiled'] else 'plain'}, seed {chosen.seed}, median of {chosen.runs}, "
-          f"{os.cpu_count()} cores, load {load:.1f} (of all that runs here), Python {sys.version.split()[0]}\n")
+    print(
+        f"{'compiled' if last['compiled'] else 'plain'}, seed {chosen.seed}, median of {chosen.runs}, "
+        f"{os.cpu_count()} cores, load {load:.1f} (of all that runs here), Python {sys.version.split()[0]}\n"
+    )
     print("| figure | " + " | ".join(f"{size:,}" for size in chosen.sizes) + " | a server more | at zero | off by |")
     print("| --- |" + " --- |" * (len(chosen.sizes) + 3))
     for name in last:
@@ -328,12 +362,15 @@
         power = 2 if name in SQUARED else 1
         slope, at_zero, off = fit([(size**power, rows[size][name]) for size in chosen.sizes])
         unit = UNITS.get(name, "ms")
-        cells = " | ".join(f"{rows[size][name]:,.0f}" if unit == "B" else f"{rows[size][name]:.3f}"
-                           for size in chosen.sizes)
+        cells = " | ".join(
+            f"{rows[size][name]:,.0f}" if unit == "B" else f"{rows[size][name]:.3f}" for size in chosen.sizes
+        )
         milli = f"{slope * 1e6:.1f} ns by the square" if power == 2 else f"{slope * 1e3:.3f} us"
         per = {"ms": milli, "MB": f"{slope * 1e6:,.0f} B", "B": f"{slope:.1f} B", "us": f"{slope * 1e3:.3f} ns"}[unit]
-        print(f"| {name.removesuffix('_mb').removesuffix('_us').removesuffix('_bytes')}, {unit} | {cells} | {per} | "
-              f"{at_zero:.3f} {unit} | {off:.0%} |")
+        print(
+            f"| {name.removesuffix('_mb').removesuffix('_us').removesuffix('_bytes')}, {unit} | {cells} | {per} | "
+            f"{at_zero:.3f} {unit} | {off:.0%} |"
+        )
     if chosen.json:
         chosen.json.write_text(json.dumps(rows))
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -60,7 +60,8 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "routes.toml")
         for name, budget, endless in (
-            ("no budget at all", "", True), ("the module's own", "", False),
+            ("no budget at all", "", True),
+            ("the module's own", "", False),
             ("and the route's, ratio 0.1", "retry_budget = { ratio = 0.1 }", False),
             ("and the route's, ratio 0.02", "retry_budget = { ratio = 0.02 }", False),
         ):
--- a/benchmarks/theory.py
+++ b/benchmarks/theory.py
@@ -129,8 +129,10 @@
             mean = statistics.mean(found)
             error = statistics.stdev(found) / math.sqrt(len(found)) / theory
             off = off or abs(mean / theory - 1) > 0.02
-            print(f"| {name} | {mean / 1e6:.3f} | {theory / 1e6:.3f} | {mean / theory - 1:+.2%} | {error:.2%} |",
-                  flush=True)
+            print(
+                f"| {name} | {mean / 1e6:.3f} | {theory / 1e6:.3f} | {mean / theory - 1:+.2%} | {error:.2%} |",
+                flush=True,
+            )
         print("\n| two choices, share of servers with | found | fixed point |\n| --- | --- | --- |")
         for use in (0.7, 0.9):
             rows = list(pool.map(choices, [(500, use, seed, chosen.requests) for seed in range(1, 5)]))
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -29,9 +29,22 @@
     lab = "--lab" in sys.argv[1:]
     shutil.rmtree(NEW, ignore_errors=True)
     done = subprocess.run(
-        [sys.executable, "setup.py", "-q", "build_ext", "--build-lib", str(NEW), "--build-temp",
-         str(OBJECTS), "--parallel", "4"],
-        cwd=ROOT, env={**os.environ, "ROSECHUTE_COMPILE": "lab" if lab else "1"}, stdout=subprocess.DEVNULL)
+        [
+            sys.executable,
+            "setup.py",
+            "-q",
+            "build_ext",
+            "--build-lib",
+            str(NEW),
+            "--build-temp",
+            str(OBJECTS),
+            "--parallel",
+            "4",
+        ],
+        cwd=ROOT,
+        env={**os.environ, "ROSECHUTE_COMPILE": "lab" if lab else "1"},
+        stdout=subprocess.DEVNULL,
+    )
     if done.returncode:
         return done.returncode
     names = []
@@ -44,10 +57,12 @@
             names.append(name.replace("/", "."))
     shutil.copyfile(ROOT / "setup.py", NEW / "setup.py")  # which modules are compiled, and how
     # A library that can't be loaded here must not be what keeps the sidecar from its start.
-    trial = (f"import importlib, sys; sys.path.insert(0, {str(ROOT)!r}); from hollyport import native; "
-             f"sys.meta_path.insert(0, native.Libraries(native.found({str(ROOT)!r}, {str(NEW)!r}))); "
-             f"import hollyport.sidecar; {'import rosechute.lab.run; ' if lab else ''}"
-             f"assert all(sys.modules[name].__file__.endswith('.so') for name in {names!r})")
+    trial = (
+        f"import importlib, sys; sys.path.insert(0, {str(ROOT)!r}); from hollyport import native; "
+        f"sys.meta_path.insert(0, native.Libraries(native.found({str(ROOT)!r}, {str(NEW)!r}))); "
+        f"import hollyport.sidecar; {'import rosechute.lab.run; ' if lab else ''}"
+        f"assert all(sys.modules[name].__file__.endswith('.so') for name in {names!r})"
+    )
     done = subprocess.run([sys.executable, "-c", trial], cwd=ROOT)
     if done.returncode:
         return done.returncode
--- a/dunefield/memory.py
+++ b/dunefield/memory.py
@@ -54,10 +54,16 @@
         own |= {key: int(_number(memory["own"][key])) for key in OWN_TIMES}
         level = _number(memory["crowding"])
         numbers = {balancer._table.known[n].name: n for n in balancer._table.listed}
-        extra = {numbers[name]: (_number(value[0]), int(_number(value[1])), int(_number(value[2])))
-                 for name, value in memory["classes"].items() if name in numbers}
-        servers = {name: _checked(raw, numbers) for name, raw in memory["servers"].items()
-                   if name in balancer._servers and balancer._servers[name].started == raw["started"]}
+        extra = {
+            numbers[name]: (_number(value[0]), int(_number(value[1])), int(_number(value[2])))
+            for name, value in memory["classes"].items()
+            if name in numbers
+        }
+        servers = {
+            name: _checked(raw, numbers)
+            for name, raw in memory["servers"].items()
+            if name in balancer._servers and balancer._servers[name].started == raw["started"]
+        }
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError):
         return False
     for key, value in own.items():
@@ -82,8 +88,11 @@
     values["stretch"] = max(0.0, values["stretch"])
     values["credit"] = min(values["credit"], 1.0)
     values["erred"] = bool(raw["erred"])
-    values["mute"] = {numbers[name]: (int(_number(pair[0])), int(_number(pair[1])))
-                      for name, pair in raw["mute"].items() if name in numbers}
+    values["mute"] = {
+        numbers[name]: (int(_number(pair[0])), int(_number(pair[1])))
+        for name, pair in raw["mute"].items()
+        if name in numbers
+    }
     return values
 
 
--- a/dunefield/rules.py
+++ b/dunefield/rules.py
@@ -16,8 +16,28 @@
 from dunefield.backoff import ANSWER_NS, APART_NS, LONGEST_NS, Backoff
 from dunefield.crowding import CROWDED, Crowding
 from dunefield.interface import (
-    NEVER_RAN, Accept, Action, Alarm, Begun, CloseIdle, Defer, Directory, Echo, Entry, Event, Fail, Hangup,
-    How, Probe, Reconfigure, Refuse, Response, Retract, Settings, Submit, Subscribe,
+    NEVER_RAN,
+    Accept,
+    Action,
+    Alarm,
+    Begun,
+    CloseIdle,
+    Defer,
+    Directory,
+    Echo,
+    Entry,
+    Event,
+    Fail,
+    Hangup,
+    How,
+    Probe,
+    Reconfigure,
+    Refuse,
+    Response,
+    Retract,
+    Settings,
+    Submit,
+    Subscribe,
 )
 from dunefield.state import FIGURE, GAIN, Attempt, Call, Classes, Roster, Server, pulse
 
@@ -92,7 +112,7 @@
         self._horizon = max(c.deadline_ns for c in settings.classes)
         self._table.adopt(settings.classes)
         self._classes = classes = self._table.known
-        self._extra += [(c.aim_ns / 4, 0, now) for c in classes[len(self._extra):]]
+        self._extra += [(c.aim_ns / 4, 0, now) for c in classes[len(self._extra) :]]
         # How often held calls are looked at.
         self._pace = max(1, min(c.aim_ns for c in (*settings.classes, classes[self._table.unknown])) // 16)
         self._backoff = Backoff(settings.invariants.must_ask_in_ns // 8, LONGEST_NS, self._random)
@@ -142,8 +162,7 @@
         bounds, most = event.bounds, self._set.limits.max_attempts
         if bounds is not None and bounds.attempts:
             most = min(most, bounds.attempts)
-        call = Call(event.tid, number, cls, most, now + event.ttl_ns, aim_at, event.cost_ns, max(1.0, size),
-                    bounds)
+        call = Call(event.tid, number, cls, most, now + event.ttl_ns, aim_at, event.cost_ns, max(1.0, size), bounds)
         call.give_up = self._give_up(call)
         self._calls[event.tid] = call
         self._count(now, number)
@@ -239,8 +258,9 @@
             if event.closed:
                 self._drop(event.tid)
                 if call.out and self._set.limits.cancel:  # the other copy has nobody left to answer
-                    self._acts += [Retract(call.tid, n) for n in range(call.attempts)
-                                   if (call.tid, n) in self._attempts]
+                    self._acts += [
+                        Retract(call.tid, n) for n in range(call.attempts) if (call.tid, n) in self._attempts
+                    ]
             elif event.how not in NEVER_RAN and call.ran_on is None:
                 call.ran_on, call.ran_at = server, call.first_at
             if not event.closed and not call.out and not call.begun:
@@ -261,8 +281,11 @@
                 attempt.passed += 1
                 call = self._calls.get(tid)
                 if (
-                    attempt.passed == OVERTAKEN and call is not None and call.cls.repeat == "free"
-                    and self._set.limits.cancel and self._tokens >= 1.0
+                    attempt.passed == OVERTAKEN
+                    and call is not None
+                    and call.cls.repeat == "free"
+                    and self._set.limits.cancel
+                    and self._tokens >= 1.0
                     and now + self._pace < call.give_up
                 ):
                     self._unanswered(now, attempt)
@@ -757,8 +780,10 @@
                     return
             else:
                 server, trial, _ = self._pick(now, call)
-                if server is not None and self._may_go(now, call, server) and (
-                    how == MOOT or self._affords(now, call)
+                if (
+                    server is not None
+                    and self._may_go(now, call, server)
+                    and (how == MOOT or self._affords(now, call))
                 ):
                     self._tokens -= 1.0
                     self._send(now, call, server, trial)
--- a/hollyport/__main__.py
+++ b/hollyport/__main__.py
@@ -41,8 +41,9 @@
     sidecar = Sidecar(config, loop, policy)
     await sidecar.start()
     gc.freeze()  # what is loaded by now stays: no collection needs to walk through it again
-    LOG.info("process.listening", name=config.name, address=":".join(map(str, config.listen)),
-             compiled=native.in_force())
+    LOG.info(
+        "process.listening", name=config.name, address=":".join(map(str, config.listen)), compiled=native.in_force()
+    )
     reloading = loop.create_task(reload(sidecar, config, sidecar_env, again, policy))
     await stop.wait()
     reloading.cancel()
@@ -50,7 +51,10 @@
 
 
 async def reload(
-    sidecar: Sidecar, config: Config, env: Mapping[str, str], again: asyncio.Semaphore,
+    sidecar: Sidecar,
+    config: Config,
+    env: Mapping[str, str],
+    again: asyncio.Semaphore,
     policy: Policy | None = None,
 ) -> None:
     """Take over the files at each SIGHUP. Where either can't be used, what was stays in force, of both."""
@@ -66,8 +70,11 @@
                 LOG.error("reload.old_configuration_kept", reason=reason)
             continue
         rest = fixed(new, config)
-        LOG.info("reload.taken", discovery=":".join(map(str, new.discovery)),
-                 **({"restart_needed_for": ", ".join(rest)} if rest else {}))
+        LOG.info(
+            "reload.taken",
+            discovery=":".join(map(str, new.discovery)),
+            **({"restart_needed_for": ", ".join(rest)} if rest else {}),
+        )
         sidecar.reconfigure(new, prepared)
         config = new
 
--- a/hollyport/core/calls.py
+++ b/hollyport/core/calls.py
@@ -74,8 +74,21 @@
 class Call(Generic[Q, R]):
     """A request taken from a front, until it is over and no attempt is out."""
 
-    __slots__ = ("tid", "asked", "cls", "request", "attempts", "out", "maybe_ran", "over", "guard", "last",
-                 "wait_ns", "passing", "waits")
+    __slots__ = (
+        "tid",
+        "asked",
+        "cls",
+        "request",
+        "attempts",
+        "out",
+        "maybe_ran",
+        "over",
+        "guard",
+        "last",
+        "wait_ns",
+        "passing",
+        "waits",
+    )
 
     def __init__(self, tid: str, request: Q, asked: Asked, wait_ns: int) -> None:
         self.tid, self.request, self.asked, self.wait_ns = tid, request, asked, wait_ns
@@ -95,8 +108,7 @@
 
     __slots__ = ("_core", "_call", "_server", "_number", "_written", "_abandon")
 
-    def __init__(self, core: Core[Q, R], call: Call[Q, R], server: str, number: int, sent: int,
-                 abandon: int) -> None:
+    def __init__(self, core: Core[Q, R], call: Call[Q, R], server: str, number: int, sent: int, abandon: int) -> None:
         self._core, self._call, self._server, self._number = core, call, server, number
         self._written = sent  # where the body comes apart, the server begins only with its last byte
         self._abandon = abandon
@@ -169,8 +181,12 @@
     """One balancer of the decision module, its clock and timers, and the calls it decides on."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, ends: Ends, longest_ns: int,
-        clock: Callable[[], int] | None = None, monotonic: Callable[[], float] = time.monotonic,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        ends: Ends,
+        longest_ns: int,
+        clock: Callable[[], int] | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
         self.loop, self.ends = loop, ends
         self.clock = clock or Clock()
@@ -264,10 +280,20 @@
 
     def _accept(self, call: Call[Q, R], wait_ns: int, bounds: Bounds | None) -> None:
         asked = call.asked
-        self.deliver(Accept(
-            call.tid, asked.cls, wait_ns - MARGIN_NS, asked.cost_ns, asked.tenant, asked.key, asked.retry,
-            asked.write, asked.kind if asked.cls < 0 else None, bounds,
-        ))
+        self.deliver(
+            Accept(
+                call.tid,
+                asked.cls,
+                wait_ns - MARGIN_NS,
+                asked.cost_ns,
+                asked.tenant,
+                asked.key,
+                asked.retry,
+                asked.write,
+                asked.kind if asked.cls < 0 else None,
+                bounds,
+            )
+        )
 
     def _go(self, ready: list[tuple[str, Bounds | None]]) -> None:
         """Hand those that waited for their limits to the module, with the time they have left."""
--- a/hollyport/core/log.py
+++ b/hollyport/core/log.py
@@ -52,7 +52,7 @@
             self.dropped += 1
             return
         data = line.encode("utf-8", "backslashreplace")
-        self._queue.put((data if len(data) <= MOST_BYTES else data[:MOST_BYTES - 4] + b" ...") + b"\n")
+        self._queue.put((data if len(data) <= MOST_BYTES else data[: MOST_BYTES - 4] + b" ...") + b"\n")
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="log", daemon=True)
             self._thread.start()
@@ -79,7 +79,7 @@
     def _whole(self, data: bytes) -> None:
         try:
             while data:
-                data = data[os.write(self._descriptor, data):]
+                data = data[os.write(self._descriptor, data) :]
         except OSError:
             pass  # there is no log: nobody to tell, and no reason to end
 
@@ -140,14 +140,19 @@
     Raises KeyError for a level that there is none of.
     """
     REPEATS.per_s = repeats_per_s
-    renderer: Any = (structlog.processors.JSONRenderer(default=str) if form == "json" else
-                     structlog.processors.LogfmtRenderer(key_order=("timestamp", "level", "event"),
-                                                         drop_missing=True))
+    renderer: Any = (
+        structlog.processors.JSONRenderer(default=str)
+        if form == "json"
+        else structlog.processors.LogfmtRenderer(key_order=("timestamp", "level", "event"), drop_missing=True)
+    )
     structlog.configure(
         processors=[
-            REPEATS, structlog.processors.add_log_level,
-            structlog.processors.TimeStamper(fmt="iso", utc=True), structlog.processors.format_exc_info,
-            _plain, renderer,
+            REPEATS,
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            _plain,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         logger_factory=lambda *_: _Lines(),
@@ -159,7 +164,7 @@
     """Values as short texts and numbers, and keys that logfmt can write."""
     for key, value in event.items():
         if not isinstance(value, int | float):
-            event[key] = str(value)[:4000 if key == "exception" else 500]
+            event[key] = str(value)[: 4000 if key == "exception" else 500]
     return event
 
 
--- a/hollyport/core/ports.py
+++ b/hollyport/core/ports.py
@@ -155,9 +155,7 @@
 class Routes(Protocol):
     """Which rule a request is under."""
 
-    def find(
-        self, method: bytes, target: bytes, tenant: bytes | None, headers: Mapping[bytes, bytes]
-    ) -> Rule | None:
+    def find(self, method: bytes, target: bytes, tenant: bytes | None, headers: Mapping[bytes, bytes]) -> Rule | None:
         """The rule of the most specific route that matches; None where none does."""
 
 
--- a/hollyport/http1/admission.py
+++ b/hollyport/http1/admission.py
@@ -20,7 +20,11 @@
     the connection on what they can't read: nothing of that kind may reach them."""
 
     def __init__(
-        self, settings: Settings, before: Gate | None = None, now: float = 0.0, forms: Settings | None = None,
+        self,
+        settings: Settings,
+        before: Gate | None = None,
+        now: float = 0.0,
+        forms: Settings | None = None,
         routes: Routes | None = None,
     ) -> None:
         """`forms` are the settings that clients know, where operators have made `settings` stricter."""
--- a/hollyport/http1/backend.py
+++ b/hollyport/http1/backend.py
@@ -29,6 +29,7 @@
 
     def attempt(self, server: str, request: Message, limit_s: float, watch: Watch[Reply]) -> Attempt | None:
         """See `ports.Backend`."""
+
         def ended(how: How, reply: Reply | None) -> None:
             watch.outcome(how, reply, load(reply.header(b"x-server-load")) if reply is not None else {})
 
@@ -36,12 +37,16 @@
             return watch.begin(reply, length, load(reply.header(b"x-server-load")))
 
         return self._upstream.exchange(
-            server, lambda: wire(request, watch.wait_s()), limit_s, ended,
+            server,
+            lambda: wire(request, watch.wait_s()),
+            limit_s,
+            ended,
             Flow(request.stream, begin, watch.wanted, watch.wrote, watch.rested, watch.left_s),
         )
 
     def probe(self, server: str, limit_s: float, echoed: Echoed) -> Attempt | None:
         """See `ports.Backend`."""
+
         def ended(how: How, reply: Reply | None) -> None:
             echoed(how, load(reply.body if reply is not None else None))
 
@@ -59,8 +64,7 @@
         parts += [b"%s: %s\r\n" % pair for pair in message.headers if pair[0] not in NOT_FORWARDED]
         if message.stream is not None:
             length = message.stream.length
-            parts.append(b"Transfer-Encoding: chunked\r\n" if length is None
-                         else b"Content-Length: %d\r\n" % length)
+            parts.append(b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length)
         elif message.body or message.method == b"POST":
             parts.append(b"Content-Length: %d\r\n" % len(message.body))
         message.head = b"".join(parts)
--- a/hollyport/http1/client.py
+++ b/hollyport/http1/client.py
@@ -174,7 +174,7 @@
                 self._pause()
                 return
             size = PASS_PIECE if self._stream is not None else PIECE
-            piece = data[at:at + size]
+            piece = data[at : at + size]
             at += size
             self._parse(piece)
             if not self._in_head and self._stream is None and self._size > self._budget.share:
@@ -317,9 +317,12 @@
         lengths, codings = message.all(b"content-length"), message.all(b"transfer-encoding")
         hosts, version = len(message.all(b"host")), parser.get_http_version()
         if (
-            len(lengths) > 1 or any(DIGITS.fullmatch(value) is None for value in lengths)
+            len(lengths) > 1
+            or any(DIGITS.fullmatch(value) is None for value in lengths)
             or (codings and (lengths or version != "1.1" or [v.lower() for v in codings] != [b"chunked"]))
-            or hosts > 1 or (not hosts and version == "1.1") or version not in ("1.0", "1.1")
+            or hosts > 1
+            or (not hosts and version == "1.1")
+            or version not in ("1.0", "1.1")
         ):
             self._error = 400
         elif lengths and int(lengths[0]) > self._terms.max_body:
--- a/hollyport/http1/connection.py
+++ b/hollyport/http1/connection.py
@@ -59,8 +59,12 @@
     """
 
     def __init__(
-        self, on_lost: Callable[[Connection], None], max_body: int = MAX_KEPT, stall_s: float = 0.0,
-        budget: Budget | None = None, trust_end: bool = True,
+        self,
+        on_lost: Callable[[Connection], None],
+        max_body: int = MAX_KEPT,
+        stall_s: float = 0.0,
+        budget: Budget | None = None,
+        trust_end: bool = True,
         successes: range = PLAIN,
     ) -> None:
         self._on_lost = on_lost
@@ -246,8 +250,14 @@
         return self._written
 
     def send(
-        self, data: bytes, done: Done, wrote: Wrote | None = None, request: Body | None = None,
-        begin: Begin | None = None, eager: bool = False, echo: Echo | None = None,
+        self,
+        data: bytes,
+        done: Done,
+        wrote: Wrote | None = None,
+        request: Body | None = None,
+        begin: Begin | None = None,
+        eager: bool = False,
+        echo: Echo | None = None,
     ) -> None:
         """Write a request, its body as it comes where there is one apart; `done` gets the answer, or None if
         the connection ends before its last byte. A long answer goes where `begin` says, as it comes; with
--- a/hollyport/http1/listener.py
+++ b/hollyport/http1/listener.py
@@ -51,7 +51,12 @@
     """
 
     def __init__(
-        self, service: Service, most: int, crowd: int, budget: Budget, terms: ClientTerms | None = None,
+        self,
+        service: Service,
+        most: int,
+        crowd: int,
+        budget: Budget,
+        terms: ClientTerms | None = None,
         times: ListenerTimes | None = None,
     ) -> None:
         self.service = service
@@ -259,7 +264,10 @@
         assert self._loop is not None
         now = self._loop.time()
         for queue, age in (
-            (self.leaving, HUSH_S), (self.visitors, HUSH_S), (self.silent, HUSH_S), (self.kept, SPARE_S),
+            (self.leaving, HUSH_S),
+            (self.visitors, HUSH_S),
+            (self.silent, HUSH_S),
+            (self.kept, SPARE_S),
             (self.kept, HURRY_S),
         ):
             for connection, since in list(queue.items()) if queue else ():
--- a/hollyport/http1/message.py
+++ b/hollyport/http1/message.py
@@ -9,24 +9,52 @@
 from hollyport.http1.connection import Reply
 
 REASONS = {
-    200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 417: "Expectation Failed",
-    429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
-    502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
+    200: "OK",
+    400: "Bad Request",
+    401: "Unauthorized",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
 }
 FIRST_LINES = {status: b"HTTP/1.1 %d %s\r\n" % (status, reason.encode()) for status, reason in REASONS.items()}
-HOP_BY_HOP = frozenset({
-    b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"proxy-connection", b"te",
-    b"trailer", b"transfer-encoding", b"upgrade",
-})
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+    }
+)
 NOT_RETURNED = HOP_BY_HOP | {b"content-length", b"x-server-load", b"date", b"server"}
 Headers = list[tuple[bytes, bytes]]
 STATUS = {
-    Ending.SERVED: 200, Ending.REFUSED: 503, Ending.FAILED: 502, Ending.LATE: 504, Ending.BROKEN: 500,
+    Ending.SERVED: 200,
+    Ending.REFUSED: 503,
+    Ending.FAILED: 502,
+    Ending.LATE: 504,
+    Ending.BROKEN: 500,
     Ending.REPEATED: 409,
 }
-WORDS = {Ending.REFUSED: b"refused\n", Ending.FAILED: b"failed\n", Ending.LATE: b"failed\n",
-         Ending.BROKEN: b"failed\n"}
+WORDS = {
+    Ending.REFUSED: b"refused\n",
+    Ending.FAILED: b"failed\n",
+    Ending.LATE: b"failed\n",
+    Ending.BROKEN: b"failed\n",
+}
 
 
 class Way(Protocol):
@@ -49,8 +77,19 @@
     """One request as it came, and where its one answer goes. The core's `Front`."""
 
     __slots__ = (
-        "method", "target", "headers", "body", "stream", "complete", "chunks", "keep_alive", "connection",
-        "came", "tid", "head", "told",
+        "method",
+        "target",
+        "headers",
+        "body",
+        "stream",
+        "complete",
+        "chunks",
+        "keep_alive",
+        "connection",
+        "came",
+        "tid",
+        "head",
+        "told",
     )
 
     def __init__(self, connection: Way) -> None:
--- a/hollyport/http1/quick.py
+++ b/hollyport/http1/quick.py
@@ -18,8 +18,9 @@
 REPLY = re.compile(rb"HTTP/1\.1 200 [ -~]*\r\n((?:" + _FIELD + rb")+)\r\n")
 LENGTH = re.compile(rb"[0-9]{1,8}")
 # Fields that decide how the message ends, or what becomes of the connection.
-APART = frozenset({b"transfer-encoding", b"upgrade", b"expect", b"keep-alive", b"proxy-connection", b"te",
-                   b"trailer"})
+APART = frozenset(
+    {b"transfer-encoding", b"upgrade", b"expect", b"keep-alive", b"proxy-connection", b"te", b"trailer"}
+)
 KEPT = (None, b"keep-alive", b"Keep-Alive")  # what the field `connection` may say: what holds without it
 # A whole request: method, target, fields, the fields by name (none stands there twice), body.
 Request = tuple[bytes, bytes, Fields, dict[bytes, bytes], bytes]
--- a/hollyport/http1/upstream.py
+++ b/hollyport/http1/upstream.py
@@ -58,7 +58,12 @@
     """One request to one server: one connection, written once at the most, ended exactly once."""
 
     def __init__(
-        self, upstream: Upstream, target: Target, make: Callable[[], bytes], limit_s: float, ended: Ended,
+        self,
+        upstream: Upstream,
+        target: Target,
+        make: Callable[[], bytes],
+        limit_s: float,
+        ended: Ended,
         flow: Flow | None = None,
     ) -> None:
         self._upstream, self._target, self._make, self._ended = upstream, target, make, ended
@@ -275,8 +280,13 @@
     """All servers that the list has named, and the connections to them."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, connect_timeout_ns: int, idle_ns: int, most: int,
-        stall_s: float = 0.0, budget: Budget | None = None,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        connect_timeout_ns: int,
+        idle_ns: int,
+        most: int,
+        stall_s: float = 0.0,
+        budget: Budget | None = None,
     ) -> None:
         self.loop = loop
         self._budget = budget
@@ -418,8 +428,10 @@
         """The last connection that had rested is taken: open another one where the calls are worth it. None gives
         way to it, and it is one at a time."""
         held = target.held + target.dialling
-        if target.ahead is None and len(self._open) + self._dialling < self.most * AHEAD_SHARE and (
-            target.demand.opens(now, target.up, held, REST_S, self._terms)
+        if (
+            target.ahead is None
+            and len(self._open) + self._dialling < self.most * AHEAD_SHARE
+            and (target.demand.opens(now, target.up, held, REST_S, self._terms))
         ):
             target.ahead = self.loop.create_task(self._connect_ahead(target))
 
--- a/hollyport/platform/control.py
+++ b/hollyport/platform/control.py
@@ -18,8 +18,11 @@
 LINGER_S = 0.5  # how long a caller that was answered may take to close
 BACKLOG = 64
 PATHS = {
-    "/healthcheck": b"GET", "/stats": b"GET", "/routes": b"GET",
-    "/healthcheck/fail": b"PUT", "/healthcheck/ok": b"PUT",
+    "/healthcheck": b"GET",
+    "/stats": b"GET",
+    "/routes": b"GET",
+    "/healthcheck/fail": b"PUT",
+    "/healthcheck/ok": b"PUT",
 }
 
 
@@ -45,9 +48,7 @@
 
     async def start(self, loop: asyncio.AbstractEventLoop, address: Address) -> int:
         """Listen; return the port."""
-        self._server = await loop.create_server(
-            lambda: Call(self, loop), address.host, address.port, backlog=BACKLOG
-        )
+        self._server = await loop.create_server(lambda: Call(self, loop), address.host, address.port, backlog=BACKLOG)
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
--- a/hollyport/platform/discovery.py
+++ b/hollyport/platform/discovery.py
@@ -267,12 +267,12 @@
         # Drained servers first, as their time runs; but not before new ones where few others would be left.
         lines = down + up if 2 * len(down) < len(known) else up + down
         for at in range(0, len(lines) - PART, PART):
-            self._tell(Listing(listing.version, False, tuple(lines[at:at + PART]), True))
+            self._tell(Listing(listing.version, False, tuple(lines[at : at + PART]), True))
             if pace.due():
                 await pace.rest()
         # Only now: whoever asks meanwhile, or where this is cut short, asks again for what comes after the last one.
         self._version = listing.version
-        self._tell(Listing(listing.version, False, tuple(lines[(max(0, len(lines) - 1) // PART) * PART:])))
+        self._tell(Listing(listing.version, False, tuple(lines[(max(0, len(lines) - 1) // PART) * PART :])))
 
     async def _ask(self, caller: _Caller, query: str, wait_ms: int) -> Listing:
         head = b"GET /api/targets%s HTTP/1.1\r\nHost: %s\r\n\r\n" % (query.encode(), self._host)
--- a/hollyport/platform/takeover.py
+++ b/hollyport/platform/takeover.py
@@ -38,11 +38,12 @@
     try:
         for *entry, host, port in frame["lines"]:
             name, zone, kind, cell, lifecycle, weight, started = entry
-            lines.append(Line(
-                Entry(str(name), int(zone), int(kind), int(cell), str(lifecycle), float(weight),
-                      int(started)),
-                Address(str(host), int(port)),
-            ))
+            lines.append(
+                Line(
+                    Entry(str(name), int(zone), int(kind), int(cell), str(lifecycle), float(weight), int(started)),
+                    Address(str(host), int(port)),
+                )
+            )
         return Listing(int(frame["index"]), True, tuple(lines))
     except (KeyError, TypeError) as error:
         raise ValueError(f"no list: {error!r}") from None
@@ -199,7 +200,7 @@
                 return
             if len(self._read) < LENGTH.size + size:
                 return
-            text, self._read = self._read[LENGTH.size:LENGTH.size + size], self._read[LENGTH.size + size:]
+            text, self._read = self._read[LENGTH.size : LENGTH.size + size], self._read[LENGTH.size + size :]
             try:
                 frame = json.loads(text)
                 if not isinstance(frame, dict):
--- a/hollyport/sidecar.py
+++ b/hollyport/sidecar.py
@@ -73,9 +73,7 @@
 class Sidecar:
     """Wires listener, servers and discovery to one balancer of the decision module."""
 
-    def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, policy: Policy | None = None
-    ) -> None:
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, policy: Policy | None = None) -> None:
         self._config, self._loop, self._policy = config, loop, policy
         self._settings = settings = config.settings if policy is None else policy.settings(config.settings)
         self._gate = self._made_gate(None)
@@ -197,6 +195,7 @@
 
     def _outlast(self, longest_ns: int) -> None:
         """Count with another longest deadline; a shorter one only once no request is left from before."""
+
         def settle() -> None:
             self._longest_ns = max(c.deadline_ns for c in self._settings.classes)
             self.core.id_life_s = 2 * self._longest_ns / 1e9
--- a/rosechute/command/common.py
+++ b/rosechute/command/common.py
@@ -19,10 +19,13 @@
 
 REFUSED = 2
 FILE = click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
-AGAINST = click.option("--against", type=click.Path(path_type=Path, dir_okay=False, exists=True),
-                       metavar="CONFIG.json",
-                       help="The platform's configuration that the file is for. Without it, the file is checked "
-                            "as far as it goes by itself.")
+AGAINST = click.option(
+    "--against",
+    type=click.Path(path_type=Path, dir_okay=False, exists=True),
+    metavar="CONFIG.json",
+    help="The platform's configuration that the file is for. Without it, the file is checked "
+    "as far as it goes by itself.",
+)
 FORMAT = click.option("--format", "form", type=click.Choice(["text", "json"]), default="text", show_default=True)
 
 
@@ -71,8 +74,12 @@
     """A problem as plain data."""
     value = problem.value
     kept = isinstance(value, str | int | float | list | bool | None) and type(value).__name__ != "Span"
-    return {"path": problem.path, "line": problem.line or None, "value": value if kept else str(value),
-            "reason": problem.reason}
+    return {
+        "path": problem.path,
+        "line": problem.line or None,
+        "value": value if kept else str(value),
+        "reason": problem.reason,
+    }
 
 
 def dumped(raw: object) -> str:
@@ -83,6 +90,8 @@
 def table(head: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
     """Columns as wide as what stands in them."""
     widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
-    lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-             for row in (head, tuple("-" * width for width in widths), *rows)]
+    lines = [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in (head, tuple("-" * width for width in widths), *rows)
+    ]
     return "\n".join(lines)
--- a/rosechute/command/demo.py
+++ b/rosechute/command/demo.py
@@ -104,9 +104,13 @@
     for rule, kept, figures in verdicts:
         console.print(f"{'kept  ' if kept else 'BROKEN'}  {rule}: {figures}", markup=False, highlight=False)
     kept_all = all(kept for _, kept, _ in verdicts)
-    console.print(f"{'all rules kept' if kept_all else 'a rule was broken'}: {outcome.share():.1%} served, p99 "
-                  f"{outcome.quantile_ms(0.99):.0f} ms, {scene.attempts() / max(1, len(outcome.done)):.2f} attempts "
-                  "a request", markup=False, highlight=False)
+    console.print(
+        f"{'all rules kept' if kept_all else 'a rule was broken'}: {outcome.share():.1%} served, p99 "
+        f"{outcome.quantile_ms(0.99):.0f} ms, {scene.attempts() / max(1, len(outcome.done)):.2f} attempts "
+        "a request",
+        markup=False,
+        highlight=False,
+    )
     return kept_all
 
 
@@ -131,25 +135,43 @@
     grid = Table.grid(padding=(0, 2))
     servers = Table("server", "state", "under way", "waiting", "begun", "turned away", title="servers")
     for name, server in scene.servers.items():
-        state = ("draining" if name in scene.drained else "slow" if server.conduct.slow > 1
-                 else f"cold {server.warmth():.0%}" if server.warmth() < 1 else "up")
+        state = (
+            "draining"
+            if name in scene.drained
+            else "slow"
+            if server.conduct.slow > 1
+            else f"cold {server.warmth():.0%}"
+            if server.warmth() < 1
+            else "up"
+        )
         busy, waiting = server.load
-        servers.add_row(name, state, str(busy), str(waiting), str(len(server.seen.runs)),
-                        str(server.seen.turned_away))
-    routes = Table("route", "taken", "in flight", "waiting", "served", "refused", "failed", "budget left",
-                   title="routes")
+        servers.add_row(
+            name, state, str(busy), str(waiting), str(len(server.seen.runs)), str(server.seen.turned_away)
+        )
+    routes = Table(
+        "route", "taken", "in flight", "waiting", "served", "refused", "failed", "budget left", title="routes"
+    )
     for row in scene.routes()["routes"]:
         ends = row["ended"]
-        routes.add_row(row["route"], str(row["taken"]), str(row["in_flight"]), str(row["waiting"]),
-                       str(ends["served"]), str(sum(row["refused"].values())), str(ends["failed"]),
-                       "-" if row["budget_left"] is None else f"{row['budget_left']:.0f}")
+        routes.add_row(
+            row["route"],
+            str(row["taken"]),
+            str(row["in_flight"]),
+            str(row["waiting"]),
+            str(ends["served"]),
+            str(sum(row["refused"].values())),
+            str(ends["failed"]),
+            "-" if row["budget_left"] is None else f"{row['budget_left']:.0f}",
+        )
     recent = application.outcome.done[-400:]
     late = sorted(d.took_s for d in recent if d.status == 200)
     grid.add_row(servers)
     grid.add_row(routes)
     if late:
-        grid.add_row(f"last {len(recent)} answers: p50 {late[len(late) // 2] * 1e3:.0f} ms, "
-                     f"p99 {late[int(len(late) * 0.99)] * 1e3:.0f} ms; {scene.attempts()} attempts in all")
+        grid.add_row(
+            f"last {len(recent)} answers: p50 {late[len(late) // 2] * 1e3:.0f} ms, "
+            f"p99 {late[int(len(late) * 0.99)] * 1e3:.0f} ms; {scene.attempts()} attempts in all"
+        )
     for text in told[-4:]:
         grid.add_row(text)
     return grid
--- a/rosechute/command/explain.py
+++ b/rosechute/command/explain.py
@@ -16,8 +16,10 @@
 MOST_OTHERS = 12
 
 
-@click.command(epilog='Example: rosechute explain routes.toml "POST /confirm-booking/7" --tenant charity-partners '
-                      '--header X-Attrs=write=1')
+@click.command(
+    epilog='Example: rosechute explain routes.toml "POST /confirm-booking/7" --tenant charity-partners '
+    "--header X-Attrs=write=1"
+)
 @FILE
 @click.argument("request")
 @click.option("--tenant", help="The request's tenant.")
@@ -45,11 +47,16 @@
         told[name.lower().encode("latin-1", "replace")] = value.encode("latin-1", "replace")
     chosen, others = explained(found.proven, method.upper(), target, tenant, told)
     if form == "json":
-        click.echo(dumped({
-            "request": request, "route": chosen.name if chosen else None,
-            "values": [{"key": k, "value": v, "from": s} for k, v, s in chosen.rows()] if chosen else [],
-            "others": [{"route": name, "why_not": why} for name, why in others],
-        }))
+        click.echo(
+            dumped(
+                {
+                    "request": request,
+                    "route": chosen.name if chosen else None,
+                    "values": [{"key": k, "value": v, "from": s} for k, v, s in chosen.rows()] if chosen else [],
+                    "others": [{"route": name, "why_not": why} for name, why in others],
+                }
+            )
+        )
         return
     if chosen is None:
         click.echo(f"{request}: no route matches; the platform's settings hold")
