--- a/rosechute/command/lab.py
+++ b/rosechute/command/lab.py
@@ -53,12 +53,23 @@
 
 
 def stored(required: bool = False) -> Callable[[F], F]:
-    return click.option("--store", type=click.Path(path_type=Path, dir_okay=False, exists=required),
-                        default=Path("lab.sqlite"), show_default=True, help="Where results are kept.")
+    return click.option(
+        "--store",
+        type=click.Path(path_type=Path, dir_okay=False, exists=required),
+        default=Path("lab.sqlite"),
+        show_default=True,
+        help="Where results are kept.",
+    )
 
 
-changes = click.option("--set", "changes", multiple=True, callback=changed, metavar="PATH=VALUE[,...]",
-                       help="Another value for a key of the scenario; several for a grid.")
+changes = click.option(
+    "--set",
+    "changes",
+    multiple=True,
+    callback=changed,
+    metavar="PATH=VALUE[,...]",
+    help="Another value for a key of the scenario; several for a grid.",
+)
 
 
 @click.group(epilog="Example: rosechute lab run calm")
@@ -106,8 +117,15 @@
 @click.option("--trace", type=click.Path(path_type=Path, dir_okay=False), help="Write every record.")
 @click.option("--format", "form", type=click.Choice(["text", "json"]), default="text", show_default=True)
 @changes
-def run(scenario: str, policy: str, seed: int, report: Path | None, trace: Path | None, form: str,
-        changes: dict[str, list[Any]]) -> None:
+def run(
+    scenario: str,
+    policy: str,
+    seed: int,
+    report: Path | None,
+    trace: Path | None,
+    form: str,
+    changes: dict[str, list[Any]],
+) -> None:
     """Play SCENARIO (a name of `lab ls`, or a file) once. Exit code 0 where all rules were kept, else 1."""
     wanted = _load(scenario, changes)
     if trace is not None:
@@ -117,6 +135,7 @@
         done = play(wanted, policy, seed)
     if report is not None:
         from rosechute.lab.report import page
+
         again = _again(["run", scenario, "--policy", policy, "--seed", str(seed)], changes)
         report.write_text(page(done, wanted, policy, seed, again), encoding="utf-8")
     if form == "json":
@@ -143,8 +162,9 @@
 @click.option("--trace", type=click.Path(path_type=Path, dir_okay=False), help="Write the real run's records.")
 @click.option("--format", "form", type=click.Choice(["text", "json"]), default="text", show_default=True)
 @changes
-def real(scenario: str, seed: int, report: Path | None, trace: Path | None, form: str,
-         changes: dict[str, list[Any]]) -> None:
+def real(
+    scenario: str, seed: int, report: Path | None, trace: Path | None, form: str, changes: dict[str, list[Any]]
+) -> None:
     """Play SCENARIO against real sidecar processes on loopback, in real time, and in the model with the same seed.
 
     Exit code 0 where the processes kept all rules, 1 where they did not.
@@ -152,6 +172,7 @@
     import uvloop
 
     from rosechute.lab.real.world import real as play_real
+
     wanted = _load(scenario, changes)
     try:
         with trace.open("wb") if trace is not None else contextlib.nullcontext() as file:
@@ -164,24 +185,44 @@
     model = play(wanted, "module", seed)
     if report is not None:
         from rosechute.lab.report import beside
+
         again = _again(["real", scenario, "--seed", str(seed)], changes)
         lag = done.lag_p99_ms, done.lag_max_ms
         report.write_text(beside(model, done.run, lag, wanted, seed, again), encoding="utf-8")
     if form == "json":
-        click.echo(json.dumps({"model": model.result, "real": done.run.result, "lag_p99_ms": done.lag_p99_ms,
-                               "lag_max_ms": done.lag_max_ms}, sort_keys=True))
+        click.echo(
+            json.dumps(
+                {
+                    "model": model.result,
+                    "real": done.run.result,
+                    "lag_p99_ms": done.lag_p99_ms,
+                    "lag_max_ms": done.lag_max_ms,
+                },
+                sort_keys=True,
+            )
+        )
     else:
-        rows = [[name, f"{value:.4g}", f"{done.run.result[name]:.4g}"]
-                for name, value in model.result.items() if not isinstance(value, dict)]
-        rows += [[f"breaches: {rule}", str(count), str(done.run.result["breaches"][rule])]
-                 for rule, count in model.result["breaches"].items()]
+        rows = [
+            [name, f"{value:.4g}", f"{done.run.result[name]:.4g}"]
+            for name, value in model.result.items()
+            if not isinstance(value, dict)
+        ]
+        rows += [
+            [f"breaches: {rule}", str(count), str(done.run.result["breaches"][rule])]
+            for rule, count in model.result["breaches"].items()
+        ]
         _print(["figure", "model", "processes"], rows, "text")
-        click.echo(f"the bench's own events were {done.lag_p99_ms:.1f} ms late (99 of 100), {done.lag_max_ms:.1f} ms "
-                   "at the most")
+        click.echo(
+            f"the bench's own events were {done.lag_p99_ms:.1f} ms late (99 of 100), {done.lag_max_ms:.1f} ms "
+            "at the most"
+        )
         _breaches(done.run.judge.breaches[:10], err=True)
     if done.lag_p99_ms > TRUSTED_LAG_MS:
-        click.echo("this machine could not keep the pace: at more than "
-                   f"{TRUSTED_LAG_MS:g} ms, the figures tell of the bench", err=True)
+        click.echo(
+            "this machine could not keep the pace: at more than "
+            f"{TRUSTED_LAG_MS:g} ms, the figures tell of the bench",
+            err=True,
+        )
     sys.exit(1 if sum(done.run.result["breaches"].values()) else 0)
 
 
@@ -211,8 +252,14 @@
 @click.option("--workers", type=click.IntRange(1, 512), help="Processes; one for each core where left out.")
 @stored()
 @changes
-def sweeping(scenarios: tuple[str, ...], policies: tuple[str, ...], seeds: int, workers: int | None, store: Path,
-             changes: dict[str, list[Any]]) -> None:
+def sweeping(
+    scenarios: tuple[str, ...],
+    policies: tuple[str, ...],
+    seeds: int,
+    workers: int | None,
+    store: Path,
+    changes: dict[str, list[Any]],
+) -> None:
     """Play SCENARIOS (all that come with the lab where none is named) for each policy, seed and combination of
     values. Stopped or killed, it goes on where it was when called again."""
     chosen = list(NAMES) if "all" in policies else list(dict.fromkeys(policies))
@@ -274,13 +321,24 @@
             said, found = verdict([by_policy[first][s] - by_policy[other][s] for s in seeds], more)
             own = interval([by_policy[first][s] for s in seeds])
             its = interval([by_policy[other][s] for s in seeds])
-            rows.append([scenario + (f" {change}" if change != "{}" else ""), other, f"{own.mean:.4g}",
-                         f"{its.mean:.4g}", f"{found.mean:+.4g} [{found.low:+.4g}, {found.high:+.4g}]",
-                         str(found.size), said])
+            rows.append(
+                [
+                    scenario + (f" {change}" if change != "{}" else ""),
+                    other,
+                    f"{own.mean:.4g}",
+                    f"{its.mean:.4g}",
+                    f"{found.mean:+.4g} [{found.low:+.4g}, {found.high:+.4g}]",
+                    str(found.size),
+                    said,
+                ]
+            )
     if not rows:
         raise click.ClickException(f"there are no runs of {first} and {second} with the same seeds by this program")
-    _print(["scenario", "against", first, "the other", f"{figure}, difference and 95% interval", "pairs",
-            f"{first} is"], rows, form)
+    _print(
+        ["scenario", "against", first, "the other", f"{figure}, difference and 95% interval", "pairs", f"{first} is"],
+        rows,
+        form,
+    )
 
 
 def _print(head: list[str], rows: list[list[str]], form: str) -> None:
@@ -307,9 +365,12 @@
         kept = _open(store)
         for row in kept.rows():
             counts[row.scenario] += 1
-    _print(["scenario", "runs", "about"],
-           [[name, str(counts.pop(name, 0)), load(name).about] for name in names()]
-           + [[name, str(count), ""] for name, count in counts.items()], "text")
+    _print(
+        ["scenario", "runs", "about"],
+        [[name, str(counts.pop(name, 0)), load(name).about] for name in names()]
+        + [[name, str(count), ""] for name, count in counts.items()],
+        "text",
+    )
 
 
 @command.command("show", epilog="Example: rosechute lab show calm --figure p99_ms")
@@ -328,8 +389,9 @@
     rows = []
     for (change, policy, made_by), sample in values.items():
         found = interval(sample)
-        rows.append([policy, change, made_by, f"{found.mean:.4g}", f"[{found.low:.4g}, {found.high:.4g}]",
-                     str(found.size)])
+        rows.append(
+            [policy, change, made_by, f"{found.mean:.4g}", f"[{found.low:.4g}, {found.high:.4g}]", str(found.size)]
+        )
     _print(["policy", "changes", "program", figure, "95% interval", "runs"], rows, form)
 
 
@@ -373,6 +435,7 @@
         at = json.loads(row.changes).get(path)
         if isinstance(at, str):
             from rosechute.file.units import span
+
             try:
                 at = span(at) / 1e9
             except ValueError:
@@ -380,12 +443,14 @@
         if at is not None:
             values[row.policy, float(at)].append(_figure(row, figure))
     if not values:
-        raise click.ClickException(f"no run of {scenario!r} in {store} has a value of its own for {path!r}; sweep "
-                                   f"with --set {path}=...")
+        raise click.ClickException(
+            f"no run of {scenario!r} in {store} has a value of its own for {path!r}; sweep with --set {path}=..."
+        )
     found: dict[str, list[Any]] = defaultdict(list)
     for (policy, at), sample in values.items():
         found[policy].append((at, interval(sample)))
     from rosechute.lab.report import curves
+
     again = shlex.join(["rosechute", "lab", "curve", scenario, path, str(target), "--figure", figure])
     target.write_text(curves(scenario, path, figure, found, again), encoding="utf-8")
     click.echo(f"{len(values)} points in {target}")
@@ -402,8 +467,15 @@
     with target.open("w", newline="", encoding="utf-8") as file:
         writer: Any = None
         for row in kept.rows(scenario):
-            flat = {"scenario": row.scenario, "changes": row.changes, "policy": row.policy, "seed": row.seed,
-                    "program": row.program, "digest": row.digest, "took_s": row.took_s}
+            flat = {
+                "scenario": row.scenario,
+                "changes": row.changes,
+                "policy": row.policy,
+                "seed": row.seed,
+                "program": row.program,
+                "digest": row.digest,
+                "took_s": row.took_s,
+            }
             flat |= {name: value for name, value in row.result.items() if not isinstance(value, dict)}
             flat |= {f"breaches_{rule}": value for rule, value in row.result["breaches"].items()}
             if writer is None:
@@ -418,22 +490,38 @@
 @click.argument("url")
 @click.option("--rate", type=click.FloatRange(0, min_open=True), required=True, help="Requests a second, on average.")
 @click.option("--duration", default="10s", show_default=True, help="How long it sends; up to 10m.")
-@click.option("--shape", type=click.Choice(["flat", "daily", "burst", "square", "ramp"]), default="flat",
-              show_default=True)
-@click.option("--depth", type=click.FloatRange(0, 1), default=0.5, show_default=True,
-              help="How far the shape departs from the mean, as a part of it.")
+@click.option(
+    "--shape", type=click.Choice(["flat", "daily", "burst", "square", "ramp"]), default="flat", show_default=True
+)
+@click.option(
+    "--depth",
+    type=click.FloatRange(0, 1),
+    default=0.5,
+    show_default=True,
+    help="How far the shape departs from the mean, as a part of it.",
+)
 @click.option("--period", default="10s", show_default=True, help="Of the shape.")
 @click.option("--method", type=click.Choice(["GET", "POST"]), default="GET", show_default=True)
 @click.option("--header", "headers", multiple=True, metavar="NAME: VALUE")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-def loading(url: str, rate: float, duration: str, shape: str, depth: float, period: str, method: str,
-            headers: tuple[str, ...], seed: int) -> None:
+def loading(
+    url: str,
+    rate: float,
+    duration: str,
+    shape: str,
+    depth: float,
+    period: str,
+    method: str,
+    headers: tuple[str, ...],
+    seed: int,
+) -> None:
     """Send an open-loop load to URL, which must be an address of this machine's loopback. Each request's time counts
     from when it was due. Exit code 1 where any was not answered."""
     import uvloop
 
     from rosechute.file.units import span
     from rosechute.lab.load import due, load, target
+
     try:
         to = target(url)
         times = due(rate, span(duration) / 1e9, shape, depth, span(period) / 1e9, seed)
--- a/rosechute/command/main.py
+++ b/rosechute/command/main.py
@@ -31,12 +31,15 @@
             return None
         if name == "lab":
             from hollyport import native
+
             native.prefer()
         try:
             found: Any = importlib.import_module(COMMANDS[name][0]).command
         except ImportError as error:
-            raise click.ClickException(f"{name} needs {error.name}, which is not installed; it comes with "
-                                       f"pip install 'rosechute[{EXTRAS.get(name, 'tool')}]'") from None
+            raise click.ClickException(
+                f"{name} needs {error.name}, which is not installed; it comes with "
+                f"pip install 'rosechute[{EXTRAS.get(name, 'tool')}]'"
+            ) from None
         assert isinstance(found, click.Command)
         return found
 
--- a/rosechute/command/run.py
+++ b/rosechute/command/run.py
@@ -12,10 +12,18 @@
 
 
 @click.command(epilog="Example: rosechute run --config config.json --file deploy/routes.toml")
-@click.option("--config", type=click.Path(path_type=Path, dir_okay=False), metavar="CONFIG.json",
-              help="The platform's configuration; $NODE_CONFIG where it is not named.")
-@click.option("--file", "file", type=click.Path(path_type=Path, dir_okay=False),
-              help="The operator's file. Without it, the platform's settings alone hold.")
+@click.option(
+    "--config",
+    type=click.Path(path_type=Path, dir_okay=False),
+    metavar="CONFIG.json",
+    help="The platform's configuration; $NODE_CONFIG where it is not named.",
+)
+@click.option(
+    "--file",
+    "file",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="The operator's file. Without it, the platform's settings alone hold.",
+)
 def command(config: Path | None, file: Path | None) -> None:
     """Run a sidecar until SIGTERM. SIGHUP has both files read again, and taken both or neither."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens, it must not kill
@@ -23,14 +31,17 @@
     if config is not None:
         env["NODE_CONFIG"] = str(config)
     from hollyport import native
+
     native.prefer()
     from hollyport.__main__ import run
+
     if file is None:
         sys.exit(run(env))
     from hollyport.core.log import setup
     from rosechute.file.problems import FileError
     from rosechute.file.reading import read
     from rosechute.serve.policy import load, policy
+
     try:
         log = read(load(file)).file.log
         setup(log.format, log.level, log.repeats_per_s)
--- a/rosechute/control/rate_leases.py
+++ b/rosechute/control/rate_leases.py
@@ -118,7 +118,8 @@
         for each in self._holders.values():
             each.expire(now)
         self._holders = {
-            holder: each for holder, each in self._holders.items()
+            holder: each
+            for holder, each in self._holders.items()
             if now < each.until or now < each.reported_at + ACTIVE_S or now < self._known_from
         }
 
--- a/rosechute/coordination/lease.py
+++ b/rosechute/coordination/lease.py
@@ -125,7 +125,10 @@
             return
         self.until = context.now + context.timing.lease
         grant = pb.LeaseGrant(
-            epoch=request.epoch, term=request.term, stamp=request.stamp, boot=asked.boot,
+            epoch=request.epoch,
+            term=request.term,
+            stamp=request.stamp,
+            boot=asked.boot,
             previous=self._previous[1] if self._previous[0] == asked else request.term,
         )
         context.outbox.send(sender, pb.CoreMessage(lease_grant=grant))
--- a/rosechute/data/admission.py
+++ b/rosechute/data/admission.py
@@ -25,8 +25,15 @@
 SILENCE_GAPS = 8.0  # and so many of the longest pauses in time
 # Headers that servers don't get as they came: those of one connection, and those that the edge itself sets.
 NOT_FORWARDED = HOP_BY_HOP | {
-    b"content-length", b"expect", b"priority", b"expect-version", LAST_EVENT_ID, CREDENTIAL, DEADLINE,
-    b"x-rosechute-tenant", b"x-rosechute-expect-instance",
+    b"content-length",
+    b"expect",
+    b"priority",
+    b"expect-version",
+    LAST_EVENT_ID,
+    CREDENTIAL,
+    DEADLINE,
+    b"x-rosechute-tenant",
+    b"x-rosechute-expect-instance",
 }
 # Headers that servers need as the client sent them: no client can declare one of them to be its connection's.
 END_TO_END = frozenset({b"host", REQUEST_ID, MODEL, TOKEN_COUNT, PROMPT_PREFIX})
@@ -115,9 +122,18 @@
         return self.table.has_tenants and not route.public_access
 
     def _admitted(
-        self, message: Message, ticket: Ticket, now: float, split_point: Callable[[str], float],
-        told: dict[bytes, bytes], request_id: bytes, route: Route, tenant: Tenant | None,
-        host: str, path: str, key: str,
+        self,
+        message: Message,
+        ticket: Ticket,
+        now: float,
+        split_point: Callable[[str], float],
+        told: dict[bytes, bytes],
+        request_id: bytes,
+        route: Route,
+        tenant: Tenant | None,
+        host: str,
+        path: str,
+        key: str,
     ) -> Admitted:
         arrived = min(now, message.came)
         wait_s = route.timeout_ms / 1e3
@@ -129,18 +145,40 @@
         input_tokens, output_tokens = _token_counts(told.get(TOKEN_COUNT))
         service = route.pick_service(lambda: split_point(route.name))
         routing = RoutingRequest(
-            ticket=ticket, service=service, route=route.name, priority=priority,
+            ticket=ticket,
+            service=service,
+            route=route.name,
+            priority=priority,
             deadline=client_limit if route.streaming else hold_limit,
-            target_s=route.target_latency_ms / 1e3, arrived=arrived, max_attempts=max(1, int(route.max_attempts)),
-            repeatable=route.repeatable, sticky=route.sticky, model=told.get(MODEL, b"").decode("latin-1"),
+            target_s=route.target_latency_ms / 1e3,
+            arrived=arrived,
+            max_attempts=max(1, int(route.max_attempts)),
+            repeatable=route.repeatable,
+            sticky=route.sticky,
+            model=told.get(MODEL, b"").decode("latin-1"),
             parts=_parts(told.get(PROMPT_PREFIX)) if route.sticky else (),
-            input_tokens=input_tokens, output_tokens=output_tokens,
+            input_tokens=input_tokens,
+            output_tokens=output_tokens,
         )
         return Admitted(
-            request_id, route, service, tenant, key, host, path, arrived, client_limit, hold_limit, silence_s,
-            _cost(tenant, told.get(TOKEN_COUNT), input_tokens + output_tokens), priority, routing,
-            _head(message, tenant, priority * PRIORITIES // len(self._ranks)), told.get(LAST_EVENT_ID),
-            self.sequence, route.repeatable,
+            request_id,
+            route,
+            service,
+            tenant,
+            key,
+            host,
+            path,
+            arrived,
+            client_limit,
+            hold_limit,
+            silence_s,
+            _cost(tenant, told.get(TOKEN_COUNT), input_tokens + output_tokens),
+            priority,
+            routing,
+            _head(message, tenant, priority * PRIORITIES // len(self._ranks)),
+            told.get(LAST_EVENT_ID),
+            self.sequence,
+            route.repeatable,
         )
 
 
--- a/rosechute/data/attempt.py
+++ b/rosechute/data/attempt.py
@@ -43,8 +43,14 @@
     __slots__ = ("server", "state", "_servers", "_loop", "_owner", "_echo", "_body", "_eager", "_link", "_task")
 
     def __init__(
-        self, servers: Servers, loop: asyncio.AbstractEventLoop, server: Server, owner: AttemptOwner, echo: Echo,
-        body: Body | None, eager: bool,
+        self,
+        servers: Servers,
+        loop: asyncio.AbstractEventLoop,
+        server: Server,
+        owner: AttemptOwner,
+        echo: Echo,
+        body: Body | None,
+        eager: bool,
     ) -> None:
         self.server = server
         self.state = AttemptState.CONNECTING
@@ -111,7 +117,13 @@
         self._link = link
         self.state = AttemptState.SENT
         link.wire.send(
-            data, self._replied, None, self._body, self._begin, eager=self._eager, echo=self._echo,
+            data,
+            self._replied,
+            None,
+            self._body,
+            self._begin,
+            eager=self._eager,
+            echo=self._echo,
         )
 
     def _begin(self, reply: Reply, length: int | None) -> Sink | None:
--- a/rosechute/data/client_answer.py
+++ b/rosechute/data/client_answer.py
@@ -70,7 +70,7 @@
             data = self._events.feed(data)
         if not data:
             return False
-        self._last_bytes = data[-len(BLANK_LINES[0]):]
+        self._last_bytes = data[-len(BLANK_LINES[0]) :]
         self._message.connection.pass_on(self._message, data)
         return True
 
--- a/rosechute/data/client_limits.py
+++ b/rosechute/data/client_limits.py
@@ -7,7 +7,10 @@
 KEEP_SPARE_S = 1.0  # an idle connection is kept so much longer than its client may use it
 # Before the first configuration nobody is turned away for a limit that it may not have.
 UNCONFIGURED = Limits(
-    max_header_bytes=1 << 18, max_body_bytes=1 << 30, header_timeout_ms=15000.0, idle_timeout_ms=60000.0,
+    max_header_bytes=1 << 18,
+    max_body_bytes=1 << 30,
+    header_timeout_ms=15000.0,
+    idle_timeout_ms=60000.0,
 )
 
 
--- a/rosechute/data/events.py
+++ b/rosechute/data/events.py
@@ -20,7 +20,15 @@
     a repeat. What a run has sent of an event that it never ended is dropped with that run."""
 
     __slots__ = (
-        "last_id", "version", "_number", "_steps_of_one", "_partial", "_begun", "_named", "_run_begins", "_most",
+        "last_id",
+        "version",
+        "_number",
+        "_steps_of_one",
+        "_partial",
+        "_begun",
+        "_named",
+        "_run_begins",
+        "_most",
     )
 
     def __init__(self, last_id: bytes | None, version: bytes | None, most_bytes: int) -> None:
@@ -119,7 +127,7 @@
     events, at = [], 0
     for end in _END.finditer(whole):
         if end.end() > at:
-            events.append(whole[at:end.end()])
+            events.append(whole[at : end.end()])
             at = end.end()
     if at < len(whole):
         events.append(whole[at:])
--- a/rosechute/data/plane.py
+++ b/rosechute/data/plane.py
@@ -43,8 +43,13 @@
     """Takes requests of clients, has them routed, and carries them to servers and back. The requests' desk."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, settings: ProcessSettings, router: RouterPort, quota: QuotaTokens,
-        freshness: Freshness, clock: Callable[[], float] = time.monotonic,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: ProcessSettings,
+        router: RouterPort,
+        quota: QuotaTokens,
+        freshness: Freshness,
+        clock: Callable[[], float] = time.monotonic,
         draw: Callable[[], float] = random.random,
     ) -> None:
         self.loop = loop
@@ -95,8 +100,14 @@
     def clients(self) -> ClientsReport:
         """What it tells of its clients."""
         version = 0 if self._in_force is None else self._in_force.configuration.config_version
-        return ClientsReport(self.ready(), version, len(self.front.listener.connections), len(self.front.requests),
-                             self.budget.used, self.budget.total)
+        return ClientsReport(
+            self.ready(),
+            version,
+            len(self.front.listener.connections),
+            len(self.front.requests),
+            self.budget.used,
+            self.budget.total,
+        )
 
     # --- what the control plane says
 
--- a/rosechute/data/request.py
+++ b/rosechute/data/request.py
@@ -64,8 +64,22 @@
     """One request of a client."""
 
     __slots__ = (
-        "message", "admitted", "ticket", "state", "_context", "_loop", "_attempt", "_answer", "_silence",
-        "_may_have_run", "_last_failure", "_last_result", "_client_paused", "_ends_at", "_end_timer", "outcome",
+        "message",
+        "admitted",
+        "ticket",
+        "state",
+        "_context",
+        "_loop",
+        "_attempt",
+        "_answer",
+        "_silence",
+        "_may_have_run",
+        "_last_failure",
+        "_last_result",
+        "_client_paused",
+        "_ends_at",
+        "_end_timer",
+        "outcome",
     )
 
     def __init__(self, context: RequestContext, message: Message, admitted: Admitted) -> None:
@@ -128,7 +142,12 @@
         self._change(RequestState.CONNECTING)
         admitted = self.admitted
         self._attempt = Attempt(
-            self._context.servers, self._loop, server, self, (REQUEST_ID, admitted.request_id), self.message.stream,
+            self._context.servers,
+            self._loop,
+            server,
+            self,
+            (REQUEST_ID, admitted.request_id),
+            self.message.stream,
             admitted.route.streaming,
         )
         self._attempt.start()
--- a/rosechute/data/servers.py
+++ b/rosechute/data/servers.py
@@ -149,9 +149,15 @@
         if not self._has_room():
             raise OSError("no descriptor is left for servers")
         host, port = split_address(server.address)
-        link = Link(Connection(
-            self._lost, MOST_ANSWER, budget=self._budget, successes=ANY_SUCCESS,
-        ), server)
+        link = Link(
+            Connection(
+                self._lost,
+                MOST_ANSWER,
+                budget=self._budget,
+                successes=ANY_SUCCESS,
+            ),
+            server,
+        )
         link.wire.owner = link
         self._open += 1
         server.links += 1
--- a/rosechute/data/silence.py
+++ b/rosechute/data/silence.py
@@ -35,8 +35,16 @@
     """Watches one request's server for silence, from `start` to `stop`. Times are those of the loop's clock."""
 
     __slots__ = (
-        "answer_begun", "client_paused", "server_heard_at", "client_heard_at", "_loop", "_admitted", "_owner",
-        "_timer", "_timer_at", "_catching_up",
+        "answer_begun",
+        "client_paused",
+        "server_heard_at",
+        "client_heard_at",
+        "_loop",
+        "_admitted",
+        "_owner",
+        "_timer",
+        "_timer_at",
+        "_catching_up",
     )
 
     def __init__(self, loop: asyncio.AbstractEventLoop, admitted: Admitted) -> None:
--- a/rosechute/file/effective.py
+++ b/rosechute/file/effective.py
@@ -16,7 +16,10 @@
 from rosechute.routes.table import Match
 
 HOWS = {
-    "connect-failed": How.CONNECT_FAILED, "full": How.FULL, "reset": How.RESET, "error": How.ERROR,
+    "connect-failed": How.CONNECT_FAILED,
+    "full": How.FULL,
+    "reset": How.RESET,
+    "error": How.ERROR,
     "timeout": How.TIMEOUT,
 }
 HARMLESS = ("connect-failed", "full")  # causes that prove that an attempt had no effect
@@ -43,8 +46,14 @@
         """What platform settings tell."""
         limits = settings.limits
         return cls(
-            {c.name: c for c in settings.classes}, tuple(t.name for t in settings.tenants),
-            limits.max_attempts, limits.second_copies, limits.connect_timeout_ns, sockets, memory_mb, True,
+            {c.name: c for c in settings.classes},
+            tuple(t.name for t in settings.tenants),
+            limits.max_attempts,
+            limits.second_copies,
+            limits.connect_timeout_ns,
+            sockets,
+            memory_mb,
+            True,
         )
 
 
@@ -90,17 +99,24 @@
         """The same for the limiter and the module."""
         route = self.route
         bounds = None
-        if (route.attempts or route.try_timeout or route.second_copy_after or route.retry_on is not None):
+        if route.attempts or route.try_timeout or route.second_copy_after or route.retry_on is not None:
             bounds = Bounds(
-                route.attempts or 0, int(route.try_timeout or 0), int(route.second_copy_after or 0),
+                route.attempts or 0,
+                int(route.try_timeout or 0),
+                int(route.second_copy_after or 0),
                 None if route.retry_on is None else frozenset(HOWS[cause] for cause in route.retry_on),
             )
         budget = route.retry_budget
         return Limits(
-            route.name, self.cls.name, int(route.timeout or 0), bounds,
+            route.name,
+            self.cls.name,
+            int(route.timeout or 0),
+            bounds,
             None if budget is None else Share(budget.ratio, budget.min_per_s),
             None if route.rate is None else rate_of(route.rate),
-            route.max_in_flight or 0, route.max_waiting or 0, route.limit_by,
+            route.max_in_flight or 0,
+            route.max_waiting or 0,
+            route.limit_by,
         )
 
     def latest_repeat_ns(self, connect_ns: int) -> int:
@@ -130,11 +146,17 @@
         yield "second_copy_after", "none" if copy.value is None else shown(copy.value), copy.source
         yield "retry_on", ", ".join(self.retry_on.value) or "none", self.retry_on.source
         budget: Budget | None = self.budget.value
-        yield ("retry_budget", "none" if budget is None else
-               f"{budget.ratio:g} of first attempts, and {budget.min_per_s:g} a second", self.budget.source)
+        yield (
+            "retry_budget",
+            "none" if budget is None else f"{budget.ratio:g} of first attempts, and {budget.min_per_s:g} a second",
+            self.budget.source,
+        )
         rate: RateLimit | None = self.rate.value
-        yield ("rate", "none" if rate is None else f"one in {shown(rate.interval_ns)}, {rate.burst} at once",
-               self.rate.source)
+        yield (
+            "rate",
+            "none" if rate is None else f"one in {shown(rate.interval_ns)}, {rate.burst} at once",
+            self.rate.source,
+        )
         yield "max_in_flight", str(self.max_in_flight), self.max_in_flight.source
         yield "max_waiting", str(self.max_waiting), self.max_waiting.source
         yield "limit_by", str(self.limit_by), self.limit_by.source
@@ -165,8 +187,12 @@
         elif not site.at_hand and told.deadline is not None and told.repeat is not None:
             deadline = int(told.deadline)
             found[told.name] = RequestClass(
-                told.name, int(told.aim or deadline), deadline, repeat=told.repeat,
-                group=told.group or "cell", window_ns=int(told.window or 0),
+                told.name,
+                int(told.aim or deadline),
+                deadline,
+                repeat=told.repeat,
+                group=told.group or "cell",
+                window_ns=int(told.window or 0),
             )
     return found
 
@@ -174,8 +200,11 @@
 def _stricter(known: RequestClass, told: Class) -> RequestClass:
     deadline = int(told.deadline or known.deadline_ns)
     return replace(
-        known, repeat=told.repeat or known.repeat, deadline_ns=deadline,
-        aim_ns=min(int(told.aim or known.aim_ns), deadline), group=told.group or known.group,
+        known,
+        repeat=told.repeat or known.repeat,
+        deadline_ns=deadline,
+        aim_ns=min(int(told.aim or known.aim_ns), deadline),
+        group=told.group or known.group,
         window_ns=int(told.window or known.window_ns),
     )
 
@@ -188,11 +217,17 @@
 
 def match_of(route: Route) -> Match:
     """Which requests a route is for; ValueError where its path is none."""
-    headers = tuple(sorted((name.lower().encode("latin-1", "replace"), value.encode("latin-1", "replace"))
-                           for name, value in route.headers.items()))
+    headers = tuple(
+        sorted(
+            (name.lower().encode("latin-1", "replace"), value.encode("latin-1", "replace"))
+            for name, value in route.headers.items()
+        )
+    )
     return Match(
-        parse(route.path), route.method.encode() if route.method else None,
-        route.tenant.encode("utf-8", "replace") if route.tenant is not None else None, headers,
+        parse(route.path),
+        route.method.encode() if route.method else None,
+        route.tenant.encode("utf-8", "replace") if route.tenant is not None else None,
+        headers,
     )
 
 
@@ -215,8 +250,14 @@
     most = site.max_attempts if site.max_attempts is not None else 1
     source = "settings: limits.maxAttempts" if site.max_attempts is not None else "default, without settings"
     return Effective(
-        index, route, match, cls, f"{at}: class" if route.class_ else "the path's first part",
-        timeout, own("try_timeout", route.try_timeout), own("attempts", route.attempts, most, source),
+        index,
+        route,
+        match,
+        cls,
+        f"{at}: class" if route.class_ else "the path's first part",
+        timeout,
+        own("try_timeout", route.try_timeout),
+        own("attempts", route.attempts, most, source),
         own("second_copy_after", route.second_copy_after),
         own("retry_on", route.retry_on, allowed_causes(cls), f"class {cls.name}: all it allows"),
         own("retry_budget", route.retry_budget),
--- a/rosechute/file/problems.py
+++ b/rosechute/file/problems.py
@@ -35,8 +35,11 @@
 
 def brief(value: Any) -> str:
     """A value in one short line."""
-    text = repr(str(value)) if isinstance(value, int) and type(value) is not int and type(value) is not bool \
+    text = (
+        repr(str(value))
+        if isinstance(value, int) and type(value) is not int and type(value) is not bool
         else repr(value)
+    )
     return text if len(text) <= 80 else f"{text[:77]}..."
 
 
--- a/rosechute/file/proof.py
+++ b/rosechute/file/proof.py
@@ -82,7 +82,8 @@
         except ValueError as error:
             problems.append(Problem(f"route[{i}].path", route.path, str(error)))
     routes = tuple(
-        found for i, match in matches.items()
+        found
+        for i, match in matches.items()
         if (found := effective(i, file.route[i], match, classes, site)) is not None
     )
     case = Case(file, site, classes, matches, routes)
@@ -111,8 +112,9 @@
             yield Problem(at, told.name, f"class[{seen[told.name]}] has the same name")
         seen.setdefault(told.name, i)
         if case.site.at_hand and told.name not in case.site.classes:
-            yield Problem(at, told.name,
-                          f"the platform's settings have no such class{nearest(told.name, case.site.classes)}")
+            yield Problem(
+                at, told.name, f"the platform's settings have no such class{nearest(told.name, case.site.classes)}"
+            )
 
 
 def check_class_whole(case: Case) -> Iterator[Problem]:
@@ -122,11 +124,15 @@
     for i, told in enumerate(case.file.class_):
         for key in ("repeat", "deadline"):
             if getattr(told, key) is None:
-                yield Problem(f"class[{i}].{key}", None,
-                              "it is missing, and no platform settings are at hand to take it from")
+                yield Problem(
+                    f"class[{i}].{key}", None, "it is missing, and no platform settings are at hand to take it from"
+                )
         if told.repeat == "guarded" and told.window is None:
-            yield Problem(f"class[{i}].window", None,
-                          "a guarded class needs to say for how long its key holds (no effect doubled)")
+            yield Problem(
+                f"class[{i}].window",
+                None,
+                "a guarded class needs to say for how long its key holds (no effect doubled)",
+            )
         if told.aim is not None and told.deadline is not None and told.aim > told.deadline:
             yield Problem(f"class[{i}].aim", told.aim, f"it is after the deadline of {told.deadline}")
 
@@ -140,23 +146,36 @@
         at = f"class[{i}]"
         if told.repeat is not None and told.repeat != known.repeat:
             if REPEATS.index(told.repeat) < REPEATS.index(known.repeat):
-                yield Problem(f"{at}.repeat", told.repeat, f"the platform has it as {known.repeat}, and a file "
-                              "may only be stricter (no effect doubled)")
+                yield Problem(
+                    f"{at}.repeat",
+                    told.repeat,
+                    f"the platform has it as {known.repeat}, and a file may only be stricter (no effect doubled)",
+                )
             elif told.repeat == "guarded":
-                yield Problem(f"{at}.repeat", told.repeat, "requests of this class carry no key that could "
-                              "guard a repeat (no effect doubled)")
+                yield Problem(
+                    f"{at}.repeat",
+                    told.repeat,
+                    "requests of this class carry no key that could guard a repeat (no effect doubled)",
+                )
         for key, mine, theirs, rule in (
             ("deadline", told.deadline, known.deadline_ns, "the client's give-up time: one final answer"),
             ("aim", told.aim, known.aim_ns, "limits of the site"),
             ("window", told.window, known.window_ns, "no effect doubled"),
         ):
             if mine is not None and mine > theirs:
-                yield Problem(f"{at}.{key}", mine, f"the platform has {shown(theirs)}, and a file may only be "
-                              f"stricter ({rule})")
-        if told.group is not None and known.repeat == "guarded" \
-                and GROUPS.index(told.group) < GROUPS.index(known.group):
-            yield Problem(f"{at}.group", told.group, f"the platform has {known.group}: a key is known there "
-                          "and nowhere else (no effect doubled)")
+                yield Problem(
+                    f"{at}.{key}", mine, f"the platform has {shown(theirs)}, and a file may only be stricter ({rule})"
+                )
+        if (
+            told.group is not None
+            and known.repeat == "guarded"
+            and GROUPS.index(told.group) < GROUPS.index(known.group)
+        ):
+            yield Problem(
+                f"{at}.group",
+                told.group,
+                f"the platform has {known.group}: a key is known there and nowhere else (no effect doubled)",
+            )
         deadline = told.deadline or known.deadline_ns
         if told.aim is not None and told.aim > deadline:
             yield Problem(f"{at}.aim", told.aim, f"it is after the deadline of {shown(deadline)}")
@@ -181,11 +200,15 @@
         first = first_part(match.pattern)
         if route.class_ is None:
             if first not in case.classes:
-                yield Problem(f"route[{i}].path", route.path, f"it can never match: its first part names no "
-                              f"class{nearest(first, case.classes)}")
+                yield Problem(
+                    f"route[{i}].path",
+                    route.path,
+                    f"it can never match: its first part names no class{nearest(first, case.classes)}",
+                )
         elif route.class_ not in case.classes:
-            yield Problem(f"route[{i}].class", route.class_,
-                          f"there is no such class{nearest(route.class_, case.classes)}")
+            yield Problem(
+                f"route[{i}].class", route.class_, f"there is no such class{nearest(route.class_, case.classes)}"
+            )
 
 
 def check_path_class(case: Case) -> Iterator[Problem]:
@@ -195,8 +218,12 @@
         route = case.file.route[i]
         first = first_part(match.pattern)
         if route.class_ is not None and first in case.classes and first != route.class_:
-            yield Problem(f"route[{i}].class", route.class_, f"requests below /{first} are of the class "
-                          f"{first!r}, and no route can give them another (no effect doubled)")
+            yield Problem(
+                f"route[{i}].class",
+                route.class_,
+                f"requests below /{first} are of the class "
+                f"{first!r}, and no route can give them another (no effect doubled)",
+            )
 
 
 def check_reachable(case: Case) -> Iterator[Problem]:
@@ -208,8 +235,12 @@
         form = case.site.classes.get(found.cls.name, found.cls)
         method = "GET" if form.repeat == "free" else "POST"
         if route.method is not None and route.method != method:
-            yield Problem(f"{at}.method", route.method, f"it can never match: requests of the class "
-                          f"{form.name!r}, which is {form.repeat}, are sent with {method}")
+            yield Problem(
+                f"{at}.method",
+                route.method,
+                f"it can never match: requests of the class "
+                f"{form.name!r}, which is {form.repeat}, are sent with {method}",
+            )
 
 
 def check_ambiguous(case: Case) -> Iterator[Problem]:
@@ -218,9 +249,12 @@
     for one, two in ambiguous([case.matches[i] for i in places]):
         first, second = places[one], places[two]
         name = case.file.route[first].name
-        yield Problem(f"route[{second}]", case.file.route[second].name,
-                      f"a request could match both this and route[{first}] ({name!r}), and neither is the more "
-                      "specific; name a method, a tenant or one more header in one of them")
+        yield Problem(
+            f"route[{second}]",
+            case.file.route[second].name,
+            f"a request could match both this and route[{first}] ({name!r}), and neither is the more "
+            "specific; name a method, a tenant or one more header in one of them",
+        )
 
 
 def check_headers(case: Case) -> Iterator[Problem]:
@@ -236,8 +270,9 @@
             elif name.lower() in seen:
                 yield Problem(at, value, "the same header stands there twice")
             if not value.isascii() or not value.isprintable() or value != value.strip():
-                yield Problem(at, value, "it can never match: a header's value is printable ASCII without "
-                              "spaces around it")
+                yield Problem(
+                    at, value, "it can never match: a header's value is printable ASCII without spaces around it"
+                )
             seen.add(name.lower())
 
 
@@ -248,8 +283,11 @@
         return
     for i, route in enumerate(case.file.route):
         if route.tenant is not None and route.tenant not in tenants:
-            yield Problem(f"route[{i}].tenant", route.tenant,
-                          f"the settings have no such tenant{nearest(route.tenant, tenants)}")
+            yield Problem(
+                f"route[{i}].tenant",
+                route.tenant,
+                f"the settings have no such tenant{nearest(route.tenant, tenants)}",
+            )
         if route.limit_by == "tenant" and not tenants:
             yield Problem(f"route[{i}].limit_by", "tenant", "the settings name no tenants")
 
@@ -265,14 +303,24 @@
             continue
         known = case.site.classes.get(found.cls.name)
         if known is not None and told > known.deadline_ns:
-            yield Problem(at, told, f"clients of the class {known.name!r} give up after "
-                          f"{shown(known.deadline_ns)} (one final answer)")
+            yield Problem(
+                at,
+                told,
+                f"clients of the class {known.name!r} give up after {shown(known.deadline_ns)} (one final answer)",
+            )
         elif told > found.cls.deadline_ns:
-            yield Problem(at, told, f"the deadline of the class {found.cls.name!r} is "
-                          f"{shown(found.cls.deadline_ns)} (one final answer)")
+            yield Problem(
+                at,
+                told,
+                f"the deadline of the class {found.cls.name!r} is {shown(found.cls.deadline_ns)} (one final answer)",
+            )
         if told < LEAST_NS:
-            yield Problem(at, told, f"it leaves a server no time: {shown(MARGIN_NS)} of it are kept for the "
-                          f"answer's way back, and {shown(LEAST_NS)} is the least")
+            yield Problem(
+                at,
+                told,
+                f"it leaves a server no time: {shown(MARGIN_NS)} of it are kept for the "
+                f"answer's way back, and {shown(LEAST_NS)} is the least",
+            )
 
 
 def check_try_timeout(case: Case) -> Iterator[Problem]:
@@ -280,9 +328,12 @@
     for found in case.routes:
         told = found.route.try_timeout
         if told is not None and told > found.timeout_ns.value:
-            yield Problem(f"route[{found.index}].try_timeout", told,
-                          f"one attempt can't take longer than the request, which has "
-                          f"{shown(found.timeout_ns.value)} by {found.timeout_ns.source}")
+            yield Problem(
+                f"route[{found.index}].try_timeout",
+                told,
+                f"one attempt can't take longer than the request, which has "
+                f"{shown(found.timeout_ns.value)} by {found.timeout_ns.source}",
+            )
 
 
 # --- repeats
@@ -294,13 +345,15 @@
     for found in case.routes:
         route, at = found.route, f"route[{found.index}]"
         if most is not None and route.attempts is not None and route.attempts > most:
-            yield Problem(f"{at}.attempts", route.attempts,
-                          f"the settings allow {most} in all (limits of the site)")
+            yield Problem(f"{at}.attempts", route.attempts, f"the settings allow {most} in all (limits of the site)")
         if route.attempts == 1:
             for key in ("second_copy_after", "retry_on", "retry_budget"):
                 if getattr(route, key) is not None:
-                    yield Problem(f"{at}.{key}", getattr(route, key) if key != "retry_budget" else None,
-                                  "attempts = 1 leaves it nothing to act on")
+                    yield Problem(
+                        f"{at}.{key}",
+                        getattr(route, key) if key != "retry_budget" else None,
+                        "attempts = 1 leaves it nothing to act on",
+                    )
 
 
 def check_causes(case: Case) -> Iterator[Problem]:
@@ -309,10 +362,13 @@
         told = found.route.retry_on
         wrong = [cause for cause in told or () if cause not in allowed_causes(found.cls)]
         if wrong:
-            yield Problem(f"route[{found.index}].retry_on", list(told or ()),
-                          f"after {' or '.join(wrong)} a request of the class {found.cls.name!r} may have run, "
-                          f"and single_shot must never run twice; only {' and '.join(HARMLESS)} prove that it "
-                          "has not (no effect doubled)")
+            yield Problem(
+                f"route[{found.index}].retry_on",
+                list(told or ()),
+                f"after {' or '.join(wrong)} a request of the class {found.cls.name!r} may have run, "
+                f"and single_shot must never run twice; only {' and '.join(HARMLESS)} prove that it "
+                "has not (no effect doubled)",
+            )
 
 
 def check_copies(case: Case) -> Iterator[Problem]:
@@ -323,8 +379,12 @@
         if told is None:
             continue
         if cls.repeat == "single_shot":
-            yield Problem(at, told, f"a second copy of the class {cls.name!r} could run beside the first, and "
-                          "single_shot must never run twice (no effect doubled)")
+            yield Problem(
+                at,
+                told,
+                f"a second copy of the class {cls.name!r} could run beside the first, and "
+                "single_shot must never run twice (no effect doubled)",
+            )
         elif case.site.second_copies is False:
             yield Problem(at, told, "the settings allow no second copies (limits of the site)")
         limit = min(int(found.try_ns.value or LONGEST_NS), int(found.timeout_ns.value))
@@ -342,14 +402,24 @@
             continue
         route, at = found.route, f"route[{found.index}]"
         key, value = next(
-            ((key, told) for key, told in (("try_timeout", route.try_timeout), ("attempts", route.attempts),
-                                           ("timeout", route.timeout)) if told is not None),
+            (
+                (key, told)
+                for key, told in (
+                    ("try_timeout", route.try_timeout),
+                    ("attempts", route.attempts),
+                    ("timeout", route.timeout),
+                )
+                if told is not None
+            ),
             ("name", route.name),
         )
-        yield Problem(f"{at}.{key}", value,
-                      f"attempt {found.attempts} could be sent {shown(latest)} after the first, connecting "
-                      f"included, {shown(latest - cls.window_ns)} past the window of {shown(cls.window_ns)} in "
-                      f"which the key of {cls.name!r} holds (no effect doubled)")
+        yield Problem(
+            f"{at}.{key}",
+            value,
+            f"attempt {found.attempts} could be sent {shown(latest)} after the first, connecting "
+            f"included, {shown(latest - cls.window_ns)} past the window of {shown(cls.window_ns)} in "
+            f"which the key of {cls.name!r} holds (no effect doubled)",
+        )
 
 
 # --- limits
@@ -366,19 +436,30 @@
         if sockets is not None and flight:
             clients, servers = descriptors(sockets)
             if flight > servers:
-                yield Problem(f"{at}.max_in_flight", flight, f"of {sockets} descriptors {servers} are for "
-                              "connections to servers: it could never be reached (limits of the site)")
+                yield Problem(
+                    f"{at}.max_in_flight",
+                    flight,
+                    f"of {sockets} descriptors {servers} are for "
+                    "connections to servers: it could never be reached (limits of the site)",
+                )
             elif flight + waiting > clients:
-                yield Problem(f"{at}.max_waiting", waiting, f"of {sockets} descriptors {clients} are for "
-                              f"clients: {flight} in flight and {waiting} waiting do not fit (limits of the "
-                              "site)")
+                yield Problem(
+                    f"{at}.max_waiting",
+                    waiting,
+                    f"of {sockets} descriptors {clients} are for "
+                    f"clients: {flight} in flight and {waiting} waiting do not fit (limits of the "
+                    "site)",
+                )
         if memory is not None and flight:
             room = max(0, memory - PROGRAM_MB) * (1 << 20) // SLACK
             need = (flight + waiting) * OPEN_BYTES
             if need > room:
-                yield Problem(f"{at}.{'max_waiting' if waiting else 'max_in_flight'}", waiting or flight,
-                              f"so many open requests take about {need >> 20} MB, and of {memory} MB "
-                              f"{room >> 20} are there for them (limits of the site)")
+                yield Problem(
+                    f"{at}.{'max_waiting' if waiting else 'max_in_flight'}",
+                    waiting or flight,
+                    f"so many open requests take about {need >> 20} MB, and of {memory} MB "
+                    f"{room >> 20} are there for them (limits of the site)",
+                )
 
 
 def check_rates(case: Case) -> Iterator[Problem]:
@@ -389,15 +470,41 @@
             continue
         per_day = (rate.per_s or 0) * 86_400 + (rate.per_min or 0) * 1440 + (rate.per_h or 0) * 24
         if per_day * 366 < rate.burst or per_day < 1:
-            yield Problem(f"route[{i}].rate", brief({k: v for k, v in (
-                ("per_s", rate.per_s), ("per_min", rate.per_min), ("per_h", rate.per_h),
-                ("burst", rate.burst)) if v is not None}),
-                "a bucket that slow would not fill again: one call a day, and a full bucket in a year, are "
-                "the least")
+            yield Problem(
+                f"route[{i}].rate",
+                brief(
+                    {
+                        k: v
+                        for k, v in (
+                            ("per_s", rate.per_s),
+                            ("per_min", rate.per_min),
+                            ("per_h", rate.per_h),
+                            ("burst", rate.burst),
+                        )
+                        if v is not None
+                    }
+                ),
+                "a bucket that slow would not fill again: one call a day, and a full bucket in a year, are the least",
+            )
 
 
 CHECKS: tuple[Check, ...] = (
-    check_class_names, check_class_whole, check_class_stricter, check_route_names, check_route_class,
-    check_path_class, check_reachable, check_ambiguous, check_headers, check_tenants, check_timeout,
-    check_try_timeout, check_attempts, check_causes, check_copies, check_window, check_limits, check_rates,
+    check_class_names,
+    check_class_whole,
+    check_class_stricter,
+    check_route_names,
+    check_route_class,
+    check_path_class,
+    check_reachable,
+    check_ambiguous,
+    check_headers,
+    check_tenants,
+    check_timeout,
+    check_try_timeout,
+    check_attempts,
+    check_causes,
+    check_copies,
+    check_window,
+    check_limits,
+    check_rates,
 )
--- a/rosechute/file/reading.py
+++ b/rosechute/file/reading.py
@@ -29,8 +29,10 @@
     (re.compile(r"Expected `(?:int|float)` >= (\S+)"), r"must be \1 or more"),
     (re.compile(r"Expected `(?:int|float)` > (\S+)"), r"must be above \1"),
     (re.compile(r"Expected `(?:int|float)` <= (\S+)"), r"must be \1 or less"),
-    (re.compile(r"Expected `str` matching regex .*"),
-     "must be up to 64 letters, digits, dots, dashes and underscores, the first a letter or digit"),
+    (
+        re.compile(r"Expected `str` matching regex .*"),
+        "must be up to 64 letters, digits, dots, dashes and underscores, the first a letter or digit",
+    ),
     (re.compile(r"Integer value out of range"), "is too large"),
 )
 T = TypeVar("T", bound=Struct)
@@ -51,8 +53,9 @@
         try:
             text = text.decode("utf-8")
         except UnicodeDecodeError as error:
-            raise FileError([Problem("", None, f"it is not UTF-8 text: {error.reason} at byte {error.start}")]) \
-                from None
+            raise FileError(
+                [Problem("", None, f"it is not UTF-8 text: {error.reason} at byte {error.start}")]
+            ) from None
     try:
         raw = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
--- a/rosechute/lab/clients.py
+++ b/rosechute/lab/clients.py
@@ -38,8 +38,9 @@
 class Clients:
     """All clients of a run. Arrivals are a Poisson process whose rate follows the shape, by thinning."""
 
-    def __init__(self, engine: Engine, scenario: Scenario, streams: Streams, instances: Sequence[Host],
-                 trace: Trace) -> None:
+    def __init__(
+        self, engine: Engine, scenario: Scenario, streams: Streams, instances: Sequence[Host], trace: Trace
+    ) -> None:
         self._engine, self._set, self._spec = engine, scenario, scenario.clients
         self._instances, self._trace = instances, trace
         self._coming, self._what, self._who = streams.of("arrivals"), streams.of("classes"), streams.of("clients")
--- a/rosechute/lab/cold.py
+++ b/rosechute/lab/cold.py
@@ -49,8 +49,10 @@
 
     def __str__(self) -> str:
         told = "late" if self.late else "soon"
-        return (f"{self.instances} instances, {self.starts} cold, told {told}, heavy {self.heavy}, "
-                f"reports {self.reports}, burst {self.burst}, use {self.use}, {self.settings}")
+        return (
+            f"{self.instances} instances, {self.starts} cold, told {told}, heavy {self.heavy}, "
+            f"reports {self.reports}, burst {self.burst}, use {self.use}, {self.settings}"
+        )
 
 
 def scenario(case: Case, seconds: int = 15) -> Scenario:
@@ -68,17 +70,31 @@
     # All of them at once is an outage; a deploy has them cold at the same time, too, if it is quick.
     lasts = Span(6 * SECOND_NS if everyone else 200 * MS)
     return Scenario(
-        "cold", str(case), duration=Span(seconds * SECOND_NS),
-        clients=Clients(rate=rate, retries=1, heavy=0 if case.heavy == "fresh" else case.instances - 1,
-                        heaviest=10.0),
+        "cold",
+        str(case),
+        duration=Span(seconds * SECOND_NS),
+        clients=Clients(
+            rate=rate, retries=1, heavy=0 if case.heavy == "fresh" else case.instances - 1, heaviest=10.0
+        ),
         fleet=Fleet(
-            servers=servers, zones=2, cores=fleet.cores, slots=fleet.slots, room=fleet.room, speed=fleet.speed,
-            cold_from=fleet.cold_from, cold=fleet.cold, fall_multiple=UNBREAKABLE, fall=fleet.fall,
-            reports="some" if case.reports == "probes" else case.reports),  # type: ignore[arg-type]
+            servers=servers,
+            zones=2,
+            cores=fleet.cores,
+            slots=fleet.slots,
+            room=fleet.room,
+            speed=fleet.speed,
+            cold_from=fleet.cold_from,
+            cold=fleet.cold,
+            fall_multiple=UNBREAKABLE,
+            fall=fleet.fall,
+            reports="some" if case.reports == "probes" else case.reports,  # type: ignore[arg-type]
+        ),
         instances=Instances(count=case.instances, restart=Span(500 * MS), probes=case.reports == "probes"),
         discovery=Discovery(late=Span(3 * SECOND_NS) if case.late else None),
-        classes=(Class("free", share=0.7, work=work), Class("guarded", share=0.3, work=work, repeat="guarded",
-                                                             group="zone")),
+        classes=(
+            Class("free", share=0.7, work=work),
+            Class("guarded", share=0.3, work=work, repeat="guarded", group="zone"),
+        ),
         faults=(
             Fault("rolling-deploy", at=Span(AT - 2 * away), lasts=lasts, share=STARTS[case.starts], pause=away),
             Fault("mass-restart", at=Span(AT - 500 * MS), share=0.5),
--- a/rosechute/lab/draw.py
+++ b/rosechute/lab/draw.py
@@ -24,8 +24,9 @@
     def _maker(self, kind: int) -> np.random.Generator:
         made = self._makers.get(kind)
         if made is None:
-            made = self._makers[kind] = np.random.Generator(np.random.PCG64(
-                np.random.SeedSequence(entropy=self._key[0], spawn_key=(self._key[1], kind))))
+            made = self._makers[kind] = np.random.Generator(
+                np.random.PCG64(np.random.SeedSequence(entropy=self._key[0], spawn_key=(self._key[1], kind)))
+            )
         return made
 
     def uniform(self) -> float:
--- a/rosechute/lab/faults.py
+++ b/rosechute/lab/faults.py
@@ -57,12 +57,24 @@
         self._shared: dict[int, float] = {}  # level of each shared-slow fault that acts
         self._lasting: set[int] = set()  # those whose cause is over, and that the load keeps up
         self._kinds: dict[str, Callable[[int, Fault, float], None]] = {
-            "slow": self._slow, "hang": self._hang, "grey": self._grey, "crash-loop": self._crash_loop,
-            "rolling-deploy": self._deploy, "mass-restart": self._mass_restart, "shared-slow": self._shared_slow,
-            "tenant-burst": self._burst, "load": self._load, "zone-loss": self._zone_loss,
-            "partition": self._partition, "one-way-cut": self._one_way, "loss": self._loss,
-            "discovery-down": self._discovery_down, "discovery-stale": self._stale, "discovery-lies": self._lies,
-            "false-reports": self._false, "drain": self._drain,
+            "slow": self._slow,
+            "hang": self._hang,
+            "grey": self._grey,
+            "crash-loop": self._crash_loop,
+            "rolling-deploy": self._deploy,
+            "mass-restart": self._mass_restart,
+            "shared-slow": self._shared_slow,
+            "tenant-burst": self._burst,
+            "load": self._load,
+            "zone-loss": self._zone_loss,
+            "partition": self._partition,
+            "one-way-cut": self._one_way,
+            "loss": self._loss,
+            "discovery-down": self._discovery_down,
+            "discovery-stale": self._stale,
+            "discovery-lies": self._lies,
+            "false-reports": self._false,
+            "drain": self._drain,
         }
         for change in schedule(self._faults):
             world.engine.at(change.at_ns, self._change, change)
@@ -81,8 +93,10 @@
                 chosen = [s for s in fault.servers if s < count]
             else:
                 left = list(range(count))
-                chosen = [left.pop(self._stream.below(len(left)))
-                          for _ in range(max(1, min(count, round(fault.share * count))))]
+                chosen = [
+                    left.pop(self._stream.below(len(left)))
+                    for _ in range(max(1, min(count, round(fault.share * count))))
+                ]
             self._targets[number] = sorted(chosen)
         return self._targets[number] if level else self._targets.pop(number, [])
 
@@ -123,8 +137,9 @@
             fault = self._faults[number]
             self._world.crash(target, fault.pause)
             # It lives twice as long as it is away, by chance.
-            self._world.engine.after(fault.pause + int(2 * fault.pause * self._stream.exponential()) + 1,
-                                     self._crash, told)
+            self._world.engine.after(
+                fault.pause + int(2 * fault.pause * self._stream.exponential()) + 1, self._crash, told
+            )
 
     def _deploy(self, number: int, fault: Fault, level: float) -> None:
         """Each server in turn is drained, stopped and started anew, evenly over the time that the deploy lasts."""
@@ -150,7 +165,7 @@
     def _mass_restart(self, number: int, fault: Fault, level: float) -> None:
         if level:
             instances = self._world.instances
-            for instance in instances[:max(1, round(fault.share * len(instances)))]:
+            for instance in instances[: max(1, round(fault.share * len(instances)))]:
                 self._world.restart(instance)
 
     def _shared_slow(self, number: int, fault: Fault, level: float) -> None:
--- a/rosechute/lab/figures.py
+++ b/rosechute/lab/figures.py
@@ -101,8 +101,9 @@
         """All figures, as plain data."""
         classes = self._set.classes
         total = sum(classes[cls].worth for _, cls, _ in self._wanted.values())
-        lags = np.concatenate([np.frombuffer(lag, dtype=np.int64) for lag in self._lags if lag] or
-                              [np.zeros(0, dtype=np.int64)])
+        lags = np.concatenate(
+            [np.frombuffer(lag, dtype=np.int64) for lag in self._lags if lag] or [np.zeros(0, dtype=np.int64)]
+        )
         ends = {name: sum(row[name] for row in self._ends) for name in ENDINGS.values()}
         tenants: dict[int, list[float]] = {}
         for origin, (_, cls, tenant) in self._wanted.items():
@@ -120,8 +121,10 @@
             **{f"p{q:g}_ms": float(np.percentile(lags, q)) / 1e6 if lags.size else 0.0 for q in (50, 90, 99, 99.9)},
             "mean_ms": float(lags.mean()) / 1e6 if lags.size else 0.0,
             "tenants": {str(t): got / want for t, (want, got) in sorted(tenants.items())},
-            "classes": {c.name: {**self._ends[i], "late": self._late[i], "p99_ms": _p99_ms(self._lags[i])}
-                        for i, c in enumerate(classes)},
+            "classes": {
+                c.name: {**self._ends[i], "late": self._late[i], "p99_ms": _p99_ms(self._lags[i])}
+                for i, c in enumerate(classes)
+            },
         }
 
     def histogram(self) -> HdrHistogram:
--- a/rosechute/lab/instance.py
+++ b/rosechute/lab/instance.py
@@ -71,8 +71,16 @@
 
     __slots__ = ("rid", "tid", "cls", "key", "work", "client", "until", "attempts", "out", "ended", "tell")
 
-    def __init__(self, rid: int, cls: int, key: int, work: float, client: int, until: int,
-                 tell: Callable[[Request, int, int], None]) -> None:
+    def __init__(
+        self,
+        rid: int,
+        cls: int,
+        key: int,
+        work: float,
+        client: int,
+        until: int,
+        tell: Callable[[Request, int, int], None],
+    ) -> None:
         self.rid, self.tid, self.cls, self.key, self.work, self.client = rid, str(rid), cls, key, work, client
         self.until = until
         self.attempts = 0
@@ -110,8 +118,19 @@
     """Hosts a policy. `life` counts its processes: what belongs to an earlier one is void."""
 
     def __init__(
-        self, number: int, zone: int, engine: Engine, spec: Instances, servers: dict[str, Server], paths: Paths,
-        listing: Listing, trace: Trace, make: Callable[[int, int], Policy], reports: bool, handshake: int, cap: int,
+        self,
+        number: int,
+        zone: int,
+        engine: Engine,
+        spec: Instances,
+        servers: dict[str, Server],
+        paths: Paths,
+        listing: Listing,
+        trace: Trace,
+        make: Callable[[int, int], Policy],
+        reports: bool,
+        handshake: int,
+        cap: int,
     ) -> None:
         self.number, self.zone = number, zone
         self._engine, self._servers, self._paths = engine, servers, paths
@@ -128,8 +147,15 @@
         self._inbox: deque[Event] = deque()
         self._handling = False
         self._perform: dict[type, Callable[..., None]] = {
-            Submit: self._submit, Refuse: self._refuse, Fail: self._fail, Defer: self._defer, Retract: self._retract,
-            Probe: self._probe, Subscribe: self._subscribe, Fetch: self._fetch, CloseIdle: self._close_idle,
+            Submit: self._submit,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Defer: self._defer,
+            Retract: self._retract,
+            Probe: self._probe,
+            Subscribe: self._subscribe,
+            Fetch: self._fetch,
+            CloseIdle: self._close_idle,
         }
 
     # --- its life
@@ -191,8 +217,9 @@
         for entry in news.entries:
             self._last[entry.server] = entry
             state = STATES.get(entry.lifecycle, GONE)
-            self._trace.add((self._engine.now, TOLD, self.number, self._servers[entry.server].number, state,
-                             entry.started_ns))
+            self._trace.add(
+                (self._engine.now, TOLD, self.number, self._servers[entry.server].number, state, entry.started_ns)
+            )
         self.deliver(news)
 
     def take(self, request: Request, tenant: int, retry: bool) -> None:
@@ -266,8 +293,16 @@
         server = attempt.server
         delay = self._paths.delay(self.number, server.number, TO, self.zone == server.zone)
         if delay is not None:
-            attempt.job = Job(attempt.request.rid, attempt.number, attempt.request.cls, attempt.request.key,
-                              attempt.request.work + more, self.number, attempt, self._done)
+            attempt.job = Job(
+                attempt.request.rid,
+                attempt.number,
+                attempt.request.cls,
+                attempt.request.key,
+                attempt.request.work + more,
+                self.number,
+                attempt,
+                self._done,
+            )
             self._engine.after(delay, self._arrive, attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
@@ -280,8 +315,9 @@
             self._reply(attempt, RESET)
             return
         taken = server.arrive(job)
-        self._trace.add((self._engine.now, ARRIVE, request.rid, attempt.number, server.number, self.number,
-                         job.work, int(taken)))
+        self._trace.add(
+            (self._engine.now, ARRIVE, request.rid, attempt.number, server.number, self.number, job.work, int(taken))
+        )
         if not taken:
             self._reply(attempt, FULL)
 
@@ -331,8 +367,9 @@
         self._trace.add((now, OUTCOME, request.rid, attempt.number, int(how)))
         if how is OK and not request.ended:
             self._close(request, SERVED, 0)
-        self.deliver(Response(request.tid, how, now - attempt.at, server.name, attempt.number, request.ended,
-                              load or {}))
+        self.deliver(
+            Response(request.tid, how, now - attempt.at, server.name, attempt.number, request.ended, load or {})
+        )
         self._forget(request)
 
     def _returned(self, attempt: Attempt, how: How) -> None:
--- a/rosechute/lab/judge.py
+++ b/rosechute/lab/judge.py
@@ -264,5 +264,3 @@
         if total > bears and sum((w for _, w, told in arrived if told), 0.0) >= total * 2 / 3:
             self._judged.add((server, began))
             self._breach("cold", f"server {server}, up since {began}, was sent {total / bears:.2f} of what it bears")
-
-
--- a/rosechute/lab/load.py
+++ b/rosechute/lab/load.py
@@ -50,8 +50,9 @@
     return Target(host, port, (parts.path or "/") + (f"?{parts.query}" if parts.query else ""))
 
 
-def due(rate: float, seconds: float, shape: str = "flat", depth: float = 0.5, period_s: float = 10.0,
-        seed: int = 1) -> list[float]:
+def due(
+    rate: float, seconds: float, shape: str = "flat", depth: float = 0.5, period_s: float = 10.0, seed: int = 1
+) -> list[float]:
     """When requests are due, in seconds from the start: a Poisson process whose rate follows the shape. Pure.
 
     Raises ValueError past `MOST_RATE` and `MOST_S`.
@@ -79,8 +80,9 @@
         """Figures and their values, for a person."""
         shown = [("due", str(self.asked)), ("not sent", str(self.not_sent)), ("unanswered", str(self.unanswered))]
         shown += [(f"status {status}", str(count)) for status, count in sorted(self.statuses.items())]
-        shown += [(f"p{q:g}", f"{self.times.get_value_at_percentile(q) / 1000:.3f} ms")
-                  for q in (50, 90, 99, 99.9, 100)]
+        shown += [
+            (f"p{q:g}", f"{self.times.get_value_at_percentile(q) / 1000:.3f} ms") for q in (50, 90, 99, 99.9, 100)
+        ]
         return [*shown, ("sent late by up to", f"{self.most_behind_s * 1000:.1f} ms")]
 
 
@@ -132,8 +134,14 @@
     def __init__(self, to: Target, times: list[float], method: str, headers: list[str]) -> None:
         self.loop = asyncio.get_running_loop()
         self.to, self.times = to, times
-        self.head = "\r\n".join([f"{method} {to.path} HTTP/1.1", f"Host: {to.host}:{to.port}", *headers,
-                                 *(["Content-Length: 0"] if method == "POST" else [])])
+        self.head = "\r\n".join(
+            [
+                f"{method} {to.path} HTTP/1.1",
+                f"Host: {to.host}:{to.port}",
+                *headers,
+                *(["Content-Length: 0"] if method == "POST" else []),
+            ]
+        )
         self.found = Loaded()
         self.idle: deque[_Connection] = deque()
         self.open = 0
--- a/rosechute/lab/reading.py
+++ b/rosechute/lab/reading.py
@@ -40,8 +40,9 @@
         check(scenario, reader)
         if not reader.problems:
             return scenario
-    raise FileError(p._replace(path=p.path.lstrip("."), line=line_of(p.path.lstrip("."), lines or {}))
-                    for p in reader.problems)
+    raise FileError(
+        p._replace(path=p.path.lstrip("."), line=line_of(p.path.lstrip("."), lines or {})) for p in reader.problems
+    )
 
 
 def check(scenario: Scenario, reader: Reader) -> None:
--- a/rosechute/lab/real/asking.py
+++ b/rosechute/lab/real/asking.py
@@ -41,8 +41,9 @@
 class Sidecar:
     """One instance of a run, as a process. `rosechute.lab.host.Host` says what for."""
 
-    def __init__(self, number: int, zone: int, engine: Engine, pump: Pump, trace: Trace, classes: Sequence[Class],
-                 known: Known) -> None:
+    def __init__(
+        self, number: int, zone: int, engine: Engine, pump: Pump, trace: Trace, classes: Sequence[Class], known: Known
+    ) -> None:
         self.number, self.zone = number, zone
         self.up = False
         self.requests: dict[str, Request] = {}
@@ -93,8 +94,15 @@
 
     def _put(self, entry: Entry) -> None:
         _, port, since_ms = self._known.place(entry.server)
-        self.discovery.put(entry.server, port, STATUSES[entry.lifecycle], since_ms, zone=f"z{entry.zone}",
-                           group=entry.cell, weight=entry.weight)
+        self.discovery.put(
+            entry.server,
+            port,
+            STATUSES[entry.lifecycle],
+            since_ms,
+            zone=f"z{entry.zone}",
+            group=entry.cell,
+            weight=entry.weight,
+        )
 
     def _told(self, told: tuple[list[dict[str, object]], bool]) -> None:
         lines, whole = told
@@ -144,9 +152,12 @@
         cls = self._classes[request.cls]
         tenant, retry = self._tenants[request.tid]
         lines = [
-            f"{'GET' if cls.repeat == 'free' else 'POST'} /{cls.name}/{request.rid} HTTP/1.1", "Host: lab",
-            f"X-Request-ID: {request.rid}", f"X-Timeout: {max(1, request.until - self._engine.now) / 1e9:.4f}",
-            f"X-Tenant-Id: t{tenant}", f"Cookie: key={request.key}",
+            f"{'GET' if cls.repeat == 'free' else 'POST'} /{cls.name}/{request.rid} HTTP/1.1",
+            "Host: lab",
+            f"X-Request-ID: {request.rid}",
+            f"X-Timeout: {max(1, request.until - self._engine.now) / 1e9:.4f}",
+            f"X-Tenant-Id: t{tenant}",
+            f"Cookie: key={request.key}",
         ]
         lines += [f"Idempotency-Key: {request.rid}"] if cls.repeat == "guarded" else []
         lines += ["X-Retried: 1"] if retry else []
--- a/rosechute/lab/real/process.py
+++ b/rosechute/lab/real/process.py
@@ -23,22 +23,44 @@
     limits, rules = settings.limits, settings.invariants
     return {
         "classes": [
-            {"name": c.name, "onTimeNs": c.aim_ns, "hardLimitNs": c.deadline_ns, "credit": c.worth,
-             "lateWorth": c.late_worth, "repeat": c.repeat, "group": c.group, "windowNs": c.window_ns}
-            for c in settings.classes],
-        "failureDomains": list(settings.zones), "zone": settings.zone, "kinds": list(settings.kinds),
-        "index": settings.index, "replicasOfMe": settings.replicas,
+            {
+                "name": c.name,
+                "onTimeNs": c.aim_ns,
+                "hardLimitNs": c.deadline_ns,
+                "credit": c.worth,
+                "lateWorth": c.late_worth,
+                "repeat": c.repeat,
+                "group": c.group,
+                "windowNs": c.window_ns,
+            }
+            for c in settings.classes
+        ],
+        "failureDomains": list(settings.zones),
+        "zone": settings.zone,
+        "kinds": list(settings.kinds),
+        "index": settings.index,
+        "replicasOfMe": settings.replicas,
         "discovery": "subscribe" if settings.must_ask else "automatic",
-        "clients": {"marksRetry": settings.marks_retry}, "familyInfo": {"warmKeys": settings.warm_keys},
+        "clients": {"marksRetry": settings.marks_retry},
+        "familyInfo": {"warmKeys": settings.warm_keys},
         "reporting": {"how": settings.reports, "columns": list(settings.columns)},
         "limits": {
-            "maxAttempts": limits.max_attempts, "secondCopies": limits.second_copies,
-            "retryAfter": limits.retry_after, "maxRetryAfterNs": limits.max_retry_after_ns,
-            "connIdleNs": limits.conn_idle_ns, "connectTimeoutNs": limits.connect_timeout_ns,
-            "cancel": limits.cancel, "mayProbe": limits.may_probe},
+            "maxAttempts": limits.max_attempts,
+            "secondCopies": limits.second_copies,
+            "retryAfter": limits.retry_after,
+            "maxRetryAfterNs": limits.max_retry_after_ns,
+            "connIdleNs": limits.conn_idle_ns,
+            "connectTimeoutNs": limits.connect_timeout_ns,
+            "cancel": limits.cancel,
+            "mayProbe": limits.may_probe,
+        },
         "invariants": {
-            "coldFrom": rules.cold_from, "coldNs": rules.cold_ns, "fallMultiple": rules.fall_multiple,
-            "fallNs": rules.fall_ns, "drainGraceNs": rules.drain_grace_ns},
+            "coldFrom": rules.cold_from,
+            "coldNs": rules.cold_ns,
+            "fallMultiple": rules.fall_multiple,
+            "fallNs": rules.fall_ns,
+            "drainGraceNs": rules.drain_grace_ns,
+        },
         "projects": [{"name": t.name, "share": t.share} for t in settings.tenants],
     }
 
@@ -62,8 +84,12 @@
     def __init__(self, folder: Path, name: str, port: int, discovery: int, settings: Settings, seed: int) -> None:
         self._folder, self.port = folder, port
         self._config = {
-            "name": name, "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "seed": f"{seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": told(settings),
+            "name": name,
+            "listen": f"127.0.0.1:{port}",
+            "discovery": f"127.0.0.1:{discovery}",
+            "seed": f"{seed:x}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": told(settings),
         }
         self._process: asyncio.subprocess.Process | None = None
 
@@ -79,12 +105,22 @@
         """
         path = self._folder / "config.json"
         path.write_text(json.dumps({**self._config, "known": known}), encoding="utf-8")
-        env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": str(self._folder),
-               "PYTHONPATH": os.pathsep.join(part for part in sys.path if part)}
+        env = {
+            **os.environ,
+            "NODE_CONFIG": str(path),
+            "TMPDIR": str(self._folder),
+            "PYTHONPATH": os.pathsep.join(part for part in sys.path if part),
+        }
         with self.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "hollyport", env=env, stdin=asyncio.subprocess.DEVNULL,
-                stdout=asyncio.subprocess.DEVNULL, stderr=log)
+                sys.executable,
+                "-m",
+                "hollyport",
+                env=env,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=asyncio.subprocess.DEVNULL,
+                stderr=log,
+            )
         try:
             async with asyncio.timeout(READY_S):
                 while not await self._ready():
--- a/rosechute/lab/real/serving.py
+++ b/rosechute/lab/real/serving.py
@@ -19,8 +19,11 @@
 from rosechute.lab.trace import ARRIVE, OUTCOME, SEND, Trace
 
 BACKLOG = 1024
-LINES = {How.OK: b"HTTP/1.1 200 OK\r\n", How.ERROR: b"HTTP/1.1 500 Failed\r\n",
-         How.FULL: b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n"}
+LINES = {
+    How.OK: b"HTTP/1.1 200 OK\r\n",
+    How.ERROR: b"HTTP/1.1 500 Failed\r\n",
+    How.FULL: b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n",
+}
 BODY = b"done\n"
 
 
@@ -94,8 +97,9 @@
 
     __slots__ = ("at", "connection", "request", "number", "instance", "zone", "job", "over", "how", "fresh")
 
-    def __init__(self, at: Listening, connection: Connection, request: Request, instance: int, zone: int,
-                 fresh: bool) -> None:
+    def __init__(
+        self, at: Listening, connection: Connection, request: Request, instance: int, zone: int, fresh: bool
+    ) -> None:
         self.at, self.connection, self.request = at, connection, request
         self.instance, self.zone, self.fresh = instance, zone, fresh
         self.number = request.attempts
@@ -119,8 +123,9 @@
         work = request.work + (self.at.handshake if self.fresh else 0)
         self.job = Job(request.rid, self.number, request.cls, request.key, work, self.instance, self, self._done)
         taken = server.arrive(self.job)
-        around.trace.add((around.engine.now, ARRIVE, request.rid, self.number, server.number, self.instance, work,
-                          int(taken)))
+        around.trace.add(
+            (around.engine.now, ARRIVE, request.rid, self.number, server.number, self.instance, work, int(taken))
+        )
         if not taken:
             self._reply(How.FULL)
 
--- a/rosechute/lab/real/world.py
+++ b/rosechute/lab/real/world.py
@@ -43,10 +43,14 @@
 
 def playable(scenario: Scenario) -> None:
     """Raise FileError with all that keeps a scenario from being played against real processes."""
-    found = [Problem(f"fault[{i}].kind", fault.kind, f"only the model can play it: {UNREAL[fault.kind]}")
-             for i, fault in enumerate(scenario.faults) if fault.kind in UNREAL]
+    found = [
+        Problem(f"fault[{i}].kind", fault.kind, f"only the model can play it: {UNREAL[fault.kind]}")
+        for i, fault in enumerate(scenario.faults)
+        if fault.kind in UNREAL
+    ]
     for path, value, most in (
-        ("clients.rate", scenario.clients.rate, MOST_RATE), ("fleet.servers", scenario.fleet.servers, MOST_SERVERS),
+        ("clients.rate", scenario.clients.rate, MOST_RATE),
+        ("fleet.servers", scenario.fleet.servers, MOST_SERVERS),
         ("instances.count", scenario.instances.count, MOST_INSTANCES),
     ):
         if value > most:
@@ -62,8 +66,14 @@
 
     block = 128  # judged in a millisecond or two: whoever judges longer reads the next answers late
 
-    def __init__(self, scenario: Scenario, seed: int, folder: Path, readers: Iterable[Reader] = (),
-                 file: BinaryIO | None = None) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        seed: int,
+        folder: Path,
+        readers: Iterable[Reader] = (),
+        file: BinaryIO | None = None,
+    ) -> None:
         self._folder = folder
         self._requests: dict[str, tuple[Request, Sidecar]] = {}
         self._processes: dict[tuple[str, int], int] = {}
@@ -79,8 +89,10 @@
         self.listeners = [Listening(self, server, fleet) for server in self.servers]
         for listener in self.listeners:
             listener.open()
-        self.sidecars = [Sidecar(i, i % fleet.zones, self.engine, self.pump, self.trace, scenario.classes, self)
-                         for i in range(scenario.instances.count)]
+        self.sidecars = [
+            Sidecar(i, i % fleet.zones, self.engine, self.pump, self.trace, scenario.classes, self)
+            for i in range(scenario.instances.count)
+        ]
         return self.sidecars
 
     # --- what servers and sidecars need
@@ -187,9 +199,16 @@
                 folder = self._folder / str(sidecar.number)
                 folder.mkdir()
                 number = sidecar.number
-                sidecar.join(Process(folder, f"lab-{number}", port, discovery,
-                                     settings(self.scenario, number, sidecar.zone),
-                                     self._streams.number(f"policy/{number}/1")))
+                sidecar.join(
+                    Process(
+                        folder,
+                        f"lab-{number}",
+                        port,
+                        discovery,
+                        settings(self.scenario, number, sidecar.zone),
+                        self._streams.number(f"policy/{number}/1"),
+                    )
+                )
                 assert sidecar.process is not None
                 await sidecar.process.start(sidecar.discovery.whole())
                 sidecar.start()
@@ -206,5 +225,6 @@
     with tempfile.TemporaryDirectory(prefix="lab-") as folder:
         world = RealWorld(scenario, seed, Path(folder), (figures, judge), file)
         digest = await world.real()
-    return Played(concluded(digest, judge, figures, world.engine.played), world.pump.lag_ms(99),
-                  world.pump.lag_ms(100))
+    return Played(
+        concluded(digest, judge, figures, world.engine.played), world.pump.lag_ms(99), world.pump.lag_ms(100)
+    )
--- a/rosechute/lab/report.py
+++ b/rosechute/lab/report.py
@@ -19,11 +19,31 @@
 from rosechute.lab.spec import Scenario
 from rosechute.lab.statistic import Interval
 
-matplotlib.rcParams.update({"svg.hashsalt": "rosechute", "svg.fonttype": "none", "font.size": 9,
-                            "axes.spines.top": False, "axes.spines.right": False})
+matplotlib.rcParams.update(
+    {
+        "svg.hashsalt": "rosechute",
+        "svg.fonttype": "none",
+        "font.size": 9,
+        "axes.spines.top": False,
+        "axes.spines.right": False,
+    }
+)
 COLOURS = {"served": "#3b7a57", "late": "#d9a441", "refused": "#7d8aa5", "failed": "#b3433b"}
-SHOWN = ("goodput", "wanted", "requests", "attempts_a_request", "served", "late", "refused", "failed", "lost",
-         "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
+SHOWN = (
+    "goodput",
+    "wanted",
+    "requests",
+    "attempts_a_request",
+    "served",
+    "late",
+    "refused",
+    "failed",
+    "lost",
+    "p50_ms",
+    "p90_ms",
+    "p99_ms",
+    "p99.9_ms",
+)
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:60rem;margin:2rem auto;padding:0 1rem;color:#222}
 table{border-collapse:collapse;margin:.6rem 0}td,th{padding:.2rem .7rem;border-bottom:1px solid #ddd;text-align:right}
 td:first-child,th:first-child{text-align:left}.good{color:#2c6b45}.bad{color:#a3322a;font-weight:600}
@@ -48,7 +68,7 @@
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
-    return text[text.index("<svg"):]
+    return text[text.index("<svg") :]
 
 
 def _shade(axes: Axes, shades: list[tuple[float, float, str]]) -> None:
@@ -93,8 +113,12 @@
     for (name, run), colour in zip(runs, ("#34526f", "#c07a2c"), strict=False):
         histogram = run.figures.histogram()
         if histogram.get_total_count():
-            axes.plot([histogram.get_value_at_percentile(100 * (1 - share)) / 1000 for share in shares], shares,
-                      color=colour, label=name)
+            axes.plot(
+                [histogram.get_value_at_percentile(100 * (1 - share)) / 1000 for share in shares],
+                shares,
+                color=colour,
+                label=name,
+            )
     if len(runs) > 1:
         axes.legend(frameon=False)
     axes.set_xscale("log")
@@ -110,8 +134,13 @@
     figure = Figure(figsize=(9, min(6.0, 1.2 + 0.16 * scenario.fleet.servers)), layout="constrained")
     axes = figure.subplots()
     cells = run.figures.heat()[:, : int(scenario.duration // BIN_NS)]
-    shown_cells = axes.imshow(cells * 1e9 / BIN_NS, aspect="auto", cmap="cividis", interpolation="nearest",
-                              extent=(0, scenario.duration / 1e9, cells.shape[0] - 0.5, -0.5))
+    shown_cells = axes.imshow(
+        cells * 1e9 / BIN_NS,
+        aspect="auto",
+        cmap="cividis",
+        interpolation="nearest",
+        extent=(0, scenario.duration / 1e9, cells.shape[0] - 0.5, -0.5),
+    )
     figure.colorbar(shown_cells, ax=axes, label="attempts a second")
     axes.set_xlabel("seconds")
     axes.set_ylabel("server")
@@ -149,16 +178,19 @@
     yield "<h2>Time to the answer</h2>" + latencies((policy, run))
     yield "<h2>Attempts by server</h2>" + heat(run, scenario)
     kinds = list(next(iter(result["classes"].values())))
-    yield "<h2>By class</h2>" + _table(["class", *kinds], [[name, *row.values()]
-                                                            for name, row in result["classes"].items()])
+    yield "<h2>By class</h2>" + _table(
+        ["class", *kinds], [[name, *row.values()] for name, row in result["classes"].items()]
+    )
     yield "<h2>By tenant</h2>" + _table(["tenant", "goodput"], [list(pair) for pair in result["tenants"].items()])
     yield f"<h2>Play it again</h2><p><code>{html.escape(command)}</code></p><p>Trace {run.digest}.</p>"
 
 
 def page(run: Run, scenario: Scenario, policy: str, seed: int, command: str) -> str:
     """The whole report."""
-    return (f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(scenario.name)}</title>'
-            f"<style>{STYLE}</style>{''.join(_parts(run, scenario, policy, seed, command))}</html>\n")
+    return (
+        f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(scenario.name)}</title>'
+        f"<style>{STYLE}</style>{''.join(_parts(run, scenario, policy, seed, command))}</html>\n"
+    )
 
 
 def beside(model: Run, real: Run, lag_ms: tuple[float, float], scenario: Scenario, seed: int, command: str) -> str:
@@ -177,22 +209,31 @@
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>',
         f"<h1>{title}</h1><p>{html.escape(scenario.about)}</p><p>The decision module, seed {seed}, "
         f"{shown(scenario.duration)}, {scenario.instances.count} sidecars, {scenario.fleet.servers} servers.</p>",
-        f'<p class="{"bad" if total else "good"}">{word}</p>', _table(heads, breaches), _breaches(real),
-        "<h2>Figures</h2>", _table(heads, rows),
+        f'<p class="{"bad" if total else "good"}">{word}</p>',
+        _table(heads, breaches),
+        _breaches(real),
+        "<h2>Figures</h2>",
+        _table(heads, rows),
         f"<p>The bench's own events were {lag_ms[0]:.1f} ms late (99 of 100), {lag_ms[1]:.1f} ms at the most.</p>"
-        "<h2>Service over time: model</h2><p>Shaded: faults in force.</p>", timeline(model, scenario),
-        "<h2>Service over time: processes</h2>", timeline(real, scenario),
-        "<h2>Time to the answer</h2>", latencies(("model", model), ("processes", real)),
-        "<h2>Attempts by server: model</h2>", heat(model, scenario),
-        "<h2>Attempts by server: processes</h2>", heat(real, scenario),
+        "<h2>Service over time: model</h2><p>Shaded: faults in force.</p>",
+        timeline(model, scenario),
+        "<h2>Service over time: processes</h2>",
+        timeline(real, scenario),
+        "<h2>Time to the answer</h2>",
+        latencies(("model", model), ("processes", real)),
+        "<h2>Attempts by server: model</h2>",
+        heat(model, scenario),
+        "<h2>Attempts by server: processes</h2>",
+        heat(real, scenario),
         f"<h2>Play it again</h2><p><code>{html.escape(command)}</code></p><p>A run against processes is like another "
         "and not the same: arrivals, work and faults are the seed's, the rest is the machine's.</p></html>\n",
     ]
     return "".join(parts)
 
 
-def curves(scenario: str, path: str, figure: str, found: dict[str, list[tuple[float, Interval]]],
-           command: str) -> str:
+def curves(
+    scenario: str, path: str, figure: str, found: dict[str, list[tuple[float, Interval]]], command: str
+) -> str:
     """A figure against a parameter that sweeps have varied, a line a policy with its interval, as one HTML file.
 
     Args:
@@ -212,10 +253,15 @@
     axes.set_ylabel(figure)
     axes.grid(alpha=0.3, lw=0.4)
     axes.legend(frameon=False, ncols=3)
-    rows = [[policy, value, spread.mean, spread.low, spread.high, spread.size]
-            for policy, points in found.items() for value, spread in sorted(points, key=lambda point: point[0])]
+    rows = [
+        [policy, value, spread.mean, spread.low, spread.high, spread.size]
+        for policy, points in found.items()
+        for value, spread in sorted(points, key=lambda point: point[0])
+    ]
     title = html.escape(f"{scenario}: {figure} by {path}")
-    return (f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>'
-            f"<h1>{title}</h1><p>Mean of the runs, shaded: its 95% interval.</p>{_drawn(drawing)}"
-            f"{_table(['policy', path, 'mean', 'low', 'high', 'runs'], rows)}"
-            f"<h2>Play it again</h2><p><code>{html.escape(command)}</code></p></html>\n")
+    return (
+        f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>'
+        f"<h1>{title}</h1><p>Mean of the runs, shaded: its 95% interval.</p>{_drawn(drawing)}"
+        f"{_table(['policy', path, 'mean', 'low', 'high', 'runs'], rows)}"
+        f"<h2>Play it again</h2><p><code>{html.escape(command)}</code></p></html>\n"
+    )
--- a/rosechute/lab/rivals.py
+++ b/rosechute/lab/rivals.py
@@ -214,6 +214,7 @@
             (self._up.add if entry.lifecycle == "up" else self._up.discard)(entry.server)
         self.servers = [s for name, s in self.known.items() if name in self._up]
 
+
 class Random(Rival):
     def pick(self, now: int, among: list[Known], call: Open) -> Known | None:
         return among[int(self.random() * len(among))]
@@ -316,7 +317,7 @@
         self._pool: list[list[float | int | str]] = []  # server, held, latency, when, uses left
 
     def _keep(self, now: int, name: str, held: float, lag: float) -> None:
-        self._pool = [p for p in self._pool if p[0] != name][-self.POOL + 1:]
+        self._pool = [p for p in self._pool if p[0] != name][-self.POOL + 1 :]
         self._pool.append([name, held, lag, now, self.USES])
 
     def learn(self, now: int, server: Known, event: Response) -> None:
@@ -414,8 +415,15 @@
 
 
 RIVALS: dict[str, Callable[[Place], Rival]] = {
-    "random": Random, "round-robin": RoundRobin, "least-requests": LeastRequests, "two-choices": TwoChoices,
-    "peak-ewma": PeakEwma, "reports": Reports, "prequal": Prequal, "a105": A105, "oracle": Oracle,
+    "random": Random,
+    "round-robin": RoundRobin,
+    "least-requests": LeastRequests,
+    "two-choices": TwoChoices,
+    "peak-ewma": PeakEwma,
+    "reports": Reports,
+    "prequal": Prequal,
+    "a105": A105,
+    "oracle": Oracle,
 }
 NAMES = ("module", *RIVALS)
 
--- a/rosechute/lab/server.py
+++ b/rosechute/lab/server.py
@@ -26,11 +26,19 @@
 class Job:
     """One attempt at a server, from its arrival to its end there."""
 
-    __slots__ = ("rid", "number", "cls", "key", "work", "instance", "sender", "done", "waits", "left",
-                 "over")
-
-    def __init__(self, rid: int, number: int, cls: int, key: int, work: float, instance: int,
-                 sender: object, done: Callable[[Job, bool], None]) -> None:
+    __slots__ = ("rid", "number", "cls", "key", "work", "instance", "sender", "done", "waits", "left", "over")
+
+    def __init__(
+        self,
+        rid: int,
+        number: int,
+        cls: int,
+        key: int,
+        work: float,
+        instance: int,
+        sender: object,
+        done: Callable[[Job, bool], None],
+    ) -> None:
         self.rid, self.number, self.cls, self.key, self.work, self.instance = rid, number, cls, key, work, instance
         self.sender = sender
         self.done = done  # told with False where the server died with it
@@ -42,8 +50,15 @@
 class Server:
     """One server process after another under one name."""
 
-    def __init__(self, engine: Engine, spec: Fleet, number: int, zone: int,
-                 began: Callable[[Server, Job], None], fell: Callable[[Server], None]) -> None:
+    def __init__(
+        self,
+        engine: Engine,
+        spec: Fleet,
+        number: int,
+        zone: int,
+        began: Callable[[Server, Job], None],
+        fell: Callable[[Server], None],
+    ) -> None:
         self.engine, self.spec, self.number, self.zone = engine, spec, number, zone
         self._cores, self._slots, self._most = int(spec.cores), int(spec.slots), int(spec.slots + spec.room)
         self.name = f"s{number}"
@@ -116,8 +131,10 @@
             return float("inf")
         ahead = sum((end - self._virtual for end, _, _ in self._running), 0.0)
         ahead += sum((job.work for job in self._waiting), 0.0)
-        return work / (capacity / self.spec.cores) + max(0.0, self.held + 1 - self.spec.cores) * (
-            (ahead + work) / (self.held + 1)) / capacity
+        return (
+            work / (capacity / self.spec.cores)
+            + max(0.0, self.held + 1 - self.spec.cores) * ((ahead + work) / (self.held + 1)) / capacity
+        )
 
     # --- its life
 
@@ -192,8 +209,7 @@
         self._pressed += work
         while self._pressure[0][0] <= now - spec.fall:
             self._pressed -= self._pressure.popleft()[1]
-        return now - self.started >= spec.fall and \
-            self._pressed > spec.fall_multiple * self.capacity() * spec.fall
+        return now - self.started >= spec.fall and self._pressed > spec.fall_multiple * self.capacity() * spec.fall
 
     def _begin(self, job: Job) -> None:
         work = job.work
--- a/rosechute/lab/spec.py
+++ b/rosechute/lab/spec.py
@@ -17,9 +17,24 @@
 
 SHAPES = Literal["flat", "daily", "burst", "square", "ramp"]
 KINDS = Literal[
-    "slow", "hang", "grey", "crash-loop", "rolling-deploy", "mass-restart", "shared-slow", "tenant-burst", "load",
-    "zone-loss", "partition", "one-way-cut", "loss", "discovery-down", "discovery-stale", "discovery-lies",
-    "false-reports", "drain",
+    "slow",
+    "hang",
+    "grey",
+    "crash-loop",
+    "rolling-deploy",
+    "mass-restart",
+    "shared-slow",
+    "tenant-burst",
+    "load",
+    "zone-loss",
+    "partition",
+    "one-way-cut",
+    "loss",
+    "discovery-down",
+    "discovery-stale",
+    "discovery-lies",
+    "false-reports",
+    "drain",
 ]
 
 
--- a/rosechute/lab/statistic.py
+++ b/rosechute/lab/statistic.py
@@ -34,7 +34,7 @@
 
 
 def verdict(differences: Sequence[float], more_is_better: bool = True, least: int = 5) -> tuple[str, Interval]:
-    """"better", "worse" or "cannot tell" of paired differences (first minus second).
+    """Tell "better", "worse" or "cannot tell" of paired differences (first minus second).
 
     "cannot tell" where the interval holds 0, and with fewer than `least` pairs whatever they show.
     """
--- a/rosechute/lab/store.py
+++ b/rosechute/lab/store.py
@@ -69,18 +69,26 @@
     def add(self, row: Row) -> None:
         """Keep a run, for good once this returns."""
         with self._db:
-            self._db.execute("insert or replace into run values (?,?,?,?,?,?,?,?,?)",
-                             (*row[:-1], json.dumps(row.result, sort_keys=True)))
+            self._db.execute(
+                "insert or replace into run values (?,?,?,?,?,?,?,?,?)",
+                (*row[:-1], json.dumps(row.result, sort_keys=True)),
+            )
 
     def has(self, key: str) -> bool:
         return self._db.execute("select 1 from run where key = ?", (key,)).fetchone() is not None
 
-    def rows(self, scenario: str | None = None, policy: str | None = None,
-             made_by: str | None = None) -> Iterator[Row]:
+    def rows(
+        self, scenario: str | None = None, policy: str | None = None, made_by: str | None = None
+    ) -> Iterator[Row]:
         """Runs in order of scenario, changes, policy and seed; all, or those that match."""
-        wanted = [(name, value) for name, value in
-                  (("scenario", scenario), ("policy", policy), ("program", made_by)) if value is not None]
+        wanted = [
+            (name, value)
+            for name, value in (("scenario", scenario), ("policy", policy), ("program", made_by))
+            if value is not None
+        ]
         where = " where " + " and ".join(f"{name} = ?" for name, _ in wanted) if wanted else ""
-        for row in self._db.execute(f"select * from run{where} order by scenario, changes, policy, seed, program",
-                                    [value for _, value in wanted]):
+        for row in self._db.execute(
+            f"select * from run{where} order by scenario, changes, policy, seed, program",
+            [value for _, value in wanted],
+        ):
             yield Row._make((*row[:-1], json.loads(row[-1])))
--- a/rosechute/lab/sweep.py
+++ b/rosechute/lab/sweep.py
@@ -30,19 +30,29 @@
     return [dict(zip(changes, values, strict=True)) for values in itertools.product(*changes.values())]
 
 
-def tasks(scenarios: Iterable[str], policies: Sequence[str], seeds: Iterable[int],
-          changes: Mapping[str, Sequence[Any]], made_by: str) -> list[Task]:
+def tasks(
+    scenarios: Iterable[str],
+    policies: Sequence[str],
+    seeds: Iterable[int],
+    changes: Mapping[str, Sequence[Any]],
+    made_by: str,
+) -> list[Task]:
     """All runs of a sweep. Runs of one seed stand together, so that a sweep that is cut short has whole pairs.
 
     Raises FileError where a scenario or a change can't be taken.
     """
     found: list[Task] = []
-    loaded = [(name, json.dumps(change, sort_keys=True), key(load(name, change)))
-              for name in scenarios for change in grid(changes)]
+    loaded = [
+        (name, json.dumps(change, sort_keys=True), key(load(name, change)))
+        for name in scenarios
+        for change in grid(changes)
+    ]
     for seed in seeds:
         for name, change, scenario in loaded:
-            found += [Task(identity(made_by, scenario, policy, seed), name, change, policy, seed, made_by)
-                      for policy in policies]
+            found += [
+                Task(identity(made_by, scenario, policy, seed), name, change, policy, seed, made_by)
+                for policy in policies
+            ]
     return found
 
 
@@ -65,14 +75,26 @@
     pool = ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn"))
     try:
         out: dict[Future[tuple[str, float, dict[str, Any]]], Task] = {
-            pool.submit(play, *task[1:5]): task for task in itertools.islice(coming, 2 * workers)}
+            pool.submit(play, *task[1:5]): task for task in itertools.islice(coming, 2 * workers)
+        }
         while out:
             ended, _ = wait(out, return_when=FIRST_COMPLETED)
             for future in ended:
                 task = out.pop(future)
                 digest, took_s, result = future.result()
-                store.add(Row(task.key, task.program, task.scenario, task.changes, task.policy, task.seed, digest,
-                              took_s, result))
+                store.add(
+                    Row(
+                        task.key,
+                        task.program,
+                        task.scenario,
+                        task.changes,
+                        task.policy,
+                        task.seed,
+                        digest,
+                        took_s,
+                        result,
+                    )
+                )
                 done += 1
                 told(task)
                 follows = next(coming, None)
--- a/rosechute/lab/worker.py
+++ b/rosechute/lab/worker.py
@@ -15,6 +15,7 @@
     native.prefer()
     from rosechute.lab.library import load
     from rosechute.lab.run import run
+
     gc.set_threshold(100_000, 20, 20)  # what a run makes is freed by counting; cycles are rare
     start = time.perf_counter()
     done = run(load(scenario, json.loads(changes)), policy, seed)
--- a/rosechute/lab/world.py
+++ b/rosechute/lab/world.py
@@ -30,17 +30,35 @@
     return Settings(
         classes=tuple(
             RequestClass(c.name, c.aim, c.deadline, c.worth, c.late_worth, c.repeat, c.group, c.window)
-            for c in scenario.classes),
-        zones=tuple(f"z{i}" for i in range(fleet.zones)), zone=zone, kinds=("m",), index=index, replicas=own.count,
-        must_ask=scenario.discovery.subscribe, marks_retry=True, warm_keys=fleet.cache > 0, reports=fleet.reports,
+            for c in scenario.classes
+        ),
+        zones=tuple(f"z{i}" for i in range(fleet.zones)),
+        zone=zone,
+        kinds=("m",),
+        index=index,
+        replicas=own.count,
+        must_ask=scenario.discovery.subscribe,
+        marks_retry=True,
+        warm_keys=fleet.cache > 0,
+        reports=fleet.reports,
         columns=COLUMNS[fleet.reports],
         limits=Limits(
-            max_attempts=own.attempts, second_copies=own.second_copies, retry_after=own.retry_after,
-            max_retry_after_ns=1_200_000_000, conn_idle_ns=own.idle, connect_timeout_ns=own.connect_timeout,
-            cancel=own.cancel, may_probe=own.probes),
+            max_attempts=own.attempts,
+            second_copies=own.second_copies,
+            retry_after=own.retry_after,
+            max_retry_after_ns=1_200_000_000,
+            conn_idle_ns=own.idle,
+            connect_timeout_ns=own.connect_timeout,
+            cancel=own.cancel,
+            may_probe=own.probes,
+        ),
         invariants=Invariants(
-            cold_from=fleet.cold_from, cold_ns=fleet.cold, fall_multiple=fleet.fall_multiple, fall_ns=fleet.fall,
-            drain_grace_ns=own.grace),
+            cold_from=fleet.cold_from,
+            cold_ns=fleet.cold,
+            fall_multiple=fleet.fall_multiple,
+            fall_ns=fleet.fall,
+            drain_grace_ns=own.grace,
+        ),
         tenants=tuple(Tenant(f"t{i}", share) for i, share in enumerate(scenario.clients.tenants)),
     )
 
@@ -59,15 +77,17 @@
     block = BLOCK
     """Records that are judged and counted at a time."""
 
-    def __init__(self, scenario: Scenario, policy: str, seed: int, readers: Iterable[Reader] = (),
-                 file: BinaryIO | None = None) -> None:
+    def __init__(
+        self, scenario: Scenario, policy: str, seed: int, readers: Iterable[Reader] = (), file: BinaryIO | None = None
+    ) -> None:
         self.scenario, self.policy, self.seed = scenario, policy, seed
         streams = Streams(seed)
         engine = self.engine = Engine()
         trace = self.trace = Trace(readers, file, self.block)
         fleet = scenario.fleet
-        self.servers = [Server(engine, fleet, i, i % fleet.zones, self._began, self._fell)
-                        for i in range(fleet.servers)]
+        self.servers = [
+            Server(engine, fleet, i, i % fleet.zones, self._began, self._fell) for i in range(fleet.servers)
+        ]
         speeds = streams.of("speeds")
         for server in self.servers:
             server._speed = fleet.speed * (1.0 + fleet.unlike * (2.0 * speeds.uniform() - 1.0))
@@ -95,9 +115,22 @@
             return make(self.policy, Place(settings(scenario, number, zone), seed_of, engine, by_name))
 
         return [
-            Instance(i, i % fleet.zones, engine, scenario.instances, by_name, self.paths, self.listing, self.trace,
-                     maker, fleet.reports != "none", int(fleet.handshake or 0), fleet.connections)
-            for i in range(scenario.instances.count)]
+            Instance(
+                i,
+                i % fleet.zones,
+                engine,
+                scenario.instances,
+                by_name,
+                self.paths,
+                self.listing,
+                self.trace,
+                maker,
+                fleet.reports != "none",
+                int(fleet.handshake or 0),
+                fleet.connections,
+            )
+            for i in range(scenario.instances.count)
+        ]
 
     def play(self) -> str:
         """Play it to the end, then on until all has ended; the trace's digest."""
@@ -170,8 +203,16 @@
         return Entry(server.name, server.zone, 0, server.number, state, 1.0, server.started)
 
     def _say(self, server: Server, state: int) -> None:
-        self.trace.add((self.engine.now, SERVER, server.number, state,
-                        server._speed * self.scenario.fleet.cores, self.scenario.fleet.cold_from))
+        self.trace.add(
+            (
+                self.engine.now,
+                SERVER,
+                server.number,
+                state,
+                server._speed * self.scenario.fleet.cores,
+                self.scenario.fleet.cold_from,
+            )
+        )
 
     def _tell(self, number: int, news: Directory) -> None:
         self.instances[number].hear(news)
@@ -189,7 +230,14 @@
             self._stop(server)
 
     def _gauge(self, _: None) -> None:
-        self.trace.add((self.engine.now, GAUGE, sum(s.held for s in self.servers),
-                        sum(len(i.requests) for i in self.instances), sum(s.up for s in self.servers)))
+        self.trace.add(
+            (
+                self.engine.now,
+                GAUGE,
+                sum(s.held for s in self.servers),
+                sum(len(i.requests) for i in self.instances),
+                sum(s.up for s in self.servers),
+            )
+        )
         if self.engine.now < self.scenario.duration:
             self.engine.after(GAUGE_NS, self._gauge)
--- a/rosechute/limits/limiter.py
+++ b/rosechute/limits/limiter.py
@@ -82,8 +82,11 @@
 
     def spent(self, limits: Limits, now: int) -> bool:
         """Whether it differs from a new one."""
-        if self.in_flight or self.waiting or (limits.rate and limits.rate.left(self.full_at, now)
-                                              < limits.rate.burst):
+        if (
+            self.in_flight
+            or self.waiting
+            or (limits.rate and limits.rate.left(self.full_at, now) < limits.rate.burst)
+        ):
             return True
         return limits.share is not None and now - self.used < 2 * limits.share.window_ns
 
@@ -93,9 +96,14 @@
     """What became of one route's requests, since the process started."""
 
     taken: int = 0
-    refused: dict[str, int] = field(default_factory=lambda: {
-        "rate": 0, "in_flight": 0, "waited": 0, "module": 0,
-    })
+    refused: dict[str, int] = field(
+        default_factory=lambda: {
+            "rate": 0,
+            "in_flight": 0,
+            "waited": 0,
+            "module": 0,
+        }
+    )
     ends: dict[str, int] = field(default_factory=lambda: {"served": 0, "failed": 0, "gone": 0})
 
 
@@ -128,7 +136,11 @@
     """All routes of one sidecar. Hollyport's `Limiter`."""
 
     def __init__(
-        self, routes: Iterable[Limits], tenants: Iterable[str], most_lanes: int, longest_hold_off_ns: int,
+        self,
+        routes: Iterable[Limits],
+        tenants: Iterable[str],
+        most_lanes: int,
+        longest_hold_off_ns: int,
         seed: int = 0,
     ) -> None:
         self._paths: dict[str, Path] = {}
@@ -140,7 +152,11 @@
     # --- settings
 
     def adopt(
-        self, routes: Iterable[Limits], tenants: Iterable[str], most_lanes: int, longest_hold_off_ns: int,
+        self,
+        routes: Iterable[Limits],
+        tenants: Iterable[str],
+        most_lanes: int,
+        longest_hold_off_ns: int,
         now: int,
     ) -> None:
         """Go by another file from now on. A route keeps its counts and lanes by its name; one that is counted
@@ -323,13 +339,19 @@
             budgets = [lane.budget for lane in path.lanes.values() if lane.budget is not None]
             rate = path.limits.rate
             yield {
-                "route": name, "dropped": path.dropped, "taken": path.counts.taken,
-                "in_flight": path.open - waiting, "waiting": waiting, "lanes": len(path.lanes),
-                "refused": dict(path.counts.refused), "ended": dict(path.counts.ends),
+                "route": name,
+                "dropped": path.dropped,
+                "taken": path.counts.taken,
+                "in_flight": path.open - waiting,
+                "waiting": waiting,
+                "lanes": len(path.lanes),
+                "refused": dict(path.counts.refused),
+                "ended": dict(path.counts.ends),
                 "budget_left": round(min((b.left(now) for b in budgets), default=0.0), 2) if budgets else None,
                 "budget_denied": sum(b.denied for b in budgets) if budgets else None,
-                "tokens_left": min((rate.left(lane.full_at, now) for lane in path.lanes.values()),
-                                   default=rate.burst) if rate is not None else None,
+                "tokens_left": min((rate.left(lane.full_at, now) for lane in path.lanes.values()), default=rate.burst)
+                if rate is not None
+                else None,
                 "mean_ms": round(path.mean_ns / 1e6, 3),
             }
 
--- a/rosechute/processes/logs.py
+++ b/rosechute/processes/logs.py
@@ -27,11 +27,20 @@
 
     A level that does not exist counts as none, so that a mistake in it never keeps a process from its start.
     """
-    level = next((word for word in (os.environ.get(LEVEL_VARIABLE, "").upper(), configured.upper())
-                  if word in LEVELS), DEFAULT_LEVEL)
+    level = next(
+        (word for word in (os.environ.get(LEVEL_VARIABLE, "").upper(), configured.upper()) if word in LEVELS),
+        DEFAULT_LEVEL,
+    )
     logger.remove()
-    logger.add(stream or sys.stderr, level=level, format=_template, colorize=False, backtrace=False, diagnose=False,
-               catch=True)
+    logger.add(
+        stream or sys.stderr,
+        level=level,
+        format=_template,
+        colorize=False,
+        backtrace=False,
+        diagnose=False,
+        catch=True,
+    )
     return level
 
 
--- a/rosechute/processes/main.py
+++ b/rosechute/processes/main.py
@@ -55,8 +55,10 @@
         if isinstance(read, Failure):
             _fail(f"{name}: {read.failure()}")
         found = read.unwrap()
-        print(f"{name}: valid; version {found.config_version}, {len(found.routes)} routes, "
-              f"{len(found.services)} services, {len(found.tenants)} tenants")
+        print(
+            f"{name}: valid; version {found.config_version}, {len(found.routes)} routes, "
+            f"{len(found.services)} services, {len(found.tenants)} tenants"
+        )
 
     def check_settings(self, file: str) -> None:
         """Say whether a settings file is usable; exit code 1 and the place of the problem where it isn't.
--- a/rosechute/processes/quota_client.py
+++ b/rosechute/processes/quota_client.py
@@ -24,7 +24,11 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, name: str, boot: int, send: Callable[[pb.Distribution], None],
+        self,
+        loop: asyncio.AbstractEventLoop,
+        name: str,
+        boot: int,
+        send: Callable[[pb.Distribution], None],
         leaderless_since: Callable[[], float | None],
     ) -> None:
         self._loop = loop
--- a/rosechute/processes/state.py
+++ b/rosechute/processes/state.py
@@ -40,8 +40,12 @@
     def collect(self) -> dict[str, Any]:
         """The state now. A section that fails is told by its error, and costs the others nothing."""
         found: dict[str, Any] = {
-            "node_name": self._settings.node_name, "zone": self._settings.zone, "serves": self._settings.serves,
-            "version": __version__, "process": os.getpid(), "running_s": round(time.monotonic() - self._started, 3),
+            "node_name": self._settings.node_name,
+            "zone": self._settings.zone,
+            "serves": self._settings.serves,
+            "version": __version__,
+            "process": os.getpid(),
+            "running_s": round(time.monotonic() - self._started, 3),
         }
         for name, section in self._sections.items():
             try:
--- a/rosechute/routes/table.py
+++ b/rosechute/routes/table.py
@@ -49,8 +49,7 @@
     __slots__ = ("exact", "looks")
 
     def __init__(self) -> None:
-        self.exact: dict[tuple[bytes | None, bytes | None], dict[tuple[bytes, ...], dict[
-            tuple[bytes, ...], T]]] = {}
+        self.exact: dict[tuple[bytes | None, bytes | None], dict[tuple[bytes, ...], dict[tuple[bytes, ...], T]]] = {}
         self.looks = False  # whether any of them looks at headers
 
     def add(self, match: Match, route: T) -> None:
@@ -112,9 +111,7 @@
         leaf.add(match, route)
         self.size += 1
 
-    def find(
-        self, method: bytes, target: bytes, tenant: bytes | None, headers: Mapping[bytes, bytes]
-    ) -> T | None:
+    def find(self, method: bytes, target: bytes, tenant: bytes | None, headers: Mapping[bytes, bytes]) -> T | None:
         """The route of a request, or None. `headers` has lower-case names."""
         parts = decoded(target.partition(b"?")[0]).split(b"/")
         if parts[0]:
--- a/rosechute/routing/lease_exchange.py
+++ b/rosechute/routing/lease_exchange.py
@@ -28,8 +28,13 @@
     def message(self) -> pb.RateLease:
         """As it is sent."""
         return pb.RateLease(
-            tenant=self.tenant, rate=self.rate, depth=self.depth, stored=self.stored, demand=self.demand,
-            request_mean=self.request_mean, lifetime_ms=math.ceil(self.remaining_s * 1000.0),
+            tenant=self.tenant,
+            rate=self.rate,
+            depth=self.depth,
+            stored=self.stored,
+            demand=self.demand,
+            request_mean=self.request_mean,
+            lifetime_ms=math.ceil(self.remaining_s * 1000.0),
             bare_ms=milliseconds(self.bare_s),
         )
 
@@ -37,8 +42,14 @@
     def of(held: pb.RateLease) -> LeaseReport:
         """As it was sent."""
         return LeaseReport(
-            held.tenant, held.rate, held.depth, held.lifetime_ms / 1000.0, held.stored, held.demand,
-            held.request_mean, held.bare_ms / 1000.0,
+            held.tenant,
+            held.rate,
+            held.depth,
+            held.lifetime_ms / 1000.0,
+            held.stored,
+            held.demand,
+            held.request_mean,
+            held.bare_ms / 1000.0,
         )
 
 
@@ -62,17 +73,30 @@
     def message(self) -> pb.RateLease:
         """As it is sent."""
         return pb.RateLease(
-            tenant=self.tenant, rate=self.rate, depth=self.depth, full_ms=milliseconds(self.full_s),
-            late_share=self.late_share, lifetime_ms=milliseconds(self.lifetime_s), deposit=self.deposit,
-            deposit_ms=milliseconds(self.deposit_s), bare_ms=milliseconds(self.bare_s),
+            tenant=self.tenant,
+            rate=self.rate,
+            depth=self.depth,
+            full_ms=milliseconds(self.full_s),
+            late_share=self.late_share,
+            lifetime_ms=milliseconds(self.lifetime_s),
+            deposit=self.deposit,
+            deposit_ms=milliseconds(self.deposit_s),
+            bare_ms=milliseconds(self.bare_s),
         )
 
     @staticmethod
     def of(granted: pb.RateLease) -> LeaseGrant:
         """As it was sent."""
         return LeaseGrant(
-            granted.tenant, granted.rate, granted.depth, granted.full_ms / 1000.0, granted.late_share,
-            granted.lifetime_ms / 1000.0, granted.deposit, granted.deposit_ms / 1000.0, granted.bare_ms / 1000.0,
+            granted.tenant,
+            granted.rate,
+            granted.depth,
+            granted.full_ms / 1000.0,
+            granted.late_share,
+            granted.lifetime_ms / 1000.0,
+            granted.deposit,
+            granted.deposit_ms / 1000.0,
+            granted.bare_ms / 1000.0,
         )
 
 
--- a/rosechute/routing/pressure.py
+++ b/rosechute/routing/pressure.py
@@ -149,7 +149,8 @@
         are held back.
         """
         shorter = [
-            other_s for (other, route), other_s in self._targets.items()
+            other_s
+            for (other, route), other_s in self._targets.items()
             if other < priority and MUCH_SHORTER * other_s < target_s and self._comes(now, other, route)
         ]
         return min(shorter, default=target_s)
--- a/rosechute/routing/report.py
+++ b/rosechute/routing/report.py
@@ -57,6 +57,14 @@
 
 def _server(server: Server, now: float) -> ServerReport:
     return ServerReport(
-        server.id, server.address, server.zone, server.up, server.k, server.limit, server.in_flight, server.trial,
-        round(max(0.0, server.retry_at - now) * MILLISECONDS), round(server.latency_s * MILLISECONDS),
+        server.id,
+        server.address,
+        server.zone,
+        server.up,
+        server.k,
+        server.limit,
+        server.in_flight,
+        server.trial,
+        round(max(0.0, server.retry_at - now) * MILLISECONDS),
+        round(server.latency_s * MILLISECONDS),
     )
--- a/rosechute/routing/router.py
+++ b/rosechute/routing/router.py
@@ -165,9 +165,7 @@
             attempt.server.headed(now, took_s, excess_s, attempt.trial, attempt.tokens)
             attempt.headed = True
 
-    def _end(
-        self, now: float, service: Service | None, call: Call, attempt: Attempt, result: AttemptResult
-    ) -> None:
+    def _end(self, now: float, service: Service | None, call: Call, attempt: Attempt, result: AttemptResult) -> None:
         if result is AttemptResult.DONE and not attempt.headed:
             self._head(now, service, attempt)
         if service is not None:
--- a/rosechute/routing/server.py
+++ b/rosechute/routing/server.py
@@ -42,10 +42,33 @@
     """One incarnation of a server."""
 
     __slots__ = (
-        "id", "entry", "address", "zone", "slots", "ready", "listed", "cold_until", "limit", "k", "in_flight",
-        "trial", "backoff", "retry_at", "failures_on_end", "heard_at", "latency_s", "prefill_tokens", "running",
+        "id",
+        "entry",
+        "address",
+        "zone",
+        "slots",
+        "ready",
+        "listed",
+        "cold_until",
+        "limit",
+        "k",
+        "in_flight",
+        "trial",
+        "backoff",
+        "retry_at",
+        "failures_on_end",
+        "heard_at",
+        "latency_s",
+        "prefill_tokens",
+        "running",
         "prefill_tokens_per_s",
-        "error_rate", "error_at", "seed", "due_at", "excess_s", "excess_at", "owing_since",
+        "error_rate",
+        "error_at",
+        "seed",
+        "due_at",
+        "excess_s",
+        "excess_at",
+        "owing_since",
     )
 
     def __init__(self, entry: ServerEntry, tuning: RouterTuning, draw: Callable[[], float], seed: int) -> None:
--- a/rosechute/serve/policy.py
+++ b/rosechute/serve/policy.py
@@ -85,16 +85,21 @@
         settings = prepared.config.settings
         longest = settings.limits.max_retry_after_ns if settings.limits.retry_after else 0
         self.routes.table = prepared.table
-        self.limiter.adopt(prepared.limits, (t.name for t in settings.tenants),
-                           most_lanes(prepared.config.memory_mb), longest, now)
+        self.limiter.adopt(
+            prepared.limits, (t.name for t in settings.tenants), most_lanes(prepared.config.memory_mb), longest, now
+        )
 
     def page(self, now: int) -> bytes:
         """Each route's limits and figures, as JSON."""
-        limits = {route.name: {key: value for key, value, _ in route.rows()}
-                  for route in self._taken.proven.routes}
+        limits = {route.name: {key: value for key, value, _ in route.rows()} for route in self._taken.proven.routes}
         routes = [{**row, "limits": limits.get(row["route"], {})} for row in self.limiter.rows(now)]
-        page = {"version": 1, "file": str(self._path), "lanes": self.limiter.lanes(),
-                "most_lanes": self.limiter.most_lanes, "routes": routes}
+        page = {
+            "version": 1,
+            "file": str(self._path),
+            "lanes": self.limiter.lanes(),
+            "most_lanes": self.limiter.most_lanes,
+            "routes": routes,
+        }
         return json.dumps(page, indent=1).encode() + b"\n"
 
     def told(self, now: int) -> object:
--- a/rosechute/standin/discovery.py
+++ b/rosechute/standin/discovery.py
@@ -56,9 +56,16 @@
         before = self._lines.get(name, {})
         self.index += 1
         self._lines[name] = {
-            "name": name, "zone": "a", "type": "m", "group": 0, "weight": 1.0,
-            **before, "address": f"127.0.0.1:{port}", "status": status,
-            "since_ms": since_ms if since_ms is not None else before.get("since_ms", 0), **more,
+            "name": name,
+            "zone": "a",
+            "type": "m",
+            "group": 0,
+            "weight": 1.0,
+            **before,
+            "address": f"127.0.0.1:{port}",
+            "status": status,
+            "since_ms": since_ms if since_ms is not None else before.get("since_ms", 0),
+            **more,
         }
         self._changed.pop(name, None)
         self._changed[name] = self.index
--- a/rosechute/standin/fleet/engine.py
+++ b/rosechute/standin/fleet/engine.py
@@ -49,8 +49,9 @@
 class Engine:
     """One server of a service at an address of loopback. `streaming` tells whether it answers with events."""
 
-    def __init__(self, instance_id: str, streaming: bool, slots: int = 16, queue: int = 16,
-                 speed: Speed | None = None) -> None:
+    def __init__(
+        self, instance_id: str, streaming: bool, slots: int = 16, queue: int = 16, speed: Speed | None = None
+    ) -> None:
         self.id, self.streaming, self.slots, self.queue = instance_id, streaming, slots, queue
         self.speed = speed or Speed()
         self.seen = Seen()
@@ -103,8 +104,15 @@
     async def _run(self, request: web.Request, body: bytes, headers: dict[str, str]) -> web.StreamResponse:
         """Work on a request."""
         resumed_at = int(request.headers.get(words.LAST_EVENT_ID, "0") or 0) if self.streaming else 0
-        self.seen.runs.append(Run(headers[words.REQUEST_ID], request.path, request.headers.get(words.TENANT, ""),
-                                  asyncio.get_running_loop().time(), resumed_at))
+        self.seen.runs.append(
+            Run(
+                headers[words.REQUEST_ID],
+                request.path,
+                request.headers.get(words.TENANT, ""),
+                asyncio.get_running_loop().time(),
+                resumed_at,
+            )
+        )
         self.seen.keys += words.CREDENTIAL in request.headers
         headers[words.STAMP] = f"{self.id}.{len(self.seen.runs)}"
         if not self.streaming:
--- a/rosechute/standin/fleet/judge.py
+++ b/rosechute/standin/fleet/judge.py
@@ -33,14 +33,22 @@
     engines = list(engines)
     runs = Counter(run.request_id for engine in engines for run in engine.seen.runs)
     return [
-        _answers(done), _twice(done, runs), _refused(done, runs), _asked(done, runs), _keys(engines), _served(done),
+        _answers(done),
+        _twice(done, runs),
+        _refused(done, runs),
+        _asked(done, runs),
+        _keys(engines),
+        _served(done),
     ]
 
 
 def _answers(done: Sequence[Done]) -> Verdict:
     wrong = [tried.problem for one in done for tried in one.tries if tried.status == 200 and " " in tried.problem]
-    return Verdict("every success is the server's whole answer", not wrong,
-                   f"{len(wrong)} wrong" + (f", the first: {wrong[0]}" if wrong else ""))
+    return Verdict(
+        "every success is the server's whole answer",
+        not wrong,
+        f"{len(wrong)} wrong" + (f", the first: {wrong[0]}" if wrong else ""),
+    )
 
 
 def _twice(done: Sequence[Done], runs: Counter[str]) -> Verdict:
@@ -49,8 +57,13 @@
 
 
 def _refused(done: Sequence[Done], runs: Counter[str]) -> Verdict:
-    ran = [tried for one in done if not one.kind.repeatable for tried in one.tries
-           if tried.status in words.PROMISES and runs[tried.request_id]]
+    ran = [
+        tried
+        for one in done
+        if not one.kind.repeatable
+        for tried in one.tries
+        if tried.status in words.PROMISES and runs[tried.request_id]
+    ]
     return Verdict("what was refused has not run", not ran, f"{len(ran)} ran all the same")
 
 
@@ -68,5 +81,8 @@
 def _served(done: Sequence[Done]) -> Verdict:
     share = sum(one.served for one in done) / len(done) if done else 0.0
     tries = sum(len(one.tries) for one in done) / max(1, len(done))
-    return Verdict(f"at least {SERVED_LEAST:.0%} of all requests are served", share >= SERVED_LEAST,
-                   f"{share:.2%} of {len(done)}, {tries:.2f} tries each")
+    return Verdict(
+        f"at least {SERVED_LEAST:.0%} of all requests are served",
+        share >= SERVED_LEAST,
+        f"{share:.2%} of {len(done)}, {tries:.2f} tries each",
+    )
--- a/rosechute/standin/fleet/operator.py
+++ b/rosechute/standin/fleet/operator.py
@@ -60,14 +60,16 @@
                 pause = min(LONGEST_PAUSE_S, 2 * pause)
         return Outcome(status, b"", calls)
 
-    async def _once(self, session: aiohttp.ClientSession, method: str, path: str, headers: dict[str, str],
-                    body: bytes) -> tuple[int, bytes]:
+    async def _once(
+        self, session: aiohttp.ClientSession, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> tuple[int, bytes]:
         """One call to an address drawn at random, with its redirects; status 0 where there is no answer."""
         url = f"http://{self._random.choice(self.addresses)}{path}"
         try:
             for _ in range(REDIRECTS + 1):
-                async with session.request(method, url, headers=headers, data=body or None,
-                                           allow_redirects=False) as answer:
+                async with session.request(
+                    method, url, headers=headers, data=body or None, allow_redirects=False
+                ) as answer:
                     if answer.status != 307:
                         return answer.status, await answer.read()
                     url = answer.headers.get("Location", "")
--- a/rosechute/standin/fleet/processes.py
+++ b/rosechute/standin/fleet/processes.py
@@ -81,8 +81,10 @@
 
     def gates(self) -> list[Gate]:
         """The edges as the entry sees them."""
-        return [Gate(member.name, member.zone, f"{member.ip}:{FRONT_PORT}", f"{member.ip}:{READINESS_PORT}")
-                for member in self.of("edge")]
+        return [
+            Gate(member.name, member.zone, f"{member.ip}:{FRONT_PORT}", f"{member.ip}:{READINESS_PORT}")
+            for member in self.of("edge")
+        ]
 
     def controls(self) -> list[str]:
         """The control addresses."""
@@ -95,8 +97,14 @@
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self._settings(member))))
         with member.log.open("ab") as log:
             member.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", f"rosechute.processes.{member.role}", cwd=ROOT, stdout=log, stderr=log,
-                env={**os.environ, SETTINGS_VARIABLE: str(path)})
+                sys.executable,
+                "-m",
+                f"rosechute.processes.{member.role}",
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+                env={**os.environ, SETTINGS_VARIABLE: str(path)},
+            )
         member.starts += 1
 
     async def start_all(self) -> None:
@@ -131,20 +139,38 @@
     def _settings(self, member: Member) -> dict[str, Any]:
         """The settings file of a process."""
         core = member.role == "core"
-        listen = ({"control": member.control} if core else
-                  {"front": f"{member.ip}:{FRONT_PORT}", "readiness": f"{member.ip}:{READINESS_PORT}"})
+        listen = (
+            {"control": member.control}
+            if core
+            else {"front": f"{member.ip}:{FRONT_PORT}", "readiness": f"{member.ip}:{READINESS_PORT}"}
+        )
         data = self.folder / f"{member.name}-data"
         if core:
             data.mkdir(exist_ok=True)
         return {
-            "node_name": member.name, "role": member.role, "machine_class": member.role,
-            "serves": ["control_plane" if core else "edge"], "ip": member.ip, "zone": member.zone,
+            "node_name": member.name,
+            "role": member.role,
+            "machine_class": member.role,
+            "serves": ["control_plane" if core else "edge"],
+            "ip": member.ip,
+            "zone": member.zone,
             "region": "loopback",
-            "zones": dict.fromkeys(self.zones, "loopback"), "listen": listen, "port_range": PORT_RANGE,
-            "seeds": self.controls(), "bootstrap": member.starts == 0, "counts_for_quorum": core,
-            "limits": {"cpu_share": 1.0, "cores": 1, "memory_mb": 300, "max_fds": 2048, "link_mbps": 1000.0,
-                       "disk_mb": 128 if core else 0},
-            "data_dir": str(data) if core else None, "heartbeat_ms": 1200,
+            "zones": dict.fromkeys(self.zones, "loopback"),
+            "listen": listen,
+            "port_range": PORT_RANGE,
+            "seeds": self.controls(),
+            "bootstrap": member.starts == 0,
+            "counts_for_quorum": core,
+            "limits": {
+                "cpu_share": 1.0,
+                "cores": 1,
+                "memory_mb": 300,
+                "max_fds": 2048,
+                "link_mbps": 1000.0,
+                "disk_mb": 128 if core else 0,
+            },
+            "data_dir": str(data) if core else None,
+            "heartbeat_ms": 1200,
             "fault_tolerance": {"machines": 1, "zones": 0, "regions": 0},
             "bounds": {"grace_s": 4, "quota_overshoot": 0.1, "quota_slack": 10000},
             "cloud_api": {"address": self.cloud_api, "rate_per_s": 40.0, "duties": [], "max_lag_ms": 500},
--- a/rosechute/standin/fleet/scene.py
+++ b/rosechute/standin/fleet/scene.py
@@ -36,25 +36,80 @@
 CONFIGURATION: dict[str, Any] = {
     "config_version": 1,
     "routes": [
-        {"name": "summary", "host": HOST, "path_prefix": "/summary/", "route_type": "streaming", "timeout_ms": 5000,
-         "target_latency_ms": 600, "priority": 1, "service": MODEL, "max_attempts": 2, "sticky": True,
-         "stream_resume": True, "gap_aim_ms": 500},
-        {"name": "reply", "host": HOST, "path_prefix": "/reply/", "route_type": "streaming", "timeout_ms": 3000,
-         "target_latency_ms": 500, "priority": 0, "service": MODEL, "max_attempts": 1, "sticky": True,
-         "gap_aim_ms": 500},
-        {"name": "confirm", "host": HOST, "path_prefix": "/confirm/", "route_type": "non_idempotent",
-         "timeout_ms": 2500, "target_latency_ms": 200, "priority": 2, "service": PLAIN, "max_attempts": 2},
+        {
+            "name": "summary",
+            "host": HOST,
+            "path_prefix": "/summary/",
+            "route_type": "streaming",
+            "timeout_ms": 5000,
+            "target_latency_ms": 600,
+            "priority": 1,
+            "service": MODEL,
+            "max_attempts": 2,
+            "sticky": True,
+            "stream_resume": True,
+            "gap_aim_ms": 500,
+        },
+        {
+            "name": "reply",
+            "host": HOST,
+            "path_prefix": "/reply/",
+            "route_type": "streaming",
+            "timeout_ms": 3000,
+            "target_latency_ms": 500,
+            "priority": 0,
+            "service": MODEL,
+            "max_attempts": 1,
+            "sticky": True,
+            "gap_aim_ms": 500,
+        },
+        {
+            "name": "confirm",
+            "host": HOST,
+            "path_prefix": "/confirm/",
+            "route_type": "non_idempotent",
+            "timeout_ms": 2500,
+            "target_latency_ms": 200,
+            "priority": 2,
+            "service": PLAIN,
+            "max_attempts": 2,
+        },
     ],
     "services": [
-        {"name": MODEL, "health_path": "/health", "max_connections": 96, "protocol": "h1", "tls": False,
-         "engine": {"slots": SLOTS, "kv_capacity": 100000, "kv_token_bytes": 4096, "link_mbps": 10000.0, "stride": 5,
-                    "models": [{"name": "m"}]}},
+        {
+            "name": MODEL,
+            "health_path": "/health",
+            "max_connections": 96,
+            "protocol": "h1",
+            "tls": False,
+            "engine": {
+                "slots": SLOTS,
+                "kv_capacity": 100000,
+                "kv_token_bytes": 4096,
+                "link_mbps": 10000.0,
+                "stride": 5,
+                "models": [{"name": "m"}],
+            },
+        },
         {"name": PLAIN, "health_path": "/health", "max_connections": 48, "protocol": "h1", "tls": False},
     ],
-    "limits": {"max_header_bytes": 16384, "max_body_bytes": 1048576, "header_timeout_ms": 3000,
-               "idle_timeout_ms": 15000},
-    "tenants": [{"name": "harbour", "api_keys": [KEY, OTHER_KEY], "priority": 1, "unit": "token_stream",
-                 "uncached_tokens": 100, "rate_per_s": 40000, "burst": 40000}],
+    "limits": {
+        "max_header_bytes": 16384,
+        "max_body_bytes": 1048576,
+        "header_timeout_ms": 3000,
+        "idle_timeout_ms": 15000,
+    },
+    "tenants": [
+        {
+            "name": "harbour",
+            "api_keys": [KEY, OTHER_KEY],
+            "priority": 1,
+            "unit": "token_stream",
+            "uncached_tokens": 100,
+            "rate_per_s": 40000,
+            "burst": 40000,
+        }
+    ],
 }
 
 
@@ -131,6 +186,11 @@
         if found.status == 200:
             version = msgspec.json.decode(found.body).get("config_version")
         wanted = self.configuration["config_version"]
-        return [*judge(self.clients.done, self.engines.values()),
-                Verdict("the newest acknowledged configuration is read back", version == wanted,
-                        f"version {version}, acknowledged {wanted}")]
+        return [
+            *judge(self.clients.done, self.engines.values()),
+            Verdict(
+                "the newest acknowledged configuration is read back",
+                version == wanted,
+                f"version {version}, acknowledged {wanted}",
+            ),
+        ]
--- a/rosechute/standin/load.py
+++ b/rosechute/standin/load.py
@@ -110,8 +110,12 @@
         reader, writer = self._free.pop() if self._free else await asyncio.open_connection("127.0.0.1", self._port)
         keep = False
         try:
-            lines = [f"{'GET' if kind.repeat == 'free' else 'POST'} {kind.path} HTTP/1.1", "Host: app",
-                     f"X-Request-ID: {rid}", f"X-Timeout: {kind.wait_s:.3f}"]
+            lines = [
+                f"{'GET' if kind.repeat == 'free' else 'POST'} {kind.path} HTTP/1.1",
+                "Host: app",
+                f"X-Request-ID: {rid}",
+                f"X-Timeout: {kind.wait_s:.3f}",
+            ]
             lines += [f"X-Tenant-Id: {kind.tenant}"] if kind.tenant else []
             lines += [f"Idempotency-Key: {rid}"] if kind.repeat == "guarded" else []
             lines += [f"Cookie: key={kind.key}"] if kind.key else []
--- a/rosechute/standin/scene.py
+++ b/rosechute/standin/scene.py
@@ -25,18 +25,44 @@
     """Settings of a platform that books desks."""
     raw: dict[str, Any] = {
         "classes": [
-            {"name": "hold-desk", "onTimeNs": 600 * MS, "hardLimitNs": 1200 * MS, "repeat": "single_shot",
-             "credit": 2.0},
-            {"name": "confirm-booking", "onTimeNs": 600 * MS, "hardLimitNs": 2500 * MS, "repeat": "guarded",
-             "group": "all", "windowNs": 5000 * MS, "credit": 10.0},
+            {
+                "name": "hold-desk",
+                "onTimeNs": 600 * MS,
+                "hardLimitNs": 1200 * MS,
+                "repeat": "single_shot",
+                "credit": 2.0,
+            },
+            {
+                "name": "confirm-booking",
+                "onTimeNs": 600 * MS,
+                "hardLimitNs": 2500 * MS,
+                "repeat": "guarded",
+                "group": "all",
+                "windowNs": 5000 * MS,
+                "credit": 10.0,
+            },
             {"name": "list-rooms", "onTimeNs": 400 * MS, "hardLimitNs": 1500 * MS, "repeat": "free"},
         ],
-        "discovery": "subscribe", "failureDomains": ["a"], "kinds": ["m"],
+        "discovery": "subscribe",
+        "failureDomains": ["a"],
+        "kinds": ["m"],
         "projects": [{"name": "charity-partners", "share": 0.64}, {"name": "community-hirers", "share": 0.36}],
-        "limits": {"maxAttempts": 5, "secondCopies": True, "retryAfter": True, "maxRetryAfterNs": 1200 * MS,
-                   "connectTimeoutNs": 250 * MS, "cancel": True, "connIdleNs": 30_000 * MS},
-        "invariants": {"drainGraceNs": 250 * MS, "coldFrom": 0.1, "coldNs": 4_000 * MS, "fallMultiple": 3.0,
-                       "fallNs": 1500 * MS},
+        "limits": {
+            "maxAttempts": 5,
+            "secondCopies": True,
+            "retryAfter": True,
+            "maxRetryAfterNs": 1200 * MS,
+            "connectTimeoutNs": 250 * MS,
+            "cancel": True,
+            "connIdleNs": 30_000 * MS,
+        },
+        "invariants": {
+            "drainGraceNs": 250 * MS,
+            "coldFrom": 0.1,
+            "coldNs": 4_000 * MS,
+            "fallMultiple": 3.0,
+            "fallNs": 1500 * MS,
+        },
     }
     for key, value in changes.items():
         raw[key] = {**raw.get(key, {}), **value} if isinstance(value, dict) else value
@@ -46,8 +72,15 @@
 class Scene:
     """All parts of one run."""
 
-    def __init__(self, servers: dict[str, Conduct], raw: dict[str, Any] | None = None, file: Path | None = None,
-                 seed: int = 1, sockets: int = 1024, memory_mb: int = 192) -> None:
+    def __init__(
+        self,
+        servers: dict[str, Conduct],
+        raw: dict[str, Any] | None = None,
+        file: Path | None = None,
+        seed: int = 1,
+        sockets: int = 1024,
+        memory_mb: int = 192,
+    ) -> None:
         self._raw, self._file, self._seed = raw or platform(), file, seed
         self._limits = sockets, memory_mb
         self.servers = {name: StandInServer(name, conduct, seed) for name, conduct in servers.items()}
@@ -63,8 +96,15 @@
         await self.discovery.start()
         sockets, memory = self._limits
         self.config = Config(
-            "scene", Address("127.0.0.1", 0), Address("127.0.0.1", self.discovery.port), self._seed, sockets,
-            self.discovery.whole(), Settings.parse(self._raw), Address("127.0.0.1", 0), memory_mb=memory,
+            "scene",
+            Address("127.0.0.1", 0),
+            Address("127.0.0.1", self.discovery.port),
+            self._seed,
+            sockets,
+            self.discovery.whole(),
+            Settings.parse(self._raw),
+            Address("127.0.0.1", 0),
+            memory_mb=memory,
         )
         self.policy = FilePolicy(self._file, self.config) if self._file is not None else None
         self.sidecar = Sidecar(self.config, loop, self.policy)
@@ -109,20 +149,29 @@
         times = Counter(run.rid for run in runs)
         single = {d.rid for d in outcome.done if d.kind.repeat == "single_shot"}
         doubled = [rid for rid in single if times[rid] > 1]
-        late = sum(at > told + GRACE_S for name, told in self.drained.items()
-                   for at, _ in self.servers[name].seen.came)
+        late = sum(
+            at > told + GRACE_S for name, told in self.drained.items() for at, _ in self.servers[name].seen.came
+        )
         cold = {name: self.servers[name].seen for name in self.started}
         pushed = sum(seen.turned_away for seen in cold.values())
         deepest = max((seen.most_waiting for seen in cold.values()), default=0)
         found = [
-            ("one final answer for all that was taken", not lost,
-             f"{len(outcome.done)} asked, {len(lost)} unanswered"),
+            (
+                "one final answer for all that was taken",
+                not lost,
+                f"{len(outcome.done)} asked, {len(lost)} unanswered",
+            ),
             ("hold-desk never twice", not doubled, f"{len(single)} held, {len(doubled)} doubled"),
         ]
         if self.drained:
             found.append(("nothing new 250 ms after a drain is told", not late, f"{late} came later"))
         if cold:
-            found.append(("no cold server pushed over", not pushed,
-                          f"{sum(len(s.runs) for s in cold.values())} served there, {deepest} waiting at the most, "
-                          f"{pushed} turned away"))
+            found.append(
+                (
+                    "no cold server pushed over",
+                    not pushed,
+                    f"{sum(len(s.runs) for s in cold.values())} served there, {deepest} waiting at the most, "
+                    f"{pushed} turned away",
+                )
+            )
         return found
--- a/rosechute/standin/server.py
+++ b/rosechute/standin/server.py
@@ -149,8 +149,9 @@
         """Write the answer, if its connection is still there."""
         if self.open:
             self.open = False
-            self.conversation.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s"
-                                    % (status, len(body), headers, body))
+            self.conversation.write(
+                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s" % (status, len(body), headers, body)
+            )
 
 
 class Conversation(asyncio.Protocol):
--- a/tests/backend.py
+++ b/tests/backend.py
@@ -95,8 +95,17 @@
 
 
 def line(name: str, port: int, **changes: Any) -> dict[str, Any]:
-    return {"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "type": "m", "group": 0,
-            "status": "SERVING", "weight": 1.0, "since_ms": 0, **changes}
+    return {
+        "name": name,
+        "address": f"127.0.0.1:{port}",
+        "zone": "a",
+        "type": "m",
+        "group": 0,
+        "status": "SERVING",
+        "weight": 1.0,
+        "since_ms": 0,
+        **changes,
+    }
 
 
 def listing(*lines: dict[str, Any], index: int = 1, snapshot: bool = True) -> dict[str, Any]:
@@ -108,9 +117,9 @@
     kinds = ("free", "single_shot", "guarded")
     raw: dict[str, Any] = {
         "classes": [{"name": k, "onTimeNs": 3 * 10**9, "hardLimitNs": 6 * 10**9, "repeat": k} for k in kinds],
-        "failureDomains": ["a", "b"], "kinds": ["m"],
-        "limits": {"maxAttempts": 3, "retryAfter": True, "maxRetryAfterNs": 10**9,
-                   "connectTimeoutNs": 2 * 10**9},
+        "failureDomains": ["a", "b"],
+        "kinds": ["m"],
+        "limits": {"maxAttempts": 3, "retryAfter": True, "maxRetryAfterNs": 10**9, "connectTimeoutNs": 2 * 10**9},
         "invariants": {"drainGraceNs": 10**9},
     }
     for key, value in changes.items():
@@ -135,8 +144,15 @@
         body = await self.reader.readexactly(int(headers["content-length"]))
         return int(first.split(" ")[1]), headers, body
 
-    async def ask(self, cls: str = "free", rid: str = "", timeout: str | None = "5",
-                  method: str = "", body: bytes = b"", **headers: str) -> tuple[int, dict[str, str], bytes]:
+    async def ask(
+        self,
+        cls: str = "free",
+        rid: str = "",
+        timeout: str | None = "5",
+        method: str = "",
+        body: bytes = b"",
+        **headers: str,
+    ) -> tuple[int, dict[str, str], bytes]:
         rid = rid or f"id-{next(IDS)}"  # new with every request
         method = method or ("GET" if cls == "free" else "POST")
         lines = [f"{method} /{cls}?q=1 HTTP/1.1", "Host: app", f"X-Request-ID: {rid}"]
@@ -183,12 +199,23 @@
 
 @contextlib.asynccontextmanager
 async def sidecar(
-    *lines: dict[str, Any], discovery: int = 1, raw: dict[str, Any] | None = None, sockets: int = 1024,
+    *lines: dict[str, Any],
+    discovery: int = 1,
+    raw: dict[str, Any] | None = None,
+    sockets: int = 1024,
     memory_mb: int = 192,
 ) -> AsyncIterator[World]:
-    config = Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", discovery), 7, sockets,
-                    listing(*lines), Settings.parse(raw or settings(discovery="subscribe")),
-                    Address("127.0.0.1", 0), memory_mb=memory_mb)
+    config = Config(
+        "n0",
+        Address("127.0.0.1", 0),
+        Address("127.0.0.1", discovery),
+        7,
+        sockets,
+        listing(*lines),
+        Settings.parse(raw or settings(discovery="subscribe")),
+        Address("127.0.0.1", 0),
+        memory_mb=memory_mb,
+    )
     made = Sidecar(config, asyncio.get_running_loop())
     yield World(made, await made.start())
 
--- a/tests/build.py
+++ b/tests/build.py
@@ -14,14 +14,28 @@
 def settings(**changes: Any) -> Settings:
     raw: dict[str, Any] = {
         "classes": [
-            {"name": name, "onTimeNs": 400 * MS, "hardLimitNs": SECOND, "repeat": name, "credit": 1.0 + i,
-             "group": "zone", "windowNs": SECOND}
+            {
+                "name": name,
+                "onTimeNs": 400 * MS,
+                "hardLimitNs": SECOND,
+                "repeat": name,
+                "credit": 1.0 + i,
+                "group": "zone",
+                "windowNs": SECOND,
+            }
             for i, name in enumerate(CLASSES)
         ],
         "failureDomains": ["a", "b"],
         "limits": {"maxAttempts": 3, "retryAfter": True, "maxRetryAfterNs": SECOND},
-        "invariants": {"coldFrom": 0.3, "coldNs": 5 * SECOND, "fallMultiple": 3.0, "fallNs": SECOND,
-                       "drainGraceNs": SECOND, "mustAskInNs": 10 * SECOND, "graceToAnswerNs": 20 * MS},
+        "invariants": {
+            "coldFrom": 0.3,
+            "coldNs": 5 * SECOND,
+            "fallMultiple": 3.0,
+            "fallNs": SECOND,
+            "drainGraceNs": SECOND,
+            "mustAskInNs": 10 * SECOND,
+            "graceToAnswerNs": 20 * MS,
+        },
         "periodNs": MS,
     }
     for key, value in changes.items():
@@ -30,9 +44,9 @@
 
 
 def fleet(count: int, lifecycle: str = "up", started_ns: int = 0) -> Directory:
-    return Directory("FULL", tuple(
-        Entry(f"10.0.0.{i}:80", i % 2, 0, i // 2, lifecycle, 1.0, started_ns) for i in range(count)
-    ))
+    return Directory(
+        "FULL", tuple(Entry(f"10.0.0.{i}:80", i % 2, 0, i // 2, lifecycle, 1.0, started_ns) for i in range(count))
+    )
 
 
 def balancer(servers: int = 4, seed: int = 1, **changes: Any) -> Balancer:
@@ -46,9 +60,7 @@
     return Accept(tid, cls, ttl_ns)
 
 
-def outcome(
-    send: Submit, how: int = How.OK, lag_ns: int = 50 * MS, attempt: int = 0, **more: Any
-) -> Response:
+def outcome(send: Submit, how: int = How.OK, lag_ns: int = 50 * MS, attempt: int = 0, **more: Any) -> Response:
     return Response(send.tid, how, lag_ns, send.server, attempt, how == How.OK, **more)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,8 +10,11 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--compiled", action="store_true",
-                     help="load the modules that deploy/build.sh compiled, and leave out what needs the sources")
+    parser.addoption(
+        "--compiled",
+        action="store_true",
+        help="load the modules that deploy/build.sh compiled, and leave out what needs the sources",
+    )
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/fleet/data_judges.py
+++ b/tests/fleet/data_judges.py
@@ -87,8 +87,8 @@
 
 def _stream(asked: Asked, records: Records) -> Iterator[str]:
     events = list(EVENT.finditer(asked.got))
-    rest = asked.got[events[-1].end():] if events else asked.got
-    if b"".join(found[0] for found in events) != asked.got[:len(asked.got) - len(rest)]:
+    rest = asked.got[events[-1].end() :] if events else asked.got
+    if b"".join(found[0] for found in events) != asked.got[: len(asked.got) - len(rest)]:
         yield f"{asked.name}: events are mixed up: {asked.got!r}"
         return
     numbers = [int(found[2]) for found in events]
@@ -206,8 +206,17 @@
 
 
 JUDGES: tuple[Judge, ...] = (
-    judge_own_answer, judge_whole, judge_at_most_once, judge_promises, judge_streams, judge_attempts, judge_unchanged,
-    judge_deadlines, judge_gone, judge_answered_in_time, judge_nothing_else,
+    judge_own_answer,
+    judge_whole,
+    judge_at_most_once,
+    judge_promises,
+    judge_streams,
+    judge_attempts,
+    judge_unchanged,
+    judge_deadlines,
+    judge_gone,
+    judge_answered_in_time,
+    judge_nothing_else,
 )
 
 
--- a/tests/fleet/data_model.py
+++ b/tests/fleet/data_model.py
@@ -175,13 +175,23 @@
 def model_configuration(version: int = 1, strict: bool = False) -> Configuration:
     """The routes; a strict configuration allows none of them to be repeated or resumed."""
     again = "non_idempotent" if strict else "idempotent"
-    return configuration(version, routes=[
-        route("plain", timeout_ms=3500),
-        route("again", route_type=again, max_attempts=2, timeout_ms=3500),
-        route("stream", route_type="streaming", gap_aim_ms=500, max_attempts=1, timeout_ms=3500),
-        route("resume", route_type="streaming", gap_aim_ms=500, stream_resume=not strict, sticky=True, max_attempts=2,
-              timeout_ms=3500),
-    ])
+    return configuration(
+        version,
+        routes=[
+            route("plain", timeout_ms=3500),
+            route("again", route_type=again, max_attempts=2, timeout_ms=3500),
+            route("stream", route_type="streaming", gap_aim_ms=500, max_attempts=1, timeout_ms=3500),
+            route(
+                "resume",
+                route_type="streaming",
+                gap_aim_ms=500,
+                stream_resume=not strict,
+                sticky=True,
+                max_attempts=2,
+                timeout_ms=3500,
+            ),
+        ],
+    )
 
 
 TIMEOUT_S = 3.5
@@ -197,9 +207,7 @@
 class ServerConnection:
     """One connection at a server: reads requests and answers as it is drawn."""
 
-    def __init__(
-        self, world: World, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> None:
+    def __init__(self, world: World, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._world, self._name = world, name
         self._draw, self._records = world.draw, world.records
         self._reader, self._writer = reader, writer
@@ -336,7 +344,11 @@
         elif conduct is Conduct.NAMES_TWO:
             ids = draw.choice(((name, f"x{name}"), (f"x{name}", name)))
         run.success = conduct not in (
-            Conduct.IS_UNSTAMPED, Conduct.MARKS_SUCCESS, Conduct.NAMES_ANOTHER, Conduct.NAMES_NONE, Conduct.NAMES_TWO,
+            Conduct.IS_UNSTAMPED,
+            Conduct.MARKS_SUCCESS,
+            Conduct.NAMES_ANOTHER,
+            Conduct.NAMES_NONE,
+            Conduct.NAMES_TWO,
         )
         framing = draw.choice((Framing.LENGTH, Framing.CHUNKED, Framing.CHUNKED, Framing.UNFRAMED))
         if arrival.target.startswith(("/stream", "/resume")):
@@ -358,8 +370,14 @@
             self._break_off()
 
     async def _plain(
-        self, arrival: Arrival, run: Run, framing: Framing, ids: tuple[str, ...], stamps: list[str],
-        conduct: Conduct, place: Break,
+        self,
+        arrival: Arrival,
+        run: Run,
+        framing: Framing,
+        ids: tuple[str, ...],
+        stamps: list[str],
+        conduct: Conduct,
+        place: Break,
     ) -> None:
         draw = self._draw
         words = f"whole answer of {run.stamp} to {arrival.value('x-rosechute-request-id')}. ".encode()
@@ -373,11 +391,11 @@
     ) -> None:
         """Send an answer, or as much of it as is drawn."""
         if place is Break.INSIDE_HEAD:
-            self._writer.write(head[:len(head) // 2])
+            self._writer.write(head[: len(head) // 2])
         elif place is Break.BEHIND_HEAD:
             self._writer.write(head)
         elif place in (Break.INSIDE_BODY, Break.BETWEEN_EVENTS):
-            self._writer.write(head + wire[:len(wire) // 2])
+            self._writer.write(head + wire[: len(wire) // 2])
         elif place is Break.BEFORE_LAST_CHUNK:
             self._writer.write(head + wire[:-1])
         if place is not Break.NOT:
@@ -386,7 +404,7 @@
             run.reset = True
             self._break_off(reset=framing is Framing.UNFRAMED or self._draw.random() < 0.5)
         if conduct is Conduct.FALLS_SILENT:
-            self._writer.write(head + wire[:len(wire) // 2])
+            self._writer.write(head + wire[: len(wire) // 2])
             await self._work(arrival, 30.0)
         if self._draw.random() < 0.2:
             self._writer.write(head + wire[:7])
@@ -397,15 +415,21 @@
             self._writer.write(head + wire)
 
     async def _stream(
-        self, arrival: Arrival, run: Run, framing: Framing, ids: tuple[str, ...], stamps: list[str],
-        conduct: Conduct, place: Break,
+        self,
+        arrival: Arrival,
+        run: Run,
+        framing: Framing,
+        ids: tuple[str, ...],
+        stamps: list[str],
+        conduct: Conduct,
+        place: Break,
     ) -> None:
         draw, version = self._draw, VERSIONS[self._name]
         framing = Framing.CHUNKED if framing is Framing.LENGTH else framing
         lines = ["Content-Type: text/event-stream", f"Versions: {version}", *framing_lines(b"", framing)]
         head = self._head(200, ids, *stamps, *lines)
         if place is Break.INSIDE_HEAD:
-            self._writer.write(head[:len(head) // 2])
+            self._writer.write(head[: len(head) // 2])
             await self._writer.drain()
             run.reset = True
             self._break_off(reset=True)
@@ -419,7 +443,7 @@
             event = event_of(number, run, version, told)
             if number == breaks_at and place in (Break.BEHIND_HEAD, Break.INSIDE_BODY, Break.BETWEEN_EVENTS):
                 if place is Break.INSIDE_BODY:
-                    self._piece(event[:draw.randint(1, len(event) - 1)], framing)
+                    self._piece(event[: draw.randint(1, len(event) - 1)], framing)
                 await self._writer.drain()
                 await self._work(arrival, draw.choice((0.0, 0.02)))
                 run.reset = True
@@ -540,8 +564,11 @@
         body = b"".join(b"%d," % number for number in range(draw.choice((0, 3, 4000))))
         if draw.random() < 0.15:
             body = ((b"long %d " % draw.randrange(1000)) * LONG_BODY)[:LONG_BODY]
-        told = [("X-Rosechute-Model", "m"), ("x-rosechute-token-count", f" {draw.randrange(99)},\t5 "),
-                ("X-ROSECHUTE-Prompt-Prefix", draw.choice(PROMPT_PREFIXES))]
+        told = [
+            ("X-Rosechute-Model", "m"),
+            ("x-rosechute-token-count", f" {draw.randrange(99)},\t5 "),
+            ("X-ROSECHUTE-Prompt-Prefix", draw.choice(PROMPT_PREFIXES)),
+        ]
         if draw.random() < 0.2:
             told.append(("X-Rosechute-Model", "another line"))
         draw.shuffle(told)
@@ -549,8 +576,12 @@
         name, now = f"r{len(self._world.records.asked)}", self._world.site.loop.time()
         asked = Asked(name, path, now, deadline_ms / 1e3, body, told, after_answer=after_answer)
         self._world.records.asked[asked.name] = asked
-        lines = [f"POST {path} HTTP/1.{0 if self._ten else 1}", "Host: app.example",
-                 f"X-Rosechute-Request-Id: {asked.name}", f"X-Rosechute-Credential: {KEY}"]
+        lines = [
+            f"POST {path} HTTP/1.{0 if self._ten else 1}",
+            "Host: app.example",
+            f"X-Rosechute-Request-Id: {asked.name}",
+            f"X-Rosechute-Credential: {KEY}",
+        ]
         if self._ten:
             lines.append("Connection: keep-alive")
         elif draw.random() < 0.1:
@@ -695,10 +726,12 @@
     def _list(self, all_ready: bool = False) -> None:
         """Another list: some servers drain."""
         ready = [all_ready or self.draw.random() < 0.8 for _ in self._entries]
-        self.site.list(*(
-            replace(entry, id=self.instances[entry.id], ready=is_ready)
-            for entry, is_ready in zip(self._entries, ready, strict=True)
-        ))
+        self.site.list(
+            *(
+                replace(entry, id=self.instances[entry.id], ready=is_ready)
+                for entry, is_ready in zip(self._entries, ready, strict=True)
+            )
+        )
 
     def _replace_server(self) -> None:
         """Another incarnation stands at an address; the list tells so now, or with its next change."""
@@ -740,7 +773,9 @@
     def _note_leftovers(self) -> None:
         plane, router = self.site.plane, self.site.router
         held: dict[str, Any] = {
-            "requests": len(plane.front.requests), "calls": len(router._calls), "bytes": plane.budget.used,
+            "requests": len(plane.front.requests),
+            "calls": len(router._calls),
+            "bytes": plane.budget.used,
         }
         for server in plane.servers._servers.values():
             held[f"links of {server.id}"] = server.links - len(server.idle)
--- a/tests/fleet/data_schedules.py
+++ b/tests/fleet/data_schedules.py
@@ -44,8 +44,10 @@
         failed += bool(found)
         for text in found:
             print(f"seed {seed}: {text}", flush=True)
-    print(f"{arguments.end - arguments.first} schedules, {requests} requests, {failed} schedules with a finding, "
-          f"{time.monotonic() - begun:.0f} s")
+    print(
+        f"{arguments.end - arguments.first} schedules, {requests} requests, {failed} schedules with a finding, "
+        f"{time.monotonic() - begun:.0f} s"
+    )
     print("answers by status (0: none):", dict(sorted(statuses.items())))
     print("conduct of servers:", dict(sorted(conducts.items())))
 
--- a/tests/fleet/data_site.py
+++ b/tests/fleet/data_site.py
@@ -207,8 +207,15 @@
         self._ids = itertools.count(1)
 
     def send(
-        self, path: str = "/plain/1", *lines: str, body: bytes = b"", key: str | None = KEY, deadline: int = 5000,
-        host: str = "app.example", method: str = "POST", id: str = "",
+        self,
+        path: str = "/plain/1",
+        *lines: str,
+        body: bytes = b"",
+        key: str | None = KEY,
+        deadline: int = 5000,
+        host: str = "app.example",
+        method: str = "POST",
+        id: str = "",
     ) -> str:
         name = id or f"id-{next(IDS)}"
         fields = [f"{method} {path} HTTP/1.1", f"Host: {host}", f"X-Rosechute-Request-Id: {name}"]
@@ -301,8 +308,16 @@
 
 def route(name: str, **changes: Any) -> dict[str, Any]:
     return {
-        "name": name, "host": "app.example", "path_prefix": f"/{name}/", "route_type": "non_idempotent",
-        "timeout_ms": 5000, "target_latency_ms": 500, "priority": 1, "service": "svc", "max_attempts": 2, **changes,
+        "name": name,
+        "host": "app.example",
+        "path_prefix": f"/{name}/",
+        "route_type": "non_idempotent",
+        "timeout_ms": 5000,
+        "target_latency_ms": 500,
+        "priority": 1,
+        "service": "svc",
+        "max_attempts": 2,
+        **changes,
     }
 
 
@@ -318,13 +333,23 @@
             route("other", service="other"),
         ],
         "services": [{"name": "svc", "max_connections": 48}, {"name": "other", "max_connections": 8}],
-        "limits": {"max_header_bytes": 8192, "max_body_bytes": 262144, "header_timeout_ms": 3000,
-                   "idle_timeout_ms": 15000},
+        "limits": {
+            "max_header_bytes": 8192,
+            "max_body_bytes": 262144,
+            "header_timeout_ms": 3000,
+            "idle_timeout_ms": 15000,
+        },
         "tenants": [
             {"name": "first", "api_keys": [KEY, "k2"], "priority": 1},
             {"name": "metered", "api_keys": ["m1"], "priority": 0, "rate_per_s": 5, "burst": 5},
-            {"name": "tokens", "api_keys": ["t1"], "unit": "token_stream", "uncached_tokens": 150, "rate_per_s": 500,
-             "burst": 500},
+            {
+                "name": "tokens",
+                "api_keys": ["t1"],
+                "unit": "token_stream",
+                "uncached_tokens": 150,
+                "rate_per_s": 500,
+                "burst": 500,
+            },
         ],
         **changes,
     }
@@ -337,17 +362,30 @@
     def __init__(self, memory_mb: int = 260, grace_s: float = 8.0) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = ProcessSettings(
-            node_name="edge-1", ip="127.0.0.1", zone="east", port_range=(7000, 7001),
-            listen=Listen(front="127.0.0.1:0"), limits=ProcessLimits(memory_mb=memory_mb, max_fds=1024),
+            node_name="edge-1",
+            ip="127.0.0.1",
+            zone="east",
+            port_range=(7000, 7001),
+            listen=Listen(front="127.0.0.1:0"),
+            limits=ProcessLimits(memory_mb=memory_mb, max_fds=1024),
             bounds=Bounds(
-                strict_revoke=True, revoke_ms=5000, grace_s=grace_s, retry_budget_ratio=0.2, retry_slack=50,
+                strict_revoke=True,
+                revoke_ms=5000,
+                grace_s=grace_s,
+                retry_budget_ratio=0.2,
+                retry_slack=50,
             ),
         )
         self.quota = Quota()
         self.fresh = Fresh(self.loop)
         self.router = Router(random.Random(7).random, RouterTuning(zone="east"))
         self.plane = DataPlane(
-            self.loop, self.settings, self.router, self.quota, self.fresh, clock=self.loop.time,
+            self.loop,
+            self.settings,
+            self.router,
+            self.quota,
+            self.fresh,
+            clock=self.loop.time,
             draw=random.Random(8).random,
         )
         self.servers: dict[str, Server] = {}
--- a/tests/fleet/distribution_day_world.py
+++ b/tests/fleet/distribution_day_world.py
@@ -54,9 +54,7 @@
         """Whether a core machine runs, and reaches more than half of the view both ways."""
         if not machine.running:
             return False
-        reached = sum(
-            1 for one in self.view if one is machine or (one.running and self.network.joined(machine, one))
-        )
+        reached = sum(1 for one in self.view if one is machine or (one.running and self.network.joined(machine, one)))
         return reached > len(self.view) // 2
 
     def knows_commits(self, machine: Machine) -> bool:
@@ -130,8 +128,7 @@
             return
         gone = [one for one in self.view if one.removed and self.now - one.calm_since >= REMOVED_AFTER_S]
         newcomers = [
-            one for one in self.core
-            if one not in self.view and one.running and self.network.joined(one, self.leader)
+            one for one in self.core if one not in self.view and one.running and self.network.joined(one, self.leader)
         ]
         if gone and newcomers:
             self.view[self.view.index(gone[0])] = newcomers[0]
--- a/tests/fleet/distribution_days.py
+++ b/tests/fleet/distribution_days.py
@@ -240,10 +240,27 @@
 
 
 STEPS: tuple[Callable[[Day], None], ...] = (
-    Day.commits, Day.commits, Day.commits, Day.list_changes, Day.list_changes, Day.demand, Day.resign,
-    Day.core_cut, Day.core_cut, Day.core_freeze, Day.core_kill, Day.core_replaced, Day.core_restarts,
-    Day.edges_cut, Day.edges_cut, Day.edge_restart, Day.edge_freeze, Day.edge_slow, Day.edges_come_and_go,
-    Day.edge_leaves, Day.platform,
+    Day.commits,
+    Day.commits,
+    Day.commits,
+    Day.list_changes,
+    Day.list_changes,
+    Day.demand,
+    Day.resign,
+    Day.core_cut,
+    Day.core_cut,
+    Day.core_freeze,
+    Day.core_kill,
+    Day.core_replaced,
+    Day.core_restarts,
+    Day.edges_cut,
+    Day.edges_cut,
+    Day.edge_restart,
+    Day.edge_freeze,
+    Day.edge_slow,
+    Day.edges_come_and_go,
+    Day.edge_leaves,
+    Day.platform,
 )
 
 
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -169,15 +169,24 @@
     """A core machine whose replica, links and platform are simulated."""
 
     def __init__(
-        self, process: Process, bounds: Bounds, send: Callable[[Process, Sequence[Send]], None],
-        platform: Callable[[Process, int, Callable[[Sequence[Instance] | None], None]], None], pages: int,
+        self,
+        process: Process,
+        bounds: Bounds,
+        send: Callable[[Process, Sequence[Send]], None],
+        platform: Callable[[Process, int, Callable[[Sequence[Instance] | None], None]], None],
+        pages: int,
         draw: Callable[[], float],
     ) -> None:
         machine = process.machine
         super().__init__(
             ProcessSettings(
-                node_name=machine.name, ip=machine.address.split(":")[0], zone=machine.zone, port_range=(7500, 7515),
-                listen=Listen(control=machine.address), cloud_api=CloudApi(rate_per_s=RATE_PER_S), bounds=bounds,
+                node_name=machine.name,
+                ip=machine.address.split(":")[0],
+                zone=machine.zone,
+                port_range=(7500, 7515),
+                listen=Listen(control=machine.address),
+                cloud_api=CloudApi(rate_per_s=RATE_PER_S),
+                bounds=bounds,
             )
         )
         self._process, self._send, self._platform, self._pages = process, send, platform, pages
@@ -186,9 +195,7 @@
         self.replica = ScriptedReplica(identity)
         stand_in: Any = SimpleNamespace(replica=self.replica)
         self._runtime = stand_in
-        self._reader = ListReader(
-            self._fetch, self._list_rate, self._held_term, self._take_list, draw, self._clock
-        )
+        self._reader = ListReader(self._fetch, self._list_rate, self._held_term, self._take_list, draw, self._clock)
         self._reading: Coroutine[Any, Any, float] | None = None
 
     @property
--- a/tests/fleet/distribution_network.py
+++ b/tests/fleet/distribution_network.py
@@ -49,8 +49,13 @@
     """Every link. `deliver` and `closed` tell a process what comes to it."""
 
     def __init__(
-        self, timeline: Timeline, draw: random.Random, delay_s: float, loss: float,
-        deliver: Callable[[Process, Connection, bytes], None], closed: Callable[[Process, Connection], None],
+        self,
+        timeline: Timeline,
+        draw: random.Random,
+        delay_s: float,
+        loss: float,
+        deliver: Callable[[Process, Connection, bytes], None],
+        closed: Callable[[Process, Connection], None],
     ) -> None:
         self._timeline = timeline
         self._draw = draw
--- a/tests/fleet/distribution_world.py
+++ b/tests/fleet/distribution_world.py
@@ -130,7 +130,11 @@
         address = f"10.{1 if is_core else 2}.{number // 250}.{number % 250}:{port}"
         rate = 1.0 + self.drift / 2.0 * self.random.uniform(-1.0, 1.0)
         machine = Machine(
-            name, f"zone-{number % self.zones}", address, is_core, Clock(self.random.uniform(0.0, 1e4), rate),
+            name,
+            f"zone-{number % self.zones}",
+            address,
+            is_core,
+            Clock(self.random.uniform(0.0, 1e4), rate),
             link_bytes_per_s=self.link_bytes_per_s,
         )
         self.network.add(machine)
@@ -366,9 +370,7 @@
 
         self.at(seconds, over)
 
-    def _platform(
-        self, process: Process, page: int, answered: Callable[[Sequence[Instance] | None], None]
-    ) -> None:
+    def _platform(self, process: Process, page: int, answered: Callable[[Sequence[Instance] | None], None]) -> None:
         """A call for one page of the platform's list: one service on each."""
         there, back = self.random.uniform(*self.platform_s), self.random.uniform(*self.platform_s)
 
--- a/tests/fleet/exploration/machine.py
+++ b/tests/fleet/exploration/machine.py
@@ -137,9 +137,7 @@
         """Start a process on what the disk holds."""
         boots = self.boots + 1
         zone, world = f"zone-{self.number % 3}", self.world
-        config = ReplicaConfig(
-            self.name, zone, self.control, self.peer, bootstrap, world.seeds, world.timing
-        )
+        config = ReplicaConfig(self.name, zone, self.control, self.peer, bootstrap, world.seeds, world.timing)
         draw = Draw((DRAW_OF_MACHINE * self.number + DRAW_OF_BOOT * boots) % 1.0)
         self._replica = self.world.make_replica(config, list(self.state.records), self.now(), draw)
         self.change(boots=boots, frozen=False, queue=(), next_tick=self.world.now + TICK_S, packed=UNPACKED)
--- a/tests/fleet/quota_world.py
+++ b/tests/fleet/quota_world.py
@@ -184,7 +184,12 @@
     """All of it. `service` makes a core machine's side."""
 
     def __init__(
-        self, seed: int, bounds: Bounds, limit: Limit, edges: int = 6, sizes: tuple[int, ...] = (500, 1500, 4000),
+        self,
+        seed: int,
+        bounds: Bounds,
+        limit: Limit,
+        edges: int = 6,
+        sizes: tuple[int, ...] = (500, 1500, 4000),
         service: Callable[[Bounds], QuotaService] = QuotaService,
     ) -> None:
         self.draw = random.Random(seed)
@@ -315,5 +320,7 @@
         if edge.demand > 0.0:
             edge.request(self.draw.choice(self.sizes))
         wait = self.draw.expovariate(edge.demand / mean) if edge.demand > 0.0 else 0.2
-        self.events.at(self.events.now + min(wait, 0.5) if edge.demand == 0.0 else self.events.now + wait,
-                       lambda: self.arrive(edge))
+        self.events.at(
+            self.events.now + min(wait, 0.5) if edge.demand == 0.0 else self.events.now + wait,
+            lambda: self.arrive(edge),
+        )
--- a/tests/fleet/routing_fleet.py
+++ b/tests/fleet/routing_fleet.py
@@ -357,7 +357,9 @@
             del self.open[job.ticket]
         elif result is not AttemptResult.HEAD:
             known_not_run = result in (
-                AttemptResult.CONNECT_FAILED, AttemptResult.NOT_EXECUTED, AttemptResult.WRONG_INSTANCE,
+                AttemptResult.CONNECT_FAILED,
+                AttemptResult.NOT_EXECUTED,
+                AttemptResult.WRONG_INSTANCE,
             )
             again = request.repeatable or known_not_run
             if not again:
@@ -370,9 +372,17 @@
     """All of it."""
 
     def __init__(
-        self, seed: int, kinds: Sequence[Kind], engines: int, workers: int, edges: int,
-        sheet: EngineSheet | None = None, tuning: RouterTuning | None = None,
-        shares: Sequence[float] | None = None, retry_slack: float = 52.0, hot: tuple[str, float] = ("", 0.0),
+        self,
+        seed: int,
+        kinds: Sequence[Kind],
+        engines: int,
+        workers: int,
+        edges: int,
+        sheet: EngineSheet | None = None,
+        tuning: RouterTuning | None = None,
+        shares: Sequence[float] | None = None,
+        retry_slack: float = 52.0,
+        hot: tuple[str, float] = ("", 0.0),
         length_s: float = 30.0,
     ) -> None:
         self.seed, self.kinds, self.clock = seed, kinds, Clock()
@@ -441,11 +451,26 @@
         parts, prompt = self._prompt(kind)
         output = max(1, int(self.draw.lognormvariate(math.log(kind.output_tokens) - 0.3, 0.8))) if parts else 0
         request = RoutingRequest(
-            self.tickets, kind.service, kind.name, kind.priority, now + kind.deadline_s, kind.target_s, now,
-            kind.max_attempts, kind.repeatable, bool(parts), "m", tuple(parts), prompt, output,
+            self.tickets,
+            kind.service,
+            kind.name,
+            kind.priority,
+            now + kind.deadline_s,
+            kind.target_s,
+            now,
+            kind.max_attempts,
+            kind.repeatable,
+            bool(parts),
+            "m",
+            tuple(parts),
+            prompt,
+            output,
+        )
+        size = (
+            (prompt + 10 * output) / (kind.own_tokens + sum(t for t, _ in kind.shared) + 10 * kind.output_tokens)
+            if parts
+            else 1.0
         )
-        size = (prompt + 10 * output) / (kind.own_tokens + sum(t for t, _ in kind.shared) + 10 * kind.output_tokens) \
-            if parts else 1.0
         weight = min(4.0, 0.3 + 0.7 * size) if parts else 1.0
         self.firsts[request.ticket] = (now, weight)
         outcome = self.outcomes[kind.name]
--- a/tests/fleet/simulation/__main__.py
+++ b/tests/fleet/simulation/__main__.py
@@ -59,9 +59,7 @@
     return results, failures
 
 
-def tell(
-    worlds: str, seeds: range, results: list[Result], failures: list[tuple[int, str]], seconds: float
-) -> None:
+def tell(worlds: str, seeds: range, results: list[Result], failures: list[tuple[int, str]], seconds: float) -> None:
     """What all seeds have shown together."""
     print(f"worlds {worlds}, seeds {seeds[0]} to {seeds[-1]}: {len(results)} held, {len(failures)} failed", end=", ")
     print(f"{seconds:.0f} s")
--- a/tests/fleet/simulation/play.py
+++ b/tests/fleet/simulation/play.py
@@ -76,9 +76,7 @@
     return result_of(seed, size, world, history, recovery, played.done)
 
 
-def result_of(
-    seed: int, size: int, world: World, history: History, recovery: float, troubles: list[str]
-) -> Result:
+def result_of(seed: int, size: int, world: World, history: History, recovery: float, troubles: list[str]) -> Result:
     """What a world has shown that was played to its end."""
     return Result(
         seed,
--- a/tests/fleet/test_data_changes.py
+++ b/tests/fleet/test_data_changes.py
@@ -19,7 +19,10 @@
             site = Site()
             await site.plane.start()
             asked: tuple[tuple[str, dict[str, Any]], ...] = (
-                ("/plain/1", {}), ("/nowhere", {}), ("/plain/1", {"key": "unknown"}), ("/plain/1", {"key": None}),
+                ("/plain/1", {}),
+                ("/nowhere", {}),
+                ("/plain/1", {"key": "unknown"}),
+                ("/plain/1", {"key": None}),
                 ("/plain/1", {"body": bytes(5 << 20)}),
             )
             for path, more in asked:
@@ -33,6 +36,7 @@
             client.writer.write(b"X-Rosechute-Request-Id: slow\r\n\r\n")
             self.assertEqual((await client.answer()).status, 503)
             site.close()
+
         self.play(scene)
 
     def test_nobody_is_denied_by_a_configuration_that_may_be_out_of_date(self) -> None:
@@ -46,6 +50,7 @@
             self.assertEqual((await site.ask("/nowhere")).status, 503)
             self.assertFalse(site.calls)
             site.close()
+
         self.play(scene)
 
     def test_nor_once_it_has_waited(self) -> None:
@@ -61,6 +66,7 @@
             answer = await client.answer()
             self.assertEqual((answer.status, site.calls), (503, []))
             site.close()
+
         self.play(scene)
 
 
@@ -77,6 +83,7 @@
                 {"routes": [route(name, timeout_ms=1) for name in ("plain", "stream", "resume")]},
                 {"limits": dict.fromkeys(("max_header_bytes", "max_body_bytes", "idle_timeout_ms"), 1)},
             )
+
             async def slow(talk: Talk, call: Call) -> None:
                 if call.target.startswith("/plain"):
                     await asyncio.sleep(1.0)
@@ -98,6 +105,7 @@
                     self.assertEqual((answer.status, answer.whole), (200, True), change)
                 self.assertEqual(len(site.calls), 3)
                 site.close()
+
         self.play(scene)
 
     def test_a_shorter_idle_time_does_not_close_a_connection_that_rests_by_the_one_before(self) -> None:
@@ -117,6 +125,7 @@
             fresh = await site.client()
             self.assertEqual((await fresh.ask(body=b"x" * 100)).status, 413)
             site.close()
+
         self.play(scene)
 
     def test_a_request_that_has_come_unread_is_answered_as_idle_connections_are_closed(self) -> None:
@@ -130,6 +139,7 @@
             self.assertEqual((await asks.answer()).status, 200)
             self.assertEqual(await rests.ended(), b"")
             site.close()
+
         self.play(scene)
 
     def test_a_first_request_has_its_time_from_its_first_byte_on(self) -> None:
@@ -147,4 +157,5 @@
             self.assertEqual((await client.answer()).status, 200)
             self.assertEqual(site.calls[-1].body, b"halfhalf")
             site.close()
+
         self.play(scene)
--- a/tests/fleet/test_data_client_limits.py
+++ b/tests/fleet/test_data_client_limits.py
@@ -36,9 +36,15 @@
         limits = ClientLimits()
         limits.change(NARROW, 0.0)
         limits.change(MIXED, 1.0)
-        self.assertEqual(limits.widest(2.0), Limits(
-            max_header_bytes=16384, max_body_bytes=500, header_timeout_ms=3000, idle_timeout_ms=5000,
-        ))
+        self.assertEqual(
+            limits.widest(2.0),
+            Limits(
+                max_header_bytes=16384,
+                max_body_bytes=500,
+                header_timeout_ms=3000,
+                idle_timeout_ms=5000,
+            ),
+        )
 
     def test_the_same_ones_again_change_nothing(self) -> None:
         limits = ClientLimits()
--- a/tests/fleet/test_data_events.py
+++ b/tests/fleet/test_data_events.py
@@ -24,7 +24,7 @@
                 draw, made, at, out = random.Random(seed), stream(), 0, b""
                 while at < len(whole):
                     size = draw.randint(1, 60)
-                    out += made.feed(whole[at:at + size])
+                    out += made.feed(whole[at : at + size])
                     at += size
                     self.assertIn(len(out), ends)
                 self.assertEqual(out, whole)
--- a/tests/fleet/test_data_model.py
+++ b/tests/fleet/test_data_model.py
@@ -67,8 +67,9 @@
             self.found(data_judges.judge_own_answer, own)
 
     def test_two_names_taken(self) -> None:
-        self.found(data_judges.judge_own_answer,
-                   mock.patch.object(attempt.Attempt, "_names_this_request", lambda *_: True))
+        self.found(
+            data_judges.judge_own_answer, mock.patch.object(attempt.Attempt, "_names_this_request", lambda *_: True)
+        )
 
     def test_successes_taken_without_a_stamp(self) -> None:
         self.found(data_judges.judge_own_answer, mock.patch.object(verdict, "trusted", lambda _: True))
@@ -83,12 +84,16 @@
         self.found(data_judges.judge_whole, mock.patch.object(Connection, "connection_lost", connection_lost))
 
     def test_a_broken_answer_finished(self) -> None:
-        self.found(data_judges.judge_whole,
-                   mock.patch.object(ClientAnswer, "cut", lambda self: ClientAnswer.finish(self, b"")))
+        self.found(
+            data_judges.judge_whole,
+            mock.patch.object(ClientAnswer, "cut", lambda self: ClientAnswer.finish(self, b"")),
+        )
 
     def test_a_broken_stream_finished(self) -> None:
-        self.found(data_judges.judge_streams,
-                   mock.patch.object(ClientAnswer, "cut", lambda self: ClientAnswer.finish(self, b"")))
+        self.found(
+            data_judges.judge_streams,
+            mock.patch.object(ClientAnswer, "cut", lambda self: ClientAnswer.finish(self, b"")),
+        )
 
     def test_what_may_have_run_sent_again(self) -> None:
         self.found(data_judges.judge_at_most_once, self._repeats_everything())
@@ -96,6 +101,7 @@
     @staticmethod
     def _repeats_everything() -> Any:
         """Neither the request nor the router minds that it may have run."""
+
         def again(self: ClientRequest, ending: Verdict) -> bool:
             return True
 
@@ -107,9 +113,11 @@
             return told(self, now, ticket, server, AttemptResult.NOT_EXECUTED if more else result, more)
 
         original, told = ClientRequest.prepare, Router.report
-        return _Patches(mock.patch.object(ClientRequest, "_may_repeat", again),
-                        mock.patch.object(ClientRequest, "prepare", prepare),
-                        mock.patch.object(Router, "report", report))
+        return _Patches(
+            mock.patch.object(ClientRequest, "_may_repeat", again),
+            mock.patch.object(ClientRequest, "prepare", prepare),
+            mock.patch.object(Router, "report", report),
+        )
 
     def test_a_newer_configuration_not_asked(self) -> None:
         def refusal(self: DataPlane, admitted: Admitted) -> Any:
@@ -121,8 +129,10 @@
         self.found(data_judges.judge_at_most_once, mock.patch.object(DataPlane, "refusal", refusal))
 
     def test_a_reset_taken_for_not_run(self) -> None:
-        self.found(data_judges.judge_at_most_once,
-                   mock.patch.object(verdict, "RESET", Verdict(AttemptResult.CONNECT_FAILED, False)))
+        self.found(
+            data_judges.judge_at_most_once,
+            mock.patch.object(verdict, "RESET", Verdict(AttemptResult.CONNECT_FAILED, False)),
+        )
 
     def test_a_promise_without_its_mark_believed(self) -> None:
         def of_reply(reply: Reply, server_id: str) -> Verdict:
@@ -148,9 +158,13 @@
         def resume_point(self: ClientAnswer) -> None:
             return None
 
-        self.found(data_judges.judge_streams,
-                   _Patches(mock.patch.object(EventStream, "_rises", rises),
-                            mock.patch.object(ClientAnswer, "resume_point", resume_point)))
+        self.found(
+            data_judges.judge_streams,
+            _Patches(
+                mock.patch.object(EventStream, "_rises", rises),
+                mock.patch.object(ClientAnswer, "resume_point", resume_point),
+            ),
+        )
 
     def test_part_of_an_event_kept_for_the_next_run(self) -> None:
         def next_run(self: EventStream) -> None:
@@ -169,9 +183,13 @@
             self._events.next_run()
             return True
 
-        self.found(data_judges.judge_streams,
-                   _Patches(mock.patch.object(ClientAnswer, "resume_point", resume_point),
-                            mock.patch.object(ClientAnswer, "go_on", go_on)))
+        self.found(
+            data_judges.judge_streams,
+            _Patches(
+                mock.patch.object(ClientAnswer, "resume_point", resume_point),
+                mock.patch.object(ClientAnswer, "go_on", go_on),
+            ),
+        )
 
     def test_streams_resumed_that_may_not_be(self) -> None:
         def begin(self: ClientAnswer, reply: Reply, length: int | None, source: Any) -> bool:
@@ -196,8 +214,7 @@
         self.found(data_judges.judge_unchanged, mock.patch.object(admission, "END_TO_END", frozenset()))
 
     def test_a_connection_used_before_its_body_is_out(self) -> None:
-        self.found(data_judges.judge_unchanged,
-                   mock.patch.object(Connection, "written", property(lambda self: True)))
+        self.found(data_judges.judge_unchanged, mock.patch.object(Connection, "written", property(lambda self: True)))
 
     def test_no_deadline_handed_on(self) -> None:
         self.found(data_judges.judge_deadlines, self._wire(lambda left_s: None))
@@ -220,8 +237,10 @@
 
     def test_no_end_to_the_wait(self) -> None:
         with mock.patch.object(ClientRequest, "_time_up", lambda self: None):
-            self.found(data_judges.judge_answered_in_time,
-                       mock.patch.object(SilenceWatch, "_give_up_at", lambda self: float("inf")))
+            self.found(
+                data_judges.judge_answered_in_time,
+                mock.patch.object(SilenceWatch, "_give_up_at", lambda self: float("inf")),
+            )
 
     def test_unasked_bytes_for_a_client(self) -> None:
         def answer(self: ClientConnection, message: Any, status: int, body: bytes, headers: Any) -> None:
@@ -237,8 +256,9 @@
         def withdraw(self: Any, over: ClientRequest) -> None:
             return None
 
-        self.found(data_judges.judge_nothing_else,
-                   mock.patch("rosechute.data.dispatcher.Dispatcher.withdraw", withdraw))
+        self.found(
+            data_judges.judge_nothing_else, mock.patch("rosechute.data.dispatcher.Dispatcher.withdraw", withdraw)
+        )
 
 
 class _Patches:
