--- a/tests/fleet/test_data_plain.py
+++ b/tests/fleet/test_data_plain.py
@@ -16,13 +16,21 @@
 
             site = await Site().start(s1=script)
             answer = await site.ask(
-                "/plain/a?b=c", "X-Mine: yes", "X-Rosechute-Tenant: forged", "X-Rosechute-Expect-Instance: forged",
-                "Priority: 9", "Connection: keep-alive, X-Hop", "X-Hop: gone", body=b"hello", deadline=4000, id="abc",
+                "/plain/a?b=c",
+                "X-Mine: yes",
+                "X-Rosechute-Tenant: forged",
+                "X-Rosechute-Expect-Instance: forged",
+                "Priority: 9",
+                "Connection: keep-alive, X-Hop",
+                "X-Hop: gone",
+                body=b"hello",
+                deadline=4000,
+                id="abc",
             )
             self.assertEqual((answer.status, answer.body, answer.headers["x-other"]), (200, b"the body", "kept"))
             self.assertEqual(answer.headers["x-rosechute-server-stamp"], "stamp-1")
             self.assertEqual((answer.headers["x-rosechute-request-id"], answer.headers["date"]), ("abc", "today"))
-            call, = site.calls
+            (call,) = site.calls
             self.assertEqual((call.method, call.target, call.body), ("POST", "/plain/a?b=c", b"hello"))
             headers = call.headers
             self.assertEqual(headers["x-rosechute-tenant"], "first")
@@ -34,15 +42,19 @@
             self.assertNotIn("x-hop", headers)
             self.assertIn(int(headers["priority"]), range(10))
             site.close()
+
         self.play(scene)
 
     def test_what_a_server_must_know_goes_on_byte_for_byte(self) -> None:
         """Found: a client that named these fields in `Connection` had them dropped, its request id included."""
+
         async def scene() -> None:
             site = await Site().start()
             told = (
-                ("X-Rosechute-Model", "m one"), ("x-ROSECHUTE-token-count", "1460 ,\t80"),
-                ("X-Rosechute-Prompt-Prefix", "5c1e07a2:800,  91bd3f06:410;\xe9"), ("X-Rosechute-Model", "m two"),
+                ("X-Rosechute-Model", "m one"),
+                ("x-ROSECHUTE-token-count", "1460 ,\t80"),
+                ("X-Rosechute-Prompt-Prefix", "5c1e07a2:800,  91bd3f06:410;\xe9"),
+                ("X-Rosechute-Model", "m two"),
                 ("X-Rosechute-Prompt-Prefix", ""),
             )
             lines = [f"{name}:  {value} \t" for name, value in told]
@@ -54,13 +66,25 @@
                 talk.reader._buffer[:0] = seen[-1]  # type: ignore[attr-defined]
                 return await read_head(talk)
 
-            for more in ((), ("Connection: keep-alive, X-Rosechute-Model", "Connection: host,x-rosechute-token-count,"
-                              "x-rosechute-request-id , X-Rosechute-Prompt-Prefix")):
+            for more in (
+                (),
+                (
+                    "Connection: keep-alive, X-Rosechute-Model",
+                    "Connection: host,x-rosechute-token-count,x-rosechute-request-id , X-Rosechute-Prompt-Prefix",
+                ),
+            ):
                 with mock.patch.object(Talk, "read", keep):
                     client = await site.client()
                     head = [
-                        "POST /plain/1 HTTP/1.1", "Host: app.example", "X-Rosechute-Request-Id: odd",
-                        "X-Rosechute-Credential: k1", *more, *lines, "Content-Length: 0", "", "",
+                        "POST /plain/1 HTTP/1.1",
+                        "Host: app.example",
+                        "X-Rosechute-Request-Id: odd",
+                        "X-Rosechute-Credential: k1",
+                        *more,
+                        *lines,
+                        "Content-Length: 0",
+                        "",
+                        "",
                     ]
                     client.writer.write("\r\n".join(head).encode("latin-1"))
                     self.assertEqual((await client.answer()).status, 200)
@@ -70,15 +94,20 @@
                     self.assertEqual([pair[1] for pair in pairs if pair[0].decode() == name], sent)
                 self.assertIn([b"host", b"app.example"], pairs)
             site.close()
+
         self.play(scene)
 
     def test_own_statuses_by_route_key_and_id(self) -> None:
         async def scene() -> None:
             site = await Site().start()
             for expected, options in (
-                (404, {"path": "/nowhere/1"}), (404, {"host": "none.example"}), (401, {"key": None}),
-                (401, {"key": "unknown"}), (200, {"path": "/open/1", "key": None}),
-                (200, {"path": "/open/1", "key": "unknown"}), (200, {"key": "k2"}),
+                (404, {"path": "/nowhere/1"}),
+                (404, {"host": "none.example"}),
+                (401, {"key": None}),
+                (401, {"key": "unknown"}),
+                (200, {"path": "/open/1", "key": None}),
+                (200, {"path": "/open/1", "key": "unknown"}),
+                (200, {"key": "k2"}),
             ):
                 answer = await site.ask(**options)
                 self.assertEqual(answer.status, expected, options)
@@ -86,6 +115,7 @@
             self.assertNotIn("x-rosechute-tenant", site.calls[0].headers)
             self.assertTrue(all("x-rosechute-credential" not in call.headers for call in site.calls))
             site.close()
+
         self.play(scene)
 
     def test_a_connection_serves_many_requests_and_so_does_the_servers(self) -> None:
@@ -98,6 +128,7 @@
             await asyncio.sleep(12.0)  # four fifths of the idle limit
             self.assertEqual((await client.ask()).status, 200)
             site.close()
+
         self.play(scene)
 
     def test_a_failure_of_the_server_comes_back_with_its_status_and_stamp(self) -> None:
@@ -111,6 +142,7 @@
             self.assertEqual(answer.headers["x-rosechute-server-stamp"], "stamp-1")
             self.assertEqual(len(site.calls), 1)
             site.close()
+
         self.play(scene)
 
     def test_any_method_passes(self) -> None:
@@ -122,6 +154,7 @@
             self.assertEqual([call.method for call in site.calls], methods)
             self.assertEqual((await site.ask("/-/ready")).status, 404)
             site.close()
+
         self.play(scene)
 
     def test_before_any_configuration_it_is_a_promise(self) -> None:
@@ -138,6 +171,7 @@
             self.assertEqual(answer.status, 503)
             self.assertTrue(0.5 <= float(answer.headers["retry-after"]) < 0.6)
             site.close()
+
         self.play(scene)
 
     def test_before_the_list_of_its_service_it_is_a_promise_and_costs_no_quota(self) -> None:
@@ -149,10 +183,12 @@
             self.assertEqual((answer.status, site.quota.spent), (503, []))
             self.assertGreater(float(answer.headers["retry-after"]), 0.0)
             site.close()
+
         self.play(scene)
 
     def test_by_a_configuration_that_may_be_old_nobody_is_told_for_good_that_there_is_no_route_or_key(self) -> None:
         """Found: an edge that had come back with an older configuration answered 401 to keys added since."""
+
         async def scene() -> None:
             site = await Site().start()
             for at in (float("-inf"), site.loop.time() - 4.8):
@@ -164,6 +200,7 @@
             site.fresh.at = None
             self.assertEqual((await site.ask(key="added")).status, 401)
             site.close()
+
         self.play(scene)
 
     def test_ready_with_a_configuration_a_list_and_freshness(self) -> None:
@@ -176,6 +213,7 @@
             site.list()
             self.assertFalse(site.plane.ready())
             site.close()
+
         self.play(scene)
 
     def test_limits_of_the_configuration_hold_for_clients(self) -> None:
@@ -190,6 +228,7 @@
             self.assertIn(b"408", await client.ended())
             self.assertAlmostEqual(site.loop.time() - begun, 3.0, delta=0.5)
             site.close()
+
         self.play(scene)
 
     def test_a_body_in_chunks_arrives_whole(self) -> None:
@@ -204,6 +243,7 @@
             self.assertEqual((await client.answer()).status, 200)
             self.assertEqual(site.calls[0].body, b"hello there!")
             site.close()
+
         self.play(scene)
 
     def test_a_body_larger_than_its_share_of_the_memory_passes_through(self) -> None:
@@ -214,6 +254,7 @@
             self.assertEqual(site.calls[0].body, body)
             self.assertEqual(site.plane.budget.used, 0)
             site.close()
+
         self.play(scene)
 
 
@@ -255,16 +296,19 @@
                 self.assertLess(answer.at - begun, 0.1)
                 self.assertNotIn("x-rosechute-server-stamp", answer.headers)
                 site.close()
+
         self.play(scene)
 
     def test_an_answer_without_a_length_ends_with_its_connection_unless_that_is_reset(self) -> None:
         """Replaces the case `endless` above: the pages say by now that such an answer is whole when its connection
         closes, and only then."""
+
         async def scene() -> None:
             body = b"until the end " * 20
             for path in ("/plain/1", "/again/1"):
                 for pause_s in (0.0, 0.3):  # shorter and longer than such an answer is held back
                     for reset in (False, True):
+
                         async def unframed(talk: Talk, call: Call) -> None:
                             talk.writer.write(talk.head(200) + body[:50])
                             await talk.writer.drain()
@@ -285,6 +329,7 @@
                         await site.ask(path)
                         self.assertEqual(site.servers["s1"].connections, 2)
                         site.close()
+
         self.play(scene)
 
     def test_a_server_that_says_nothing_is_answered_for_before_the_client_gives_up(self) -> None:
@@ -295,6 +340,7 @@
             self.assertEqual(answer.status, 504)
             self.assertTrue(1.9 < answer.at - begun < 2.0)
             site.close()
+
         self.play(scene)
 
     def test_the_routes_time_bounds_the_hold(self) -> None:
@@ -305,6 +351,7 @@
             self.assertEqual(answer.status, 504)
             self.assertTrue(4.8 < answer.at - begun < 5.0)
             site.close()
+
         self.play(scene)
 
     def test_what_a_server_declines_goes_to_another_one(self) -> None:
@@ -321,6 +368,7 @@
                 self.assertEqual({answer.status for answer in answers}, {200})
                 self.assertTrue(site.servers["s1"].calls)
                 site.close()
+
         self.play(scene)
 
     def test_where_all_decline_it_is_a_promise(self) -> None:
@@ -333,6 +381,7 @@
             self.assertEqual(answer.status, 503)
             self.assertGreater(float(answer.headers["retry-after"]), 0.0)
             site.close()
+
         self.play(scene)
 
     def test_a_server_that_takes_no_connection_costs_nothing(self) -> None:
@@ -342,6 +391,7 @@
             for _ in range(6):
                 self.assertEqual((await site.ask()).status, 200)
             site.close()
+
         self.play(scene)
 
     def test_an_idempotent_request_is_sent_again(self) -> None:
@@ -359,10 +409,12 @@
                     self.assertEqual(answer.status, 200, script.__name__)
                 self.assertTrue(site.servers["s1"].calls)
                 site.close()
+
         self.play(scene)
 
     def test_a_silent_server_is_kept_while_no_other_one_may_be_asked(self) -> None:
         """Found: it was left for another one that was not there, and its answer thrown away."""
+
         async def scene() -> None:
             async def late(talk: Talk, call: Call) -> None:
                 await asyncio.sleep(3.0)
@@ -372,6 +424,7 @@
             answer = await site.ask("/again/1")
             self.assertEqual((answer.status, len(site.calls)), (200, 1))
             site.close()
+
         self.play(scene)
 
     def test_an_answer_to_an_earlier_request_is_never_passed_on(self) -> None:
@@ -387,6 +440,7 @@
                 answer = await client.ask(id=f"n{number}")
                 self.assertEqual((answer.status, answer.body), (200, b"n%d" % number))
             site.close()
+
         self.play(scene)
 
     def test_bytes_behind_an_answer_end_the_connection(self) -> None:
@@ -405,6 +459,7 @@
                 answer = await client.ask(id=f"n{number}")
                 self.assertEqual((answer.status, answer.body), (200, b"n%d" % number))
             site.close()
+
         self.play(scene)
 
     def test_a_connection_that_the_server_has_closed_is_not_written_to(self) -> None:
@@ -422,6 +477,7 @@
                 await asyncio.sleep(2.0)
             self.assertEqual(site.servers["s1"].connections, 3)
             site.close()
+
         self.play(scene)
 
     def test_the_servers_keep_alive_is_heeded(self) -> None:
@@ -439,6 +495,7 @@
             await client.ask()
             self.assertEqual(site.servers["s1"].connections, 2)
             site.close()
+
         self.play(scene)
 
 
@@ -454,16 +511,23 @@
             site.plane.apply_configuration(configuration(), 4)
             self.assertEqual((await site.ask("/plain/1")).status, 404)
             site.close()
+
         self.play(scene)
 
     def test_the_list_of_a_service_may_come_before_the_service(self) -> None:
         async def scene() -> None:
             site = await Site().start()
             await site.serve("later", l1=plain)
-            site.plane.apply_configuration(configuration(
-                2, routes=[route("late", service="later")], services=[{"name": "later", "max_connections": 9}],
-            ), 2)
+            site.plane.apply_configuration(
+                configuration(
+                    2,
+                    routes=[route("late", service="later")],
+                    services=[{"name": "later", "max_connections": 9}],
+                ),
+                2,
+            )
             self.assertEqual((await site.ask("/late/1")).status, 200)
             self.assertEqual(len(site.servers["l1"].calls), 1)
             site.close()
+
         self.play(scene)
--- a/tests/fleet/test_data_races.py
+++ b/tests/fleet/test_data_races.py
@@ -15,9 +15,11 @@
 
 def answering_at(times: dict[str, float]) -> Script:
     """A server that answers at the time that is told."""
+
     async def script(talk: Talk, call: Call) -> None:
         await asyncio.sleep(times["at"] - asyncio.get_running_loop().time())
         talk.answer()
+
     return script
 
 
@@ -34,6 +36,7 @@
                 self.assertIn(answer.status, (200, 504))
                 self.assertEqual((await client.ask("/nowhere/1")).status, 404)  # nothing else came in between
                 site.close()
+
         self.play(scene)
 
     def test_an_answer_and_the_clients_end_in_one_turn(self) -> None:
@@ -55,11 +58,13 @@
                     self.assertEqual(len(site.servers["s1"].closed), 1)
                     self.assertFalse(site.plane.front.requests or site.router._calls)
                     site.close()
+
         self.play(scene)
 
     def test_the_servers_end_and_the_clients_reset_in_one_turn(self) -> None:
         """Found: to end the client's answer failed, and with it the end of the server's connection, which counted as
         open for good."""
+
         async def scene() -> None:
             problems: list[object] = []
             for path in ("/stream/1", "/resume/1"):
@@ -69,13 +74,14 @@
                 client.send(path)
                 await client.head()
                 await client.piece()
-                request, = site.plane.front.requests.values()
+                (request,) = site.plane.front.requests.values()
                 client.reset()
                 request._attempt._link.wire.abort()  # type: ignore[union-attr]  # before the reset is read
                 await asyncio.sleep(0.1)
                 self.assertEqual(site.plane.servers.find("s1").links, 0)  # type: ignore[union-attr]
                 self.assertEqual((problems, len(site.plane.front.requests)), ([], 0))
                 site.close()
+
         self.play(scene)
 
     def test_an_answer_and_the_drain_of_its_server_in_one_turn(self) -> None:
@@ -93,6 +99,7 @@
             self.assertFalse(site.plane.servers.find("s1").idle)  # type: ignore[union-attr]
             self.assertEqual((await client.ask()).status, 503)
             site.close()
+
         self.play(scene)
 
     def test_interim_answers_come_before_the_answer(self) -> None:
@@ -104,6 +111,7 @@
             site = await Site().start(s1=script)
             self.assertEqual((await site.ask()).status, 200)
             site.close()
+
         self.play(scene)
 
     def test_an_endless_head_ends_as_no_answer(self) -> None:
@@ -120,6 +128,7 @@
             self.assertEqual(answer.status, 502)
             self.assertLess(answer.at - begun, 0.2)
             site.close()
+
         self.play(scene)
 
     def test_an_answer_with_two_lengths_or_without_the_id_is_none(self) -> None:
@@ -134,12 +143,15 @@
                 site = await Site().start(s1=script)
                 self.assertEqual((await site.ask()).status, 502)
                 site.close()
+
         self.play(scene)
 
     def test_an_answer_with_two_ids_is_none(self) -> None:
         """Found: a short answer that named another request beside ours was passed on."""
+
         async def scene() -> None:
             for ours_first in (True, False):
+
                 async def two(talk: Talk, call: Call) -> None:
                     names = (call.id, "another") if ours_first else ("another", call.id)  # noqa: B023
                     fields = "".join(f"X-Rosechute-Request-Id: {name}\r\n" for name in names)
@@ -151,10 +163,12 @@
                 await asyncio.sleep(0.1)
                 self.assertEqual(site.plane.servers.find("s1").links, 0)  # type: ignore[union-attr]
                 site.close()
+
         self.play(scene)
 
     def test_a_success_that_is_marked_as_not_executed_is_none(self) -> None:
         """Found: streams and long answers were passed on that said of themselves that they had not run."""
+
         async def scene() -> None:
             async def marked(talk: Talk, call: Call) -> None:
                 if call.target.startswith("/stream"):
@@ -174,6 +188,7 @@
                 self.assertEqual((await site.ask(path)).status, 502, path)
                 self.assertEqual(len(site.calls), 1)
                 site.close()
+
         self.play(scene)
 
     def test_a_second_answer_to_one_request_goes_to_nobody(self) -> None:
@@ -191,6 +206,7 @@
                 self.assertEqual(answer.body, b"n%d" % number)
                 await asyncio.sleep(0.015 * number)
             site.close()
+
         self.play(scene)
 
     def test_a_stream_that_ends_whole_is_whole_even_without_its_last_blank_line(self) -> None:
@@ -207,6 +223,7 @@
             answer = await site.ask("/resume/1")
             self.assertEqual((answer.whole, answer.body), (True, event(1) + b"id: 2\ndata: end"))
             site.close()
+
         self.play(scene)
 
 
@@ -228,9 +245,12 @@
                 statuses = [(await client.ask(path)).status for _ in range(4)]
                 self.assertTrue(set(statuses) <= {200, status}, statuses)
                 self.assertIn(status, statuses)
-                self.assertEqual(len({call.id for call in site.calls if path == "/plain/1"}),
-                                 len([call for call in site.calls if path == "/plain/1"]))
+                self.assertEqual(
+                    len({call.id for call in site.calls if path == "/plain/1"}),
+                    len([call for call in site.calls if path == "/plain/1"]),
+                )
                 site.close()
+
         self.play(scene)
 
     def test_a_body_that_has_begun_to_go_is_not_sent_again(self) -> None:
@@ -253,11 +273,13 @@
                 self.assertEqual(answer.status, 502)
                 self.assertEqual(sum(server.connections for server in site.servers.values()), 1)
                 site.close()
+
         self.play(scene)
 
     def test_a_stream_whose_body_has_gone_is_not_resumed_without_it(self) -> None:
         """Found: it was sent on with the length of a body that was no longer here. A server that answered before it
         had read that body then read the next request on the connection in its place."""
+
         async def scene() -> None:
             async def breaks(talk: Talk, call: Call) -> None:
                 talk.begin()
@@ -275,6 +297,7 @@
             self.assertEqual(sum(server.connections for server in site.servers.values()), 1)
             self.assertEqual([len(call.body) for call in site.calls], [200_000])
             site.close()
+
         self.play(scene)
 
     def test_a_body_that_stops_half_way_is_ended_and_its_server_dropped(self) -> None:
@@ -292,6 +315,7 @@
             self.assertFalse(site.plane.front.requests or site.calls)
             self.assertEqual(site.plane.budget.used, 0)
             site.close()
+
         self.play(scene)
 
     def test_a_server_that_is_replaced_under_its_address_gets_no_connection_of_the_one_before(self) -> None:
@@ -305,6 +329,7 @@
             self.assertEqual(server.connections, 2)
             self.assertEqual([c.headers["x-rosechute-expect-instance"] for c in server.calls], ["s1", "s1-again"])
             site.close()
+
         self.play(scene)
 
     def test_two_requests_sent_at_once_are_answered_in_order(self) -> None:
@@ -320,6 +345,7 @@
                 client.send(id=name)
             self.assertEqual([(await client.answer()).body for _ in range(3)], [b"one", b"two", b"three"])
             site.close()
+
         self.play(scene)
 
     def test_many_clients_that_leave_in_one_turn(self) -> None:
@@ -335,6 +361,7 @@
             self.assertFalse(site.plane.front.requests or site.router._calls)
             self.assertEqual(len(site.calls), sum(len(server.closed) for server in site.servers.values()))
             site.close()
+
         self.play(scene)
 
     def test_a_broken_part_of_the_program_costs_the_request_it_came_from(self) -> None:
@@ -353,6 +380,7 @@
             self.assertEqual((await site.ask()).status, 200)
             self.assertFalse(site.plane.front.requests)
             site.close()
+
         self.play(scene)
 
 
@@ -362,9 +390,16 @@
             site = await Site().start(s1=plain)
 
             async def changes(talk: Talk, call: Call) -> None:
-                site.plane.apply_configuration(configuration(2, routes=[
-                    route("again"), route("resume", route_type="streaming", gap_aim_ms=500),
-                ]), site.plane._in_force.sequence + 1)  # type: ignore[union-attr]
+                site.plane.apply_configuration(
+                    configuration(
+                        2,
+                        routes=[
+                            route("again"),
+                            route("resume", route_type="streaming", gap_aim_ms=500),
+                        ],
+                    ),
+                    site.plane._in_force.sequence + 1,
+                )  # type: ignore[union-attr]
                 if "/resume" in call.target:
                     talk.begin()
                     talk.event(1)
@@ -382,6 +417,7 @@
                 self.assertEqual(len(site.calls), 1, before)
                 site.servers.clear()
             site.close()
+
         self.play(scene)
 
 
@@ -403,10 +439,12 @@
                 self.assertLessEqual(len(site.calls), 2)
                 self.assertFalse(site.plane.front.requests)
                 site.close()
+
         self.play(scene)
 
     def test_a_long_body_that_no_server_got_is_let_go_of(self) -> None:
         """Found: what a server had not taken yet of a body that was all in counted as held for good."""
+
         async def scene() -> None:
             head = (
                 b"POST /plain/1 HTTP/1.1\r\nHost: app.example\r\nX-Rosechute-Request-Id: b\r\n"
@@ -417,7 +455,7 @@
                 client = await site.client()
                 client.writer.write(head + b"x" * 150_000)
                 await asyncio.sleep(0.1)
-                request, = site.plane.front.requests.values()
+                (request,) = site.plane.front.requests.values()
                 request._attempt._link.wire._blocked = True  # type: ignore[union-attr]  # the server reads no more
                 client.writer.write(b"x" * 50_000)
                 await asyncio.sleep(0.1)
@@ -430,6 +468,7 @@
                 await asyncio.sleep(0.1)
                 self.assertEqual((site.plane.budget.used, len(site.plane.front.requests)), (0, 0), ends)
                 site.close()
+
         self.play(scene)
 
     def test_a_client_that_leaves_while_its_body_goes_out(self) -> None:
@@ -446,6 +485,7 @@
             self.assertFalse(site.plane.front.requests or site.calls)
             self.assertEqual((site.plane.budget.used, site.plane.servers.find("s1").links), (0, 0))  # type: ignore[union-attr]
             site.close()
+
         self.play(scene)
 
 
@@ -456,12 +496,13 @@
             answer = asyncio.ensure_future(site.ask("/resume/1"))
             await asyncio.sleep(0.5)
             site.loop._jump.now += 3.5  # type: ignore[attr-defined]
-            request, = site.plane.front.requests.values()
+            (request,) = site.plane.front.requests.values()
             request._silence.look()  # as on a loop that calls timers before it reads
             self.assertIs(request.state, RequestState.PASSING)
             self.assertFalse((await answer).whole)  # its client's time is over
             self.assertEqual(len(site.calls), 1)
             site.close()
+
         self.play(scene)
 
     def test_a_client_that_has_left_unseen_is_not_sent_for(self) -> None:
@@ -477,6 +518,7 @@
             await asyncio.sleep(0.1)
             self.assertEqual((len(site.calls), len(site.plane.front.requests)), (1, 0))
             site.close()
+
         self.play(scene)
 
     def test_a_connection_whose_end_has_come_unseen_is_not_taken(self) -> None:
@@ -500,6 +542,7 @@
                 accepted.close()
                 self.assertIsNone(site.plane.servers.take(server))
             site.close()
+
         self.play(scene)
 
 
@@ -524,6 +567,7 @@
                 self.assertEqual((await site.ask(path)).status, 502)
             self.assertEqual(len(site.calls), 2)
             site.close()
+
         self.play(scene)
 
 
@@ -543,9 +587,15 @@
             site = await Site().start(s1=script, s2=streaming(3))
             site.list(site.servers["s1"].entry)
             client = await site.client()
-            site.plane.apply_configuration(configuration(2, routes=[
-                route("resume", route_type="streaming", gap_aim_ms=500, stream_resume=True, timeout_ms=15000),
-            ]), 2)
+            site.plane.apply_configuration(
+                configuration(
+                    2,
+                    routes=[
+                        route("resume", route_type="streaming", gap_aim_ms=500, stream_resume=True, timeout_ms=15000),
+                    ],
+                ),
+                2,
+            )
             client.send("/resume/1", deadline=15000)
             await client.head()
             body = b""
@@ -553,6 +603,7 @@
                 body += piece
             self.assertEqual((body, len(site.calls)), (events(1, 3), 1))
             site.close()
+
         self.play(scene)
 
     def test_after_standing_still_no_key_is_served_on_an_old_configuration(self) -> None:
@@ -565,5 +616,5 @@
             self.assertEqual((await client.ask()).status, 503)
             self.assertEqual(len(site.calls), 1)
             site.close()
-        self.play(scene)
 
+        self.play(scene)
--- a/tests/fleet/test_data_random.py
+++ b/tests/fleet/test_data_random.py
@@ -19,7 +19,17 @@
 MAY_REPEAT = ("/again/1", "/resume/1")
 DEADLINES_MS = (400, 1500, 4000)
 TROUBLES = (
-    "declines", "moved", "resets", "cuts", "garbles", "silent", "slow", "surplus", "twice", "closes", "unstamped",
+    "declines",
+    "moved",
+    "resets",
+    "cuts",
+    "garbles",
+    "silent",
+    "slow",
+    "surplus",
+    "twice",
+    "closes",
+    "unstamped",
     "fails",
 )
 TROUBLED = 0.4  # part of the requests at which servers misbehave
@@ -96,7 +106,7 @@
         for number in range(first, EVENTS + 1):
             await asyncio.sleep(self.draw.choice((0.0, 0.05)))
             if number == breaks_at:
-                talk.piece(event(number)[:self.draw.randint(1, 20)])
+                talk.piece(event(number)[: self.draw.randint(1, 20)])
                 raise ConnectionError
             talk.event(number)
             await talk.writer.drain()
--- a/tests/fleet/test_data_servers.py
+++ b/tests/fleet/test_data_servers.py
@@ -32,6 +32,7 @@
             await gather(site, 1)
             self.assertEqual(list(server.idle), [*before[1:], before[0]])
             site.close()
+
         self.play(scene)
 
     def test_no_more_rest_than_the_share_of_this_edge(self) -> None:
@@ -46,6 +47,7 @@
             self.assertEqual(server.links, 2)
             self.assertEqual(len(server.idle), 2)
             site.close()
+
         self.play(scene)
 
     def test_resting_ones_go_in_time_and_with_their_server(self) -> None:
@@ -61,6 +63,7 @@
             site.list(replace(site.servers["s1"].entry, ready=False))
             self.assertEqual((len(server.idle), server.links), (0, 0))
             site.close()
+
         self.play(scene)
 
     def test_one_that_the_server_ends_teaches_for_how_long_it_keeps_them(self) -> None:
@@ -79,6 +82,7 @@
             self.assertLess(server.idle_s, 1.2)
             self.assertEqual(server.links, 0)
             site.close()
+
         self.play(scene)
 
     def test_other_settings_hold_from_then_on(self) -> None:
@@ -91,6 +95,7 @@
             self.assertLess(site.plane.servers.most, 50)
             await gather(site, 4)
             site.close()
+
         self.play(scene)
 
     def test_without_a_descriptor_a_connection_that_rests_gives_way(self) -> None:
@@ -102,4 +107,5 @@
             self.assertEqual((await site.ask("/other/1")).status, 200)
             self.assertEqual(site.plane.servers.find("s1").links, 0)  # type: ignore[union-attr]
             site.close()
+
         self.play(scene)
--- a/tests/fleet/test_data_shutdown.py
+++ b/tests/fleet/test_data_shutdown.py
@@ -25,6 +25,7 @@
             with self.assertRaises(ConnectionRefusedError):
                 await site.client()
             site.close()
+
         self.play(scene)
 
     def test_new_clients_are_served_until_it_ends_and_each_answer_is_the_last_of_its_connection(self) -> None:
@@ -40,6 +41,7 @@
             self.assertEqual((await kept.ask()).headers["connection"], "close")
             self.assertLess(await ending, 3.0)
             site.close()
+
         self.play(scene)
 
     def test_idle_connections_stay_until_the_platform_knows_and_go_then(self) -> None:
@@ -57,6 +59,7 @@
             self.assertLess(site.loop.time() - begun, 0.5)
             await ending
             site.close()
+
         self.play(scene)
 
     def test_a_stream_goes_on_to_its_end(self) -> None:
@@ -69,6 +72,7 @@
                 self.assertEqual((answer.whole, answer.body), (True, events(1, 40)))
             self.assertTrue(3.6 < took < 4.2, took)  # 4 s less the 0.3 s before the end began
             site.close()
+
         self.play(scene)
 
     def test_at_the_end_of_the_time_all_is_answered_or_cut(self) -> None:
@@ -84,6 +88,7 @@
             self.assertEqual((await hangs).status, 504)
             self.assertFalse((await stream).whole)
             site.close()
+
         self.play(scene)
 
     def test_near_the_end_what_has_not_been_sent_is_told_to_come_back(self) -> None:
@@ -109,6 +114,7 @@
             await ending
             self.assertFalse(site.calls)
             site.close()
+
         self.play(scene)
 
     def test_no_request_that_was_read_is_lost_by_clients_that_go_on_to_the_end(self) -> None:
@@ -149,6 +155,7 @@
             self.assertFalse(cut)
             self.assertGreater(len(answers), 200)
             site.close()
+
         self.play(scene)
 
     def test_a_stream_that_comes_late_on_a_kept_connection_is_refused_unrun(self) -> None:
@@ -170,6 +177,7 @@
             self.assertLess(await ending, 4.0)
             self.assertEqual(len(site.calls), 1)
             site.close()
+
         self.play(scene)
 
     def test_what_ends_by_its_deadline_is_taken_late_too(self) -> None:
@@ -185,6 +193,7 @@
             await hangs
             await ending
             site.close()
+
         self.play(scene)
 
     def test_a_stream_that_comes_early_is_taken_if_such_streams_usually_end_in_time(self) -> None:
@@ -199,6 +208,7 @@
                 self.assertTrue(all(answer.whole for answer in answers))
                 await ending
                 site.close()
+
         self.play(scene)
 
     def test_a_stream_that_comes_early_is_taken_where_nothing_is_known_of_such_streams(self) -> None:
@@ -214,6 +224,7 @@
             self.assertTrue(all(answer.whole for answer in answers))
             await ending
             site.close()
+
         self.play(scene)
 
     def test_a_late_stream_of_a_route_that_is_always_short_is_taken(self) -> None:
@@ -232,6 +243,7 @@
             self.assertTrue((await long).whole)
             await ending
             site.close()
+
         self.play(scene)
 
     def test_what_waits_is_refused_as_soon_as_it_would_not_end_in_time(self) -> None:
@@ -250,6 +262,7 @@
             await ending
             self.assertEqual(len(site.calls), 8)
             site.close()
+
         self.play(scene)
 
     def test_a_refusal_is_read_whole_by_a_client_that_still_sends_its_body(self) -> None:
@@ -270,6 +283,7 @@
             await ending
             self.assertEqual(len(site.calls), 1)
             site.close()
+
         self.play(scene)
 
     def test_a_second_signal_changes_nothing(self) -> None:
@@ -280,6 +294,7 @@
             site.plane.begin_shutdown()
             self.assertLess(await ending, 3.0)
             site.close()
+
         self.play(scene)
 
     def test_a_head_half_read_is_read_on_and_answered(self) -> None:
@@ -297,6 +312,7 @@
             self.assertLess(await ending, 3.5)
             self.assertEqual(site.calls[0].body, b"body")
             site.close()
+
         self.play(scene)
 
     def test_a_body_half_read_is_read_on_and_its_request_answered(self) -> None:
@@ -322,6 +338,7 @@
             self.assertEqual([call.body for call in site.calls], [b"halfxxxx"])
             self.assertLess(await ending, 4.0)
             site.close()
+
         self.play(scene)
 
     def test_a_request_that_is_sent_again_and_again_gets_a_whole_answer(self) -> None:
@@ -343,6 +360,7 @@
                 self.assertEqual({answer.status for answer in answers}, statuses)
                 self.assertTrue(all(answer.whole for answer in answers))
                 site.close()
+
         self.play(scene)
 
     def test_a_stream_that_breaks_during_the_end_is_still_resumed(self) -> None:
@@ -354,6 +372,7 @@
             for answer in await asyncio.gather(*answers):
                 self.assertEqual((answer.whole, answer.body), (True, events(1, 12)))
             site.close()
+
         self.play(scene)
 
     def test_an_answer_half_written_to_a_slow_reader_goes_on(self) -> None:
@@ -374,6 +393,7 @@
             self.assertEqual((answer.whole, len(answer.body)), (True, 6_000_000))
             self.assertLess(await ending, 5.0)
             site.close()
+
         self.play(scene)
 
     def test_a_connection_to_a_server_comes_up_after_the_last_one_was_taken(self) -> None:
@@ -398,6 +418,7 @@
             await ending
             self.assertEqual(((await hangs).status, len(site.calls)), (504, 1))
             site.close()
+
         self.play(scene)
 
     def test_a_term_before_anything_is_known_ends_too(self) -> None:
@@ -406,4 +427,5 @@
             await site.plane.start()
             self.assertLess(await self.end(site), 3.0)
             site.close()
+
         self.play(scene)
--- a/tests/fleet/test_data_streams.py
+++ b/tests/fleet/test_data_streams.py
@@ -28,6 +28,7 @@
 
 def streaming(count: int, pause_s: float = 0.1, then: str = "finish", **more: object) -> Script:
     """A server that sends events up to `count`, behind the one that it is told, and then ends."""
+
     async def script(talk: Talk, call: Call) -> None:
         talk.begin(**more)  # type: ignore[arg-type]
         for number in range(int(call.headers.get("last-event-id", 0)) + 1, count + 1):
@@ -47,6 +48,7 @@
             raise ConnectionError
         else:
             await until_closed(talk, call)
+
     return script
 
 
@@ -77,6 +79,7 @@
                 self.assertEqual(answer.body, events(1, 4))
             self.assertEqual(site.servers["s1"].connections, 1)
             site.close()
+
         self.play(scene)
 
     def test_an_event_in_pieces_comes_whole_where_it_may_be_resumed(self) -> None:
@@ -95,13 +98,15 @@
             pieces = [await client.piece() for _ in range(3)]
             self.assertEqual(pieces, [b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", b"id: 3\ndata: c\n\n", b""])
             site.close()
+
         self.play(scene)
 
     def test_a_broken_stream_goes_on_at_another_server(self) -> None:
         async def scene() -> None:
             for then in ("reset", "close", "half"):
                 site = await Site().start(
-                    s1=streaming(3, then=then, stamp="stamp-1"), s2=streaming(6, stamp="stamp-1"))
+                    s1=streaming(3, then=then, stamp="stamp-1"), s2=streaming(6, stamp="stamp-1")
+                )
                 for _ in range(4):
                     answer = await site.ask("/resume/1", id=f"r-{then}-{site.loop.time()}")
                     self.assertEqual((answer.status, answer.whole, answer.body), (200, True, events(1, 6)), then)
@@ -110,19 +115,23 @@
                 self.assertEqual({call.headers["last-event-id"] for call in resumed}, {"3"})
                 self.assertTrue(all(call.headers["x-rosechute-expect-instance"] == "s2" for call in resumed))
                 site.close()
+
         self.play(scene)
 
     def test_head_and_stamp_are_those_of_the_first_server(self) -> None:
         async def scene() -> None:
             site = await Site().start(
-                s1=streaming(2, then="reset", stamp="of-s1"), s2=streaming(2, then="reset", stamp="of-s2"),
-                s3=streaming(9, stamp="of-s3"))
+                s1=streaming(2, then="reset", stamp="of-s1"),
+                s2=streaming(2, then="reset", stamp="of-s2"),
+                s3=streaming(9, stamp="of-s3"),
+            )
             for _ in range(6):
                 answer = await site.ask("/resume/1")
                 first = next(call for call in reversed(site.calls) if "last-event-id" not in call.headers)
                 expected = "of-" + first.headers["x-rosechute-expect-instance"]
                 self.assertEqual(answer.headers["x-rosechute-server-stamp"], expected)
             site.close()
+
         self.play(scene)
 
     def test_a_client_that_takes_its_stream_up_is_passed_on_as_it_came(self) -> None:
@@ -132,6 +141,7 @@
             self.assertEqual(answer.body, events(6, 9))
             self.assertEqual(site.calls[0].headers["last-event-id"], "5")
             site.close()
+
         self.play(scene)
 
     def test_a_stream_that_breaks_before_its_first_event_is_asked_for_as_it_came(self) -> None:
@@ -142,6 +152,7 @@
                 self.assertEqual((answer.whole, answer.body), (True, events(6, 7)))
             self.assertEqual({call.headers["last-event-id"] for call in site.calls}, {"5"})
             site.close()
+
         self.play(scene)
 
     def test_a_stream_that_breaks_behind_its_last_event_is_ended_by_another_server(self) -> None:
@@ -151,12 +162,14 @@
                 answer = await site.ask("/resume/1")
                 self.assertEqual((answer.whole, answer.body), (True, events(1, 4)))
             site.close()
+
         self.play(scene)
 
     def test_a_stream_without_chunks_is_whole_only_behind_a_whole_event_and_a_close(self) -> None:
         async def scene() -> None:
             for path in ("/stream/1", "/resume/1"):
                 for end in ("close", "reset", "inside an event"):
+
                     async def unframed(talk: Talk, call: Call) -> None:
                         talk.writer.write(talk.head(200, "Content-Type: text/event-stream"))
                         for number in (1, 2):
@@ -177,10 +190,12 @@
                     if path == "/resume/1":
                         self.assertEqual(answer.body, events(1, 2))
                     site.close()
+
         self.play(scene)
 
     def test_a_stream_that_begins_before_its_request_is_out_is_none(self) -> None:
         """Nothing of it is passed on, and its connection is not used again: the rest of the body is due there."""
+
         async def scene() -> None:
             async def early(talk: Talk, call: Call) -> None:
                 talk.begin()
@@ -206,6 +221,7 @@
                 assert server is not None
                 self.assertEqual((server.links, len(site.plane.front.requests), site.plane.budget.used), (0, 0, 0))
                 site.close()
+
         self.play(scene)
 
     def test_a_stream_that_may_not_be_resumed_is_cut_promptly(self) -> None:
@@ -219,6 +235,7 @@
                 self.assertLess(answer.at - begun, 0.4)
                 self.assertEqual(len(site.calls), 1)
                 site.close()
+
         self.play(scene)
 
     def test_a_stream_that_nobody_can_go_on_with_is_cut(self) -> None:
@@ -227,6 +244,7 @@
             answer = await site.ask("/resume/1")
             self.assertEqual((answer.whole, answer.body), (False, events(1, 3)))
             site.close()
+
         self.play(scene)
 
     def test_the_continuation_has_to_have_the_same_weights(self) -> None:
@@ -250,15 +268,28 @@
             resumed = site.servers["s2"].calls[-1]
             self.assertEqual(resumed.headers["expect-version"], "5")
             site.close()
+
         self.play(scene)
 
     def test_a_server_that_falls_silent_is_left_for_another_one_in_time(self) -> None:
         async def scene() -> None:
             site = await Site().start(s1=streaming(2, then="silence"), s2=streaming(5))
-            site.plane.apply_configuration(configuration(2, routes=[
-                route("resume", route_type="streaming", gap_aim_ms=500, stream_resume=True, max_attempts=3,
-                      timeout_ms=15000),
-            ]), 2)
+            site.plane.apply_configuration(
+                configuration(
+                    2,
+                    routes=[
+                        route(
+                            "resume",
+                            route_type="streaming",
+                            gap_aim_ms=500,
+                            stream_resume=True,
+                            max_attempts=3,
+                            timeout_ms=15000,
+                        ),
+                    ],
+                ),
+                2,
+            )
             for _ in range(3):
                 client = await site.client()
                 client.send("/resume/1", deadline=15000)
@@ -271,10 +302,12 @@
                 self.assertEqual(body, events(1, 5))
             self.assertTrue(site.servers["s1"].closed)
             site.close()
+
         self.play(scene)
 
     def test_a_server_that_falls_silent_is_kept_while_no_other_one_may_go_on(self) -> None:
         """Found: a stream whose only server paused for long was cut a quarter of its client's patience too early."""
+
         async def scene() -> None:
             async def pauses(talk: Talk, call: Call) -> None:
                 talk.begin()
@@ -288,11 +321,13 @@
                 if not service_budget:  # another server is there, but a further attempt is not affordable
                     await site.serve("svc", s1=pauses, s2=pauses)
                     site.plane._dispatcher.apply_retry_budget(
-                        msgspec.structs.replace(site.settings.bounds, retry_budget_ratio=0.0, retry_slack=0), 1)
+                        msgspec.structs.replace(site.settings.bounds, retry_budget_ratio=0.0, retry_slack=0), 1
+                    )
                 answer = await site.ask("/resume/1")
                 self.assertEqual((answer.whole, answer.body), (True, events(1, 2)))
             self.assertEqual(len(site.calls), 1)
             site.close()
+
         self.play(scene)
 
     def test_a_silent_server_is_left_as_soon_as_another_one_may_go_on(self) -> None:
@@ -309,6 +344,7 @@
             self.assertEqual(await client.piece(), event(3))
             self.assertLess(site.loop.time() - heard, 4.0)
             site.close()
+
         self.play(scene)
 
     @staticmethod
@@ -327,6 +363,7 @@
             self.assertEqual(answer.status, 504)
             self.assertTrue(3.8 < answer.at - begun < 4.0)
             site.close()
+
         self.play(scene)
 
     def test_a_client_that_leaves_ends_the_servers_work_at_once(self) -> None:
@@ -342,6 +379,7 @@
                 self.assertEqual(len(site.servers["s1"].closed), 1)
                 self.assertFalse(site.plane.front.requests)
                 site.close()
+
         self.play(scene)
 
     def test_a_client_that_reads_nothing_holds_a_bounded_part_of_the_answer(self) -> None:
@@ -367,10 +405,12 @@
                 self.assertTrue(answer.whole)
                 self.assertEqual(answer.body.count(b"id: "), 3999)
             site.close()
+
         self.play(scene)
 
     def test_a_stream_that_brings_events_goes_on_past_the_routes_time_and_to_the_clients(self) -> None:
         """Found: streams were cut in their middle at the route's time, though their clients still read them."""
+
         async def scene() -> None:
             for path in ("/stream/1", "/resume/1"):
                 site = await Site().start(s1=streaming(70, 0.1))
@@ -383,19 +423,27 @@
                 self.assertFalse(answer.whole)
                 self.assertTrue(7.9 < answer.at - begun < 8.0)
                 site.close()
+
         self.play(scene)
 
     def test_the_routes_time_cuts_a_stream_that_brings_nothing(self) -> None:
         async def scene() -> None:
             site = await Site().start(s1=streaming(0, then="silence"))
-            site.plane.apply_configuration(configuration(2, routes=[
-                route("slow", route_type="streaming", gap_aim_ms=3000, timeout_ms=5000),
-            ]), 2)
+            site.plane.apply_configuration(
+                configuration(
+                    2,
+                    routes=[
+                        route("slow", route_type="streaming", gap_aim_ms=3000, timeout_ms=5000),
+                    ],
+                ),
+                2,
+            )
             begun = site.loop.time()
             answer = await site.ask("/slow/1", deadline=60000)
             self.assertFalse(answer.whole)
             self.assertTrue(4.8 < answer.at - begun < 5.0)
             site.close()
+
         self.play(scene)
 
     def test_success_without_a_stamp_is_none(self) -> None:
@@ -404,4 +452,5 @@
             answer = await site.ask("/stream/1")
             self.assertEqual(answer.status, 502)
             site.close()
+
         self.play(scene)
--- a/tests/fleet/test_data_terms.py
+++ b/tests/fleet/test_data_terms.py
@@ -32,6 +32,7 @@
             await site.ask("/again/1")  # no limit
             self.assertEqual(site.quota.spent, [("metered", 1), ("tokens", 1540), ("tokens", 150)])
             site.close()
+
         self.play(scene)
 
     def test_beyond_its_quota_it_is_told_when_to_come_back(self) -> None:
@@ -45,6 +46,7 @@
             self.assertEqual(answer.headers["x-rosechute-request-id"], "told")
             self.assertEqual(len(site.calls), 2)
             site.close()
+
         self.play(scene)
 
     def test_a_client_that_leaves_while_its_quota_is_asked_for_is_not_served(self) -> None:
@@ -60,6 +62,7 @@
             await asyncio.sleep(0.5)
             self.assertFalse(site.calls or site.plane.front.requests)
             site.close()
+
         self.play(scene)
 
     def test_a_quota_that_never_tells_is_a_promise_in_time(self) -> None:
@@ -74,6 +77,7 @@
             await asyncio.sleep(0.1)
             self.assertFalse(site.calls)
             site.close()
+
         self.play(scene)
 
 
@@ -91,6 +95,7 @@
             self.assertEqual((await site.ask("/open/1")).status, 200)
             self.assertEqual(len(site.calls), 2)
             site.close()
+
         self.play(scene)
 
     def test_a_request_that_waited_is_not_sent_once_the_lease_has_ended(self) -> None:
@@ -105,6 +110,7 @@
             answer = await client.answer()
             self.assertEqual((answer.status, site.calls), (503, []))
             site.close()
+
         self.play(scene)
 
     def test_a_request_that_waited_is_not_sent_once_its_key_or_route_is_gone(self) -> None:
@@ -121,6 +127,7 @@
                 answer = await client.answer()
                 self.assertEqual((answer.status, site.calls), (status, []))
                 site.close()
+
         self.play(scene)
 
     def test_a_request_whose_key_is_another_tenants_by_now_is_not_sent_under_the_first_name(self) -> None:
@@ -135,6 +142,7 @@
             answer = await client.answer()
             self.assertEqual((answer.status, site.calls), (503, []))
             site.close()
+
         self.play(scene)
 
     def test_a_key_that_is_taken_away_ends_on_connections_that_are_open(self) -> None:
@@ -146,6 +154,7 @@
             self.assertEqual((await client.ask(key="k2")).status, 401)
             self.assertEqual((await client.ask(key="k1")).status, 200)
             site.close()
+
         self.play(scene)
 
     def test_a_stream_is_not_resumed_without_the_lease(self) -> None:
@@ -165,6 +174,7 @@
             self.assertEqual(await client.ended(), b"")
             self.assertEqual(len(site.calls), 1)
             site.close()
+
         self.play(scene)
 
 
@@ -193,11 +203,18 @@
     async def short(self, **scripts: Script) -> Site:
         """A site whose routes have a second."""
         site = await Site().start(**scripts)
-        site.plane.apply_configuration(configuration(2, routes=[
-            route("plain", timeout_ms=1000), route("again", route_type="idempotent", timeout_ms=1000),
-            route("stream", route_type="streaming", gap_aim_ms=500, timeout_ms=1000),
-            route("resume", route_type="streaming", gap_aim_ms=500, timeout_ms=1000, stream_resume=True),
-        ]), 2)
+        site.plane.apply_configuration(
+            configuration(
+                2,
+                routes=[
+                    route("plain", timeout_ms=1000),
+                    route("again", route_type="idempotent", timeout_ms=1000),
+                    route("stream", route_type="streaming", gap_aim_ms=500, timeout_ms=1000),
+                    route("resume", route_type="streaming", gap_aim_ms=500, timeout_ms=1000, stream_resume=True),
+                ],
+            ),
+            2,
+        )
         return site
 
     def test_at_a_silent_server(self) -> None:
@@ -216,6 +233,7 @@
                         self.bounded(answer, begun)
                         self.assertEqual(answer.status, 504)
                 site.close()
+
         self.play(scene)
 
     def test_while_its_quota_is_asked_for(self) -> None:
@@ -227,6 +245,7 @@
             self.bounded(answer, begun)
             self.assertEqual((answer.status, site.calls), (503, []))
             site.close()
+
         self.play(scene)
 
     def test_while_it_waits_for_a_server_or_its_connection(self) -> None:
@@ -244,6 +263,7 @@
                 for answer in await asyncio.gather(*asking):
                     self.assertLess(answer.at - begun, 1.0)
             site.close()
+
         self.play(scene)
 
     def test_while_the_rest_of_its_body_is_awaited(self) -> None:
@@ -260,6 +280,7 @@
             self.assertLess(answer.at - begun, 1.5)
             self.assertEqual(answer.status, 504)
             site.close()
+
         self.play(scene)
 
 
@@ -277,6 +298,7 @@
                     ends_s = call.at - begun + int(call.headers["x-rosechute-deadline-ms"]) / 1e3
                     self.assertTrue(2.9 < ends_s <= 3.0, ends_s)
                 site.close()
+
         self.play(scene)
 
     def test_without_one_or_with_one_that_is_no_number_it_is_the_routes_time(self) -> None:
@@ -287,6 +309,7 @@
                     await site.ask(path, *lines, deadline=0)
                     self.assertTrue(4900 < int(site.calls[-1].headers["x-rosechute-deadline-ms"]) <= 5000)
             site.close()
+
         self.play(scene)
 
     def test_no_request_runs_at_more_servers_than_its_route_allows(self) -> None:
@@ -301,15 +324,28 @@
             scripts = {f"s{number}": resets for number in range(8)}
             for most in (1, 2, 3):
                 site = await Site().start(**scripts)
-                site.plane.apply_configuration(configuration(2, routes=[
-                    route("again", route_type="idempotent", max_attempts=most),
-                    route("resume", route_type="streaming", gap_aim_ms=500, stream_resume=True, max_attempts=most),
-                ]), 2)
+                site.plane.apply_configuration(
+                    configuration(
+                        2,
+                        routes=[
+                            route("again", route_type="idempotent", max_attempts=most),
+                            route(
+                                "resume",
+                                route_type="streaming",
+                                gap_aim_ms=500,
+                                stream_resume=True,
+                                max_attempts=most,
+                            ),
+                        ],
+                    ),
+                    2,
+                )
                 for path in ("/again/1", "/resume/1"):
                     before = len(site.calls)
                     await site.ask(path)
                     self.assertEqual(len(site.calls) - before, most)
                 site.close()
+
         self.play(scene)
 
 
@@ -317,17 +353,24 @@
     def test_the_tenants_priority_stands_before_the_routes(self) -> None:
         async def scene() -> None:
             site = await Site().start()
-            site.plane.apply_configuration(configuration(
-                2, routes=[route("plain"), route("first", priority=0)],
-                tenants=[{"name": "a", "api_keys": ["a"], "priority": 0}, {"name": "b", "api_keys": ["b"],
-                                                                          "priority": 3}],
-            ), 2)
+            site.plane.apply_configuration(
+                configuration(
+                    2,
+                    routes=[route("plain"), route("first", priority=0)],
+                    tenants=[
+                        {"name": "a", "api_keys": ["a"], "priority": 0},
+                        {"name": "b", "api_keys": ["b"], "priority": 3},
+                    ],
+                ),
+                2,
+            )
             for path, key in (("/first/1", "a"), ("/plain/1", "a"), ("/first/1", "b"), ("/plain/1", "b")):
                 await site.ask(path, key=key)
             priorities = [int(call.headers["priority"]) for call in site.calls]
             self.assertEqual(priorities, sorted(priorities))
             self.assertEqual(len(set(priorities)), 4)
             site.close()
+
         self.play(scene)
 
 
@@ -341,7 +384,8 @@
                 clients[client.send(deadline=3000)] = client
             await asyncio.sleep(0.1)
             waiting = [
-                request.admitted.request_id.decode() for request in site.plane.front.requests.values()
+                request.admitted.request_id.decode()
+                for request in site.plane.front.requests.values()
                 if request.state is RequestState.WAITING
             ]
             self.assertGreater(len(waiting), 0)
@@ -352,10 +396,12 @@
             await asyncio.sleep(4.0)
             self.assertTrue({call.id for call in site.calls}.isdisjoint(waiting))
             site.close()
+
         self.play(scene)
 
     def test_nothing_of_a_request_reaches_a_server_half_a_second_after_its_client_left(self) -> None:
         """GONE: whatever it was doing, and the server at work on it sees its connection close at once."""
+
         async def scene(at_work: Script) -> None:
             for path in ("/again/1", "/resume/1", "/stream/1", "/plain/1"):
                 for leave in ("close", "reset", "half close"):
@@ -376,6 +422,7 @@
                         await asyncio.sleep(1.0)
                         self.assertFalse([call for call in site.calls if call.at > left_at + 0.1], (path, leave))
                         site.close()
+
         for at_work in (resets_late, until_closed, streams_slowly):
             self.play(lambda at_work=at_work: scene(at_work))  # type: ignore[misc]
 
@@ -401,6 +448,7 @@
                     self.assertEqual(len(site.servers["s1"].closed), 1)
                     self.assertEqual((len(site.calls), len(site.plane.front.requests)), (1, 0))
                     site.close()
+
         self.play(scene)
 
     def test_a_client_that_leaves_while_a_repeat_waits_for_a_server(self) -> None:
@@ -411,7 +459,7 @@
             await asyncio.sleep(0.2)
             site.router._try = lambda *_: None  # type: ignore[method-assign]  # no server has room for a repeat
             await asyncio.sleep(0.2)
-            request, = site.plane.front.requests.values()
+            (request,) = site.plane.front.requests.values()
             self.assertIs(request.state, RequestState.WAITING)
             self.assertEqual(len(site.calls), 1)
             client.close()
@@ -421,6 +469,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual(len(site.calls), calls)
             site.close()
+
         self.play(scene)
 
     def test_a_client_that_leaves_while_its_connection_comes_up_costs_the_server_nothing(self) -> None:
@@ -445,6 +494,7 @@
             self.assertEqual((site.calls, len(site.plane.front.requests)), ([], 0))
             self.assertEqual(len(site.plane.servers.find("s1").idle), 1)  # type: ignore[union-attr]
             site.close()
+
         self.play(scene)
 
     def test_a_server_that_begins_to_drain_while_a_connection_comes_up_gets_nothing(self) -> None:
@@ -468,4 +518,5 @@
             self.assertEqual((await client.answer()).status, 200)
             self.assertEqual((len(site.servers["s1"].calls), len(site.servers["s2"].calls)), (0, 1))
             site.close()
+
         self.play(scene)
--- a/tests/fleet/test_data_traffic_split.py
+++ b/tests/fleet/test_data_traffic_split.py
@@ -43,7 +43,7 @@
         parts = [sequence.next_point("r") < 0.3 for _ in range(2_000)]
         for length in (10, 50, 200):
             for start in range(0, 1_500, 7):
-                self.assertLessEqual(abs(sum(parts[start:start + length]) - 0.3 * length), 2.0)
+                self.assertLessEqual(abs(sum(parts[start : start + length]) - 0.3 * length), 2.0)
 
     def test_routes_have_sequences_of_their_own(self) -> None:
         sequences = SplitSequences(lambda: 0.25)
--- a/tests/fleet/test_deploy_files.py
+++ b/tests/fleet/test_deploy_files.py
@@ -11,8 +11,14 @@
 
 DEPLOY = Path(__file__).resolve().parents[2] / "deploy"
 SITES = (
-    "harbour-ferries", "valley-registry", "canal-transit", "orchard-pharmacies", "mill-archives", "delta-signals",
-    "ridge-schools", "port-customs",
+    "harbour-ferries",
+    "valley-registry",
+    "canal-transit",
+    "orchard-pharmacies",
+    "mill-archives",
+    "delta-signals",
+    "ridge-schools",
+    "port-customs",
 )
 SLOTS = {"quiet", "trouble", "scale"}
 
--- a/tests/fleet/test_distribution_loopback.py
+++ b/tests/fleet/test_distribution_loopback.py
@@ -70,8 +70,12 @@
     def __init__(self, number: int, core_port: int, edge_port: int) -> None:
         self.applied: asyncio.Queue[Action] = asyncio.Queue()
         settings = ProcessSettings(
-            node_name=f"edge-{number}", ip=f"127.0.0.{number}", zone="z", port_range=(core_port, edge_port),
-            listen=Listen(), seeds=("127.0.0.1:1",),
+            node_name=f"edge-{number}",
+            ip=f"127.0.0.{number}",
+            zone="z",
+            port_range=(core_port, edge_port),
+            listen=Listen(),
+            seeds=("127.0.0.1:1",),
         )
         self.settings = settings
         self.links = EdgeLinks(asyncio.get_running_loop(), settings, number, self.applied.put_nowait)
--- a/tests/fleet/test_distribution_orders.py
+++ b/tests/fleet/test_distribution_orders.py
@@ -307,7 +307,7 @@
         renew = pb.Distribution(renew=pb.Renew(request=9, edge=pb.Edge(name="e2", zone="z", address="b")))
         self.assertEqual(sent(edge.subscriber.receive(0.005, 7, renew), "renewed"), [])
         edge.renewed(0.01, config_sequence=0, config_age_ms=0)
-        (connection, message), = sent(edge.subscriber.receive(0.02, 7, renew), "renewed")
+        ((connection, message),) = sent(edge.subscriber.receive(0.02, 7, renew), "renewed")
         told = message.renewed
         self.assertEqual((connection, told.request, told.leader), (7, 9, LEADER))
         self.assertFalse(told.is_leader or told.config_known)
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -300,8 +300,13 @@
     def replica(self, **fields: Any) -> Any:
         view = SimpleNamespace(epoch=7, acceptors=(OWN, OTHER), chain=("b", "a", "gone"))
         known = {
-            "view": view, "identity": OWN, "term": 5, "committed": CommittedConfiguration(3, 40, b"", b""),
-            "is_leader": lambda now: now == 9.0, "leader_hint": lambda: OTHER, "freshness": lambda now: (3, 0.25),
+            "view": view,
+            "identity": OWN,
+            "term": 5,
+            "committed": CommittedConfiguration(3, 40, b"", b""),
+            "is_leader": lambda now: now == 9.0,
+            "leader_hint": lambda: OTHER,
+            "freshness": lambda now: (3, 0.25),
         }
         return SimpleNamespace(**(known | fields))
 
@@ -346,8 +351,12 @@
 
     def machine_replica(self) -> Any:
         return SimpleNamespace(
-            identity=OWN, is_leader=lambda now: now == 9.0, freshness=lambda now: (3, 0.25),
-            leader_hint=lambda: OTHER, core_machines=lambda: [OWN, OTHER], update_seeds=mock.Mock(),
+            identity=OWN,
+            is_leader=lambda now: now == 9.0,
+            freshness=lambda now: (3, 0.25),
+            leader_hint=lambda: OTHER,
+            core_machines=lambda: [OWN, OTHER],
+            update_seeds=mock.Mock(),
         )
 
     def load(self) -> None:
@@ -415,10 +424,15 @@
         self.load()
         self.machine._received("c", Kind.DISTRIBUTION, b"")
         core = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in (OWN, OTHER))
-        self.assertEqual(self.publisher.method_calls, [
-            mock.call.freshness(9.0, 3, 0.25), mock.call.redirect(OTHER.peer_address), mock.call.core(core),
-            mock.call.receive(9.0, "c", pb.Distribution()),
-        ])
+        self.assertEqual(
+            self.publisher.method_calls,
+            [
+                mock.call.freshness(9.0, 3, 0.25),
+                mock.call.redirect(OTHER.peer_address),
+                mock.call.core(core),
+                mock.call.receive(9.0, "c", pb.Distribution()),
+            ],
+        )
         self.machine._received("c", Kind.DISTRIBUTION, b"")
         self.publisher.core.assert_called_once_with(core)
         self.replica.core_machines = lambda: [OWN]
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -660,6 +660,7 @@
 
     def seconds_until_an_answer(self, body_s: float) -> float:
         """How long a call takes whose body comes slowly and whose outcome never does."""
+
         async def call() -> float:
             request = make_mocked_request("POST", "/config/replace", headers={operator_api.BASE_VERSION_HEADER: "6"})
 
@@ -840,5 +841,3 @@
             self.assertEqual(self.runtime._waiting, {})
 
         asyncio.run(scene())
-
-
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -707,8 +707,9 @@
     def test_machines_that_do_not_reach_each_other_do_not_share_the_chain(self) -> None:
         self.assertEqual(self.needed(conflicts=[("b", "c")]), ("abc", "ab"))
         self.assertEqual(self.needed(conflicts=[("c", "b")]), ("abc", "ab"))
-        self.assertEqual(self.needed("abcde", size=5, usable="abcde", conflicts=[("b", "c"), ("b", "d")]),
-                         ("abcde", "acde"))
+        self.assertEqual(
+            self.needed("abcde", size=5, usable="abcde", conflicts=[("b", "c"), ("b", "d")]), ("abcde", "acde")
+        )
 
     def test_the_proposer_itself_stays(self) -> None:
         self.assertEqual(self.needed(conflicts=[("b", "c")], own="c"), ("abc", "ac"))
@@ -855,8 +856,11 @@
         self.assertIsInstance(actions[0], LeaseLost)
         kinds = [(each.address, each.message.WhichOneof("body")) for each in actions if isinstance(each, Send)]
         self.assertIn(("b:7500", "lease_release"), kinds)
-        beats = [each.message.heartbeat for each in actions if isinstance(each, Send)
-                 and each.message.HasField("heartbeat")]
+        beats = [
+            each.message.heartbeat
+            for each in actions
+            if isinstance(each, Send) and each.message.HasField("heartbeat")
+        ]
         self.assertEqual([(each.healthy, each.leads) for each in beats], [(False, False)] * 2)
 
     def test_resigns_as_a_follower(self) -> None:
--- a/tests/fleet/test_planted_coordination_leases.py
+++ b/tests/fleet/test_planted_coordination_leases.py
@@ -959,9 +959,7 @@
 
     def beats(self) -> dict[str, Any]:
         self.heartbeats.send()
-        return {
-            each.address: each.message.heartbeat for each in self.parts.actions() if isinstance(each, Send)
-        }
+        return {each.address: each.message.heartbeat for each in self.parts.actions() if isinstance(each, Send)}
 
     def test_what_is_told(self) -> None:
         self.parts.memory.newcomer = True
--- a/tests/fleet/test_planted_coordination_views.py
+++ b/tests/fleet/test_planted_coordination_views.py
@@ -230,9 +230,7 @@
         self.parts.memory.promised = ballot(4)
         first = self.begin()
         self.assertEqual(first, Ballot(5, "a", OWN_BOOT))
-        self.proposer.on_refused(
-            pb.Refused(epoch=EPOCH, ballot=first.message(), promised=ballot(9, "c").message())
-        )
+        self.proposer.on_refused(pb.Refused(epoch=EPOCH, ballot=first.message(), promised=ballot(9, "c").message()))
         self.assertEqual(self.proposer.phase, Phase.IDLE)
         for wait in (0.0, 0.14):  # of a twentieth to a fourth of a second, here in the middle
             self.parts.pass_time(wait)
@@ -476,9 +474,7 @@
         self.membership = self.member.membership
 
     def decided(self, epoch: int, sequence: int = 9, members: str = "abc", chain: str | None = None) -> None:
-        message = pb.Decided(
-            view=view(members, epoch, chain).message(), state=state(sequence, epoch).message()
-        )
+        message = pb.Decided(view=view(members, epoch, chain).message(), state=state(sequence, epoch).message())
         self.membership.on_decided(message)
 
     def test_adopted_once_synced(self) -> None:
--- a/tests/fleet/test_planted_distribution.py
+++ b/tests/fleet/test_planted_distribution.py
@@ -1015,8 +1015,12 @@
         return self.receive("config", update, now, connection)
 
     def test_what_a_renewal_tells(self) -> None:
-        self.renewed(core=[pb.CoreMachine(address="x:1")], core_digest=9, zone_edges=[pb.Edge(name="me", zone="z")],
-                     members_revision=4)
+        self.renewed(
+            core=[pb.CoreMachine(address="x:1")],
+            core_digest=9,
+            zone_edges=[pb.Edge(name="me", zone="z")],
+            members_revision=4,
+        )
         self.config(2)
         self.receive("list", listed(server(1)).message(NOTHING, NOW).list)
         self.edge.leave(NOW + 0.1)
@@ -1236,6 +1240,7 @@
 
     def test_another_edge_is_told_who_leads_while_the_leader_answers_here(self) -> None:
         """Nothing else: an edge knows of no freshness, and an old leader's name would lead astray."""
+
         def told(now: float) -> list[Any]:
             return sent(self.receive("renew", pb.Renew(request=9), now, "peer"), "renewed")
 
--- a/tests/fleet/test_planted_requests.py
+++ b/tests/fleet/test_planted_requests.py
@@ -235,7 +235,8 @@
         self.released: list[Any] = []
         self.connecting: Any = None
         servers = SimpleNamespace(
-            take=lambda server: self.idle, release=lambda link, answer: self.released.append(answer),
+            take=lambda server: self.idle,
+            release=lambda link, answer: self.released.append(answer),
             connect=self.connect,
         )
         untyped: Any = servers
@@ -1297,8 +1298,12 @@
 
     def test_keys(self) -> None:
         for key, path, expected in (
-            (b"k1", "/plain/1", "first"), (b"k9", "/plain/1", 401), (b"", "/plain/1", 401), (b"k9", "/open/1", None),
-            (b"", "/open/1", None), (b"m1", "/open/1", "metered"),
+            (b"k1", "/plain/1", "first"),
+            (b"k9", "/plain/1", 401),
+            (b"", "/plain/1", 401),
+            (b"k9", "/open/1", None),
+            (b"", "/open/1", None),
+            (b"m1", "/open/1", "metered"),
         ):
             message = Message(path)
             message.headers[2] = (message.headers[2][0], key)
@@ -1368,12 +1373,25 @@
         self.assertEqual(once.max_attempts, 1)
 
     def test_the_head_that_servers_get(self) -> None:
-        message = Message("/plain/1", (b"connection", b"x-own, keep-alive"), (b"x-own", b"1"), (b"x-kept", b"2"),
-                          (b"priority", b"9"), (b"x-rosechute-tenant", b"forged"), (b"expect", b"100-continue"),
-                          body=b"body")
+        message = Message(
+            "/plain/1",
+            (b"connection", b"x-own, keep-alive"),
+            (b"x-own", b"1"),
+            (b"x-kept", b"2"),
+            (b"priority", b"9"),
+            (b"x-rosechute-tenant", b"forged"),
+            (b"expect", b"100-continue"),
+            body=b"body",
+        )
         head = admit(message).head
-        for kept in (b"POST /plain/1 HTTP/1.1\r\n", b"x-kept: 2\r\n", b"content-length: 4\r\n",
-                     b"x-rosechute-tenant: first\r\n", b"host: app.example\r\n", b"priority: 5\r\n"):
+        for kept in (
+            b"POST /plain/1 HTTP/1.1\r\n",
+            b"x-kept: 2\r\n",
+            b"content-length: 4\r\n",
+            b"x-rosechute-tenant: first\r\n",
+            b"host: app.example\r\n",
+            b"priority: 5\r\n",
+        ):
             self.assertIn(kept, head)
         for dropped in (b"x-own", b"forged", b"priority: 9", b"expect:", b"x-rosechute-credential", b"connection"):
             self.assertNotIn(dropped, head)
@@ -1520,8 +1538,6 @@
         self.assertGreater(shutdown.LOOK_S, 0.0)
 
 
-
-
 class Listener:
     """Connections of clients, as the end of the process sees them."""
 
@@ -1606,7 +1622,9 @@
 
         def opened(front: Any) -> None:
             one = SimpleNamespace(
-                state=S.SENT, admitted=SimpleNamespace(arrived=NOW), last_moment=lambda: ended.append("ended"),
+                state=S.SENT,
+                admitted=SimpleNamespace(arrived=NOW),
+                last_moment=lambda: ended.append("ended"),
                 refuse_unsent=lambda: ended.append("asked"),
             )
             front.requests["a"] = one
--- a/tests/fleet/test_planted_share.py
+++ b/tests/fleet/test_planted_share.py
@@ -21,7 +21,7 @@
 SHARED_AREAS = ("coordination", "storage")
 QUICK = f"{records.PREFIX}test_planted_"
 
-SOURCE = '''
+SOURCE = """
 LEASE_S = 2.0
 
 
@@ -39,7 +39,7 @@
     until = max(one.until, now + LEASE_S)
     disk.after(3, one.grant)
     return until if one.ready and other.ready else None
-'''
+"""
 
 
 class Share(unittest.TestCase):
@@ -113,6 +113,9 @@
 
     def test_nothing_else_is_changed(self) -> None:
         for fault in self.faults.values():
-            changed = [pair for pair in zip(SOURCE.splitlines(), fault.source.splitlines(), strict=True)
-                       if pair[0] != pair[1]]
+            changed = [
+                pair
+                for pair in zip(SOURCE.splitlines(), fault.source.splitlines(), strict=True)
+                if pair[0] != pair[1]
+            ]
             self.assertEqual(len(changed), 1, fault.id)
--- a/tests/fleet/test_processes_command.py
+++ b/tests/fleet/test_processes_command.py
@@ -72,7 +72,6 @@
         self.assertEqual(code, 1)
         self.assertIn("port_range", errors)
 
-
     def test_settings_that_lack_what_their_side_needs(self) -> None:
         code, _, errors = run("check-settings", self.file(encode(settings() | {"listen": {"front": "127.0.3.1:1"}})))
         self.assertEqual(code, 1)
--- a/tests/fleet/test_processes_edge.py
+++ b/tests/fleet/test_processes_edge.py
@@ -26,7 +26,11 @@
 async def program(settings: Path) -> asyncio.subprocess.Process:
     """An edge process."""
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rosechute.processes.edge", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "rosechute.processes.edge",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
         env={**os.environ, SETTINGS_VARIABLE: str(settings)},
     )
 
@@ -39,10 +43,17 @@
         front, readiness, first, second = free_ports(HOST, 4)
         self.front, self.readiness = f"{HOST}:{front}", f"{HOST}:{readiness}"
         self.settings = {
-            "node_name": "edge-1", "role": "edge", "serves": ["edge"], "ip": HOST, "zone": "z",
+            "node_name": "edge-1",
+            "role": "edge",
+            "serves": ["edge"],
+            "ip": HOST,
+            "zone": "z",
             "listen": {"front": self.front, "readiness": self.readiness},
-            "port_range": sorted((first, second)), "seeds": ["127.0.0.6:1"],
-            "limits": {"memory_mb": 260, "max_fds": 1000}, "bounds": {"grace_s": 4}, "unknown": {"x": None},
+            "port_range": sorted((first, second)),
+            "seeds": ["127.0.0.6:1"],
+            "limits": {"memory_mb": 260, "max_fds": 1000},
+            "bounds": {"grace_s": 4},
+            "unknown": {"x": None},
         }
         self.write()
         self.core = Core(f"127.0.0.6:{min(first, second)}")
--- a/tests/fleet/test_processes_metrics.py
+++ b/tests/fleet/test_processes_metrics.py
@@ -41,7 +41,7 @@
         family = Family("things_total", "Things.", ("kind",), lambda: {('b"\\\n',): 2.0, ("a",): 1.5})
         self.assertEqual(
             render([family]),
-            '# HELP rosechute_things_total Things.\n# TYPE rosechute_things_total counter\n'
+            "# HELP rosechute_things_total Things.\n# TYPE rosechute_things_total counter\n"
             'rosechute_things_total{kind="a"} 1.5\nrosechute_things_total{kind="b\\"\\\\\\n"} 2\n',
         )
 
--- a/tests/fleet/test_processes_settings_watch.py
+++ b/tests/fleet/test_processes_settings_watch.py
@@ -35,7 +35,11 @@
     def write(self, **changed: object) -> None:
         """Each writing gets a time of its own, however fast they follow each other."""
         settings = {
-            "node_name": "n", "ip": "10.0.0.1", "zone": "a", "serves": ["edge"], "port_range": [7500, 7515],
+            "node_name": "n",
+            "ip": "10.0.0.1",
+            "zone": "a",
+            "serves": ["edge"],
+            "port_range": [7500, 7515],
             "listen": {"front": "10.0.0.1:80", "readiness": "10.0.0.1:81"},
         }
         self.text(json.dumps(settings | changed))
--- a/tests/fleet/test_quota_sum.py
+++ b/tests/fleet/test_quota_sum.py
@@ -43,10 +43,23 @@
 
     def trouble() -> None:
         edge = draw.choice(world.edges)
-        kind = draw.choice((
-            "lead", "lead", "again", "stop", "power", "power", "cut", "cut", "freeze", "restart", "demand", "demand",
-            "rest",
-        ))
+        kind = draw.choice(
+            (
+                "lead",
+                "lead",
+                "again",
+                "stop",
+                "power",
+                "power",
+                "cut",
+                "cut",
+                "freeze",
+                "restart",
+                "demand",
+                "demand",
+                "rest",
+            )
+        )
         if kind == "lead":
             world.lead(draw.randrange(4), draw.choice((0.0, 0.0, 0.05)))
         elif kind == "again":
--- a/tests/fleet/test_routing_prefixes.py
+++ b/tests/fleet/test_routing_prefixes.py
@@ -134,8 +134,20 @@
     def ask(self, router: Router, now: float, ticket: int, subject: str, shared_tokens: int = 4_000) -> str:
         prompt = parts(subject, f"own{ticket}", shared_tokens)
         request = RoutingRequest(
-            ticket, "svc", "r", 1, now + 5.0, 0.6, now, 2, True, True, "m", prompt,
-            sum(part.tokens for part in prompt), 50,
+            ticket,
+            "svc",
+            "r",
+            1,
+            now + 5.0,
+            0.6,
+            now,
+            2,
+            True,
+            True,
+            "m",
+            prompt,
+            sum(part.tokens for part in prompt),
+            50,
         )
         actions = router.submit(now, request)
         assert isinstance(actions[0], Send), actions
--- a/tests/fleet/test_routing_properties.py
+++ b/tests/fleet/test_routing_properties.py
@@ -23,9 +23,16 @@
 SEEDS = 300
 EVENTS = 250
 ENDS = (
-    AttemptResult.DONE, AttemptResult.DONE, AttemptResult.DONE, AttemptResult.SERVER_ERROR,
-    AttemptResult.NOT_EXECUTED, AttemptResult.WRONG_INSTANCE, AttemptResult.CONNECT_FAILED, AttemptResult.RESET,
-    AttemptResult.TIMEOUT, AttemptResult.CANCELLED,
+    AttemptResult.DONE,
+    AttemptResult.DONE,
+    AttemptResult.DONE,
+    AttemptResult.SERVER_ERROR,
+    AttemptResult.NOT_EXECUTED,
+    AttemptResult.WRONG_INSTANCE,
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.RESET,
+    AttemptResult.TIMEOUT,
+    AttemptResult.CANCELLED,
 )
 RAN = (AttemptResult.SERVER_ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT)
 
@@ -82,9 +89,18 @@
         if self.draw.random() < 0.5:
             parts = (PromptPart(f"s{self.draw.randrange(5)}", 2000), PromptPart(f"o{self.tickets}", 1000))
         request = RoutingRequest(
-            self.tickets, "svc", "r", 1 if self.patient else self.draw.randrange(3),
-            self.now + 4e6 * self.patient + 4, target, self.now, self.draw.choice([1, 2, 3]),
-            self.draw.random() < 0.6, bool(parts), "m", parts,
+            self.tickets,
+            "svc",
+            "r",
+            1 if self.patient else self.draw.randrange(3),
+            self.now + 4e6 * self.patient + 4,
+            target,
+            self.now,
+            self.draw.choice([1, 2, 3]),
+            self.draw.random() < 0.6,
+            bool(parts),
+            "m",
+            parts,
             sum(part.tokens for part in parts),
         )
         self.known[request.ticket] = Known(request)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -33,8 +33,12 @@
 def request(cls: str = "free", timeout: float = 5, rid: str = "", body: bytes | None = None) -> bytes:
     """The bytes of one request; its id is new."""
     method = "GET" if cls == "free" else "POST"
-    lines = [f"{method} /{cls} HTTP/1.1", "Host: app", f"X-Request-ID: {rid or f'peer-{next(NUMBERS)}'}",
-             f"X-Timeout: {timeout}"]
+    lines = [
+        f"{method} /{cls} HTTP/1.1",
+        "Host: app",
+        f"X-Request-ID: {rid or f'peer-{next(NUMBERS)}'}",
+        f"X-Timeout: {timeout}",
+    ]
     if cls == "guarded":
         lines.append("Idempotency-Key: k")
     if method == "POST":
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -14,14 +14,27 @@
 RAW: dict[str, Any] = {
     "classes": [
         {"name": "hold-desk", "onTimeNs": 600 * MS, "hardLimitNs": 1200 * MS, "repeat": "single_shot"},
-        {"name": "confirm-booking", "onTimeNs": 600 * MS, "hardLimitNs": 2500 * MS, "repeat": "guarded",
-         "group": "cell", "windowNs": 5000 * MS},
+        {
+            "name": "confirm-booking",
+            "onTimeNs": 600 * MS,
+            "hardLimitNs": 2500 * MS,
+            "repeat": "guarded",
+            "group": "cell",
+            "windowNs": 5000 * MS,
+        },
         {"name": "list-rooms", "onTimeNs": 300 * MS, "hardLimitNs": 1500 * MS, "repeat": "free"},
     ],
-    "failureDomains": ["a"], "kinds": ["m"],
+    "failureDomains": ["a"],
+    "kinds": ["m"],
     "projects": [{"name": "charity-partners", "share": 0.64}, {"name": "community-hirers", "share": 0.36}],
-    "limits": {"maxAttempts": 5, "secondCopies": True, "retryAfter": True, "maxRetryAfterNs": 1200 * MS,
-               "connectTimeoutNs": 250 * MS, "cancel": True},
+    "limits": {
+        "maxAttempts": 5,
+        "secondCopies": True,
+        "retryAfter": True,
+        "maxRetryAfterNs": 1200 * MS,
+        "connectTimeoutNs": 250 * MS,
+        "cancel": True,
+    },
     "invariants": {"drainGraceNs": 250 * MS},
 }
 
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -177,16 +177,25 @@
 class Site:
     """One sidecar's decisions, from requests to servers."""
 
-    def __init__(self, settings: Settings, plays: list[Play], servers: int = 4, seed: int = 1,
-                 routes: Any = None, limits: Any = (), platform: Settings | None = None) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        plays: list[Play],
+        servers: int = 4,
+        seed: int = 1,
+        routes: Any = None,
+        limits: Any = (),
+        platform: Settings | None = None,
+    ) -> None:
         self.settings, self.platform, self.routes = settings, platform or settings, routes
         self.loop = Loop()
         longest = max(c.deadline_ns for c in settings.classes)
         self.core: Any = Core(self.loop, self, longest, self.loop.clock, self.loop.time)  # type: ignore[arg-type]
         self.servers = Servers(self.loop, settings.limits.connect_timeout_ns, plays)
         self.core.join(Balancer(settings, seed, self.loop.clock()), self.servers, self)
-        self.limiter = RouteLimiter(limits, (t.name for t in settings.tenants), 4096,
-                                    settings.limits.max_retry_after_ns, seed)
+        self.limiter = RouteLimiter(
+            limits, (t.name for t in settings.tenants), 4096, settings.limits.max_retry_after_ns, seed
+        )
         self.core.limiter = self.limiter
         self.asks: list[tuple[Ask, str]] = []
         self.drained: dict[str, int] = {}
@@ -269,13 +278,14 @@
                         found.append(f"{ask.name}, which must not run twice, was sent again")
                     elif later.at > first.at + cls.window_ns:
                         found.append(f"{ask.name} was sent again after its window")
-                    elif cls.group == "cell" and (
-                        self.entries[first.server].cell != self.entries[later.server].cell
-                    ):
+                    elif cls.group == "cell" and (self.entries[first.server].cell != self.entries[later.server].cell):
                         found.append(f"{ask.name} was sent again to another group")
-            if ending is Ending.REFUSED and cls.repeat != "free" and any(
-                s.ran and (s.ended is None or s.ended <= at or s.at <= at) for s in sent
-            ) and not (cls.repeat == "guarded" and cls.group == "all"):
+            if (
+                ending is Ending.REFUSED
+                and cls.repeat != "free"
+                and any(s.ran and (s.ended is None or s.ended <= at or s.at <= at) for s in sent)
+                and not (cls.repeat == "guarded" and cls.group == "all")
+            ):
                 found.append(f"{ask.name} was refused though it may have run")
         grace = self.settings.invariants.drain_grace_ns
         for each in self.servers.sent:
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -77,6 +77,7 @@
 @pytest.mark.parametrize("mode", MODES)
 def test_also_if_a_watch_falls_silent_just_before_the_change(mode):
     """Its connection is cut right after the call: no failure shows until the wait is over."""
+
     async def scene(loop: Loop, seed: int, then: list[str]) -> float:
         place = Place(loop, 1)
         made = sidecar(loop, config(1, mode, seed, mustAskInNs=60 * SECOND))  # or it would wait for less anyway
@@ -99,6 +100,7 @@
 def test_a_move_to_another_address_starts_with_a_clean_sheet(mode, kind):
     """Found on reading: the pause that the old discovery had earned held for the new one, and its timer asked the
     new one a second time, which ended the first call."""
+
     async def scene(loop: Loop, seed: int, then: list[str]) -> tuple[float, int]:
         rng = random.Random(seed)
         old, new = Place(loop, 1), Place(loop, 2)
@@ -121,11 +123,13 @@
 
 def test_a_slow_answer_is_waited_for_however_soon_lists_are_to_be_asked_for():
     """Found on reading: where the settings give 1 s for asking, each call was given up for the next after 0.5 s."""
+
     async def scene(loop: Loop) -> None:
         place = Place(loop, 1, lag=1.5)
         made = sidecar(loop, config(1, "ask", mustAskInNs=SECOND))
         place.change()
         assert await by(loop, 3, lambda: told(made)) and len(place.calls) <= 2
+
     play(scene)
 
 
@@ -135,6 +139,7 @@
 def crowd(kind: str, down: float, mode: str = "ask", count: int = 200):
     """Many sidecars, their discovery down for so long. Calls in each fifth of a second from then on, by when; how
     many there were until all knew of a change made at the return; and how long the last took."""
+
     async def scene(loop: Loop):
         place = Place(loop, 1)
         made = [sidecar(loop, config(1, mode, seed)) for seed in range(count)]
@@ -184,6 +189,7 @@
 def test_a_crowd_gets_through_where_calls_are_handled_in_turn(patience):
     """200 callers at 100 calls a second, of which their watches need 80; with the longer patience discovery works on
     for callers that have given up."""
+
     async def scene(loop: Loop) -> None:
         place = Busy(loop, 1, 100.0, patience)
         made = [sidecar(loop, config(1, "ask", seed)) for seed in range(200)]
@@ -193,6 +199,7 @@
         place.change()
         place.mood = lambda call: "up"
         assert await by(loop, loop.time() + TOLD_S, lambda: all(map(told, made)))
+
     play(scene)
 
 
@@ -202,6 +209,7 @@
 @pytest.mark.parametrize("mode", MODES)
 def test_over_sockets_calls_that_get_no_answer_are_followed_in_time(mode):
     """What is under way at the return gets no answer, nor does the next call; the third is answered soon."""
+
     async def scene():
         loop = asyncio.get_running_loop()
         change, moods = asyncio.Event(), iter(["silent", "silent"])
@@ -227,12 +235,14 @@
             await until(lambda: told(world.sidecar))
             told_at = loop.time()
         assert told_at - back < TOLD_S
+
     over_sockets(scene)
 
 
 @pytest.mark.parametrize("mode", MODES)
 def test_over_sockets_one_call_in_five_is_answered(mode):
     """As where discovery has too many callers, after it was down for so long that pauses are at their longest."""
+
     async def scene():
         loop = asyncio.get_running_loop()
         calls, back = itertools.count(-4), 0.0
@@ -252,4 +262,5 @@
         async with Server(discovery) as place, real(line("s1", 1), discovery=place.port, raw=raw) as world:
             await until(lambda: told(world.sidecar))
             assert loop.time() - back < TOLD_S
+
     over_sockets(scene)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -48,8 +48,17 @@
         assert count == sent and only(done, Refuse | Fail)
 
 
-@pytest.mark.parametrize("how, again", [(How.FULL, True), (How.ERROR, False), (How.MOOT, True), (How.TIMEOUT, False),
-                                        (How.RESET, False), (How.CONNECT_FAILED, False)])
+@pytest.mark.parametrize(
+    "how, again",
+    [
+        (How.FULL, True),
+        (How.ERROR, False),
+        (How.MOOT, True),
+        (How.TIMEOUT, False),
+        (How.RESET, False),
+        (How.CONNECT_FAILED, False),
+    ],
+)
 def test_only_after_the_causes_that_are_named(how, again):
     b = balancer()
     send = first(b, call("a", retry_on=frozenset({How.FULL})))
@@ -129,9 +138,19 @@
 def test_the_window_counts_from_the_first_that_may_have_run_and_leaves_time_to_connect():
     # The class's key holds for 1 s here, and connecting may take 0.6 s: 0.4 s are left for a repeat.
     for at, again in ((390, True), (410, False)):
-        b = balancer(limits={**LIMITS, "connectTimeoutNs": 600 * MS}, classes=[
-            {"name": "g", "onTimeNs": 900 * MS, "hardLimitNs": SECOND, "repeat": "guarded", "group": "all",
-             "windowNs": SECOND}])
+        b = balancer(
+            limits={**LIMITS, "connectTimeoutNs": 600 * MS},
+            classes=[
+                {
+                    "name": "g",
+                    "onTimeNs": 900 * MS,
+                    "hardLimitNs": SECOND,
+                    "repeat": "guarded",
+                    "group": "all",
+                    "windowNs": SECOND,
+                }
+            ],
+        )
         send = first(b, call("a", 0))
         assert bool(only(b.handle(at * MS, outcome(send, How.ERROR, at * MS)), Submit)) is again
 
@@ -140,6 +159,7 @@
     from build import settings
 
     from dunefield import Reconfigure
+
     b = balancer(servers=6, limits=LIMITS)
     send = first(b, call("a", attempts=2))
     b.handle(MS, Reconfigure(settings(limits={"maxAttempts": 1})))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -43,8 +43,10 @@
 
 
 def test_a_sidecar_that_is_behind_works_no_longer_than_it_is_told(points: dict[int, dict[str, float]]) -> None:
-    slow = {size: {**row, "one_change": row["one_change"] * 100, "zone_one_by_one": row["zone_one_by_one"] * 100}
-            for size, row in points.items()}
+    slow = {
+        size: {**row, "one_change": row["one_change"] * 100, "zone_one_by_one": row["zone_one_by_one"] * 100}
+        for size, row in points.items()
+    }
     for measured in (points, slow):
         model = capacity.Model(measured, capacity.ASSUMED)
         need = next(row.need for row in model.rows() if row.what == "processor, a zone told one by one")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -24,35 +24,43 @@
         return b""
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    (b"\x16\x03\x01\x02 nonsense\r\n\r\n", 400),
-    (b"GET 000000\r\n\r\n", 400),
-    (HEAD % b"a" + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-     + HEAD % b"b" + b"\r\n", 400),
-    (POST + b"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400),
-    (POST + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
-    (POST + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", 400),
-    (POST + b"Content-Length: -1\r\n\r\n", 400),
-    (POST + b"Content-Length: +3\r\n\r\nabc", 400),
-    (POST + b"Content-Length: 99999999999999999999999\r\n\r\n", 400),
-    (POST + b"Content-Length: 62914560\r\n\r\n", 413),
-    (POST + b"Expect: magic\r\nContent-Length: 3\r\n\r\nabc", 417),
-    (b"GET /free HTTP/1.1\r\nX-Request-ID: h\r\nX-Timeout: 5\r\n\r\n", 400),
-    (HEAD % b"h" + b"Host: other\r\n\r\n", 400),
-    (HEAD % b"s" + b"X-Odd : 1\r\n\r\n", 400),
-    (HEAD % b"e" + b"X-Pad: " + b"p" * (MAX_HEAD + 1), 431),
-    (b"GET /" + b"p" * (MAX_HEAD + 1), 431),
-    (HEAD % b"t" + b"X-Timeout: 5\r\n\r\n", 400),
-    (HEAD % b"" + b"\r\n", 400),
-    (HEAD.replace(b"free", b"nosuch") % b"c" + b"\r\n", 404),
-    (HEAD.replace(b"GET", b"POST") % b"m" + b"Content-Length: 0\r\n\r\n", 405),
-    (POST.replace(b"POST", b"GET") + b"\r\n", 405),
-    (POST + b"Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n", 400),
-    *[(HEAD.replace(b": 5", b": " + text) % b"d" + b"\r\n", 400)
-      for text in (b"soon", b"nan", b"inf", b"-1", b"1e3", b"", b"0", b"0x1", b"1_0", b"9" * 400)],
-])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (b"\x16\x03\x01\x02 nonsense\r\n\r\n", 400),
+        (b"GET 000000\r\n\r\n", 400),
+        (
+            HEAD % b"a" + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + HEAD % b"b" + b"\r\n",
+            400,
+        ),
+        (POST + b"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400),
+        (POST + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+        (POST + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", 400),
+        (POST + b"Content-Length: -1\r\n\r\n", 400),
+        (POST + b"Content-Length: +3\r\n\r\nabc", 400),
+        (POST + b"Content-Length: 99999999999999999999999\r\n\r\n", 400),
+        (POST + b"Content-Length: 62914560\r\n\r\n", 413),
+        (POST + b"Expect: magic\r\nContent-Length: 3\r\n\r\nabc", 417),
+        (b"GET /free HTTP/1.1\r\nX-Request-ID: h\r\nX-Timeout: 5\r\n\r\n", 400),
+        (HEAD % b"h" + b"Host: other\r\n\r\n", 400),
+        (HEAD % b"s" + b"X-Odd : 1\r\n\r\n", 400),
+        (HEAD % b"e" + b"X-Pad: " + b"p" * (MAX_HEAD + 1), 431),
+        (b"GET /" + b"p" * (MAX_HEAD + 1), 431),
+        (HEAD % b"t" + b"X-Timeout: 5\r\n\r\n", 400),
+        (HEAD % b"" + b"\r\n", 400),
+        (HEAD.replace(b"free", b"nosuch") % b"c" + b"\r\n", 404),
+        (HEAD.replace(b"GET", b"POST") % b"m" + b"Content-Length: 0\r\n\r\n", 405),
+        (POST.replace(b"POST", b"GET") + b"\r\n", 405),
+        (POST + b"Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n", 400),
+        *[
+            (HEAD.replace(b": 5", b": " + text) % b"d" + b"\r\n", 400)
+            for text in (b"soon", b"nan", b"inf", b"-1", b"1e3", b"", b"0", b"0x1", b"1_0", b"9" * 400)
+        ],
+    ],
+)
 def test_what_cannot_be_used_gets_an_error_and_a_close_and_reaches_no_server(sent, status):
     """Found: bad requests came to servers, which close the connection that others wait on."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
@@ -61,11 +69,13 @@
             assert await ended(client) == b""
             assert (await (await world.client()).ask())[0] == 200
             assert len(server.calls) == 1
+
     play(scene)
 
 
 def test_the_error_can_be_read_by_a_client_that_sends_a_huge_body_first():
     """Closing while bytes come in resets the connection, and the answer with it."""
+
     async def scene():
         async with sidecar() as world:
             client = await world.client()
@@ -73,11 +83,13 @@
             for _ in range(256):
                 await client.send(b"x" * 65536)
             assert (await client.answer())[0] == 413
+
     play(scene)
 
 
 def test_the_id_of_an_open_or_recent_request_is_turned_away():
     """A copy of an unsafe request must not run beside the first, nor right behind it."""
+
     async def scene():
         came, go = asyncio.Event(), asyncio.Event()
 
@@ -94,13 +106,19 @@
             assert (await asking)[0] == 200
             assert (await (await world.client()).ask("single_shot", "same"))[0] == 409
             assert len(server.calls) == 1
+
     play(scene)
 
 
-@pytest.mark.parametrize(("sent", "expected"), [
-    (b"", b""), (b"POST /single", b"408"), (POST + b"Content-Length: 9\r\n\r\nhalf", b"408"),
-    (b"\r\n", b"408"),
-])
+@pytest.mark.parametrize(
+    ("sent", "expected"),
+    [
+        (b"", b""),
+        (b"POST /single", b"408"),
+        (POST + b"Content-Length: 9\r\n\r\nhalf", b"408"),
+        (b"\r\n", b"408"),
+    ],
+)
 def test_a_client_that_never_sends_a_whole_request_is_ended(monkeypatch, sent, expected):
     """Found: such connections were kept for good and ate the descriptors."""
     monkeypatch.setattr(client_side, "WHOLE_S", 0.2)
@@ -113,6 +131,7 @@
             await client.send(sent)
             assert expected in await ended(client)
             assert not world.sidecar._listener.partial and not world.sidecar._listener.silent
+
     play(scene)
 
 
@@ -126,6 +145,7 @@
             await client.answer()
             while world.sidecar._listener.connections:  # the client's end stays open
                 await asyncio.sleep(0.01)
+
     play(scene)
 
 
@@ -144,6 +164,7 @@
             assert len(held.connections) <= held.most
             for _, writer in silent:
                 writer.close()
+
     play(scene)
 
 
@@ -170,11 +191,13 @@
             assert held.most == 5
             for _, writer in flood:
                 writer.close()
+
     play(scene)
 
 
 def test_many_requests_in_one_read_wait_unparsed():
     """Found on reading: one read of 256 KB began thousands of requests at once."""
+
     async def scene():
         go, most = asyncio.Event(), []
 
@@ -191,11 +214,13 @@
             answers = [await client.answer() for _ in ids]
             assert all(body in (rid, b"refused\n") for rid, (_, _, body) in zip(ids, answers, strict=True))
             assert max(most) < AHEAD + 10
+
     play(scene)
 
 
 def test_a_client_that_does_not_read_is_served_no_further():
     """Its answers would pile up in memory."""
+
     async def scene():
         async def large(talk: Conversation, call: Call) -> None:
             await talk.answer(200, b"x" * 65536)
@@ -212,11 +237,13 @@
                 await asyncio.sleep(0.01)
             assert len(server.calls) < 200
             client.writer.transport.abort()
+
     play(scene)
 
 
 def test_hundreds_that_look_in_once_and_stay_leave_room_for_the_usual_client():
     """Found in an incident: they could be ended after 2 s only, and clients waited in the listen queue."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port), sockets=64) as world:
             held = world.sidecar._listener
@@ -231,11 +258,13 @@
                 assert (await usual.ask())[0] == 200
             for visitor in visitors:
                 visitor.writer.close()
+
     play(scene)
 
 
 def test_answers_close_their_connections_where_very_many_are_kept():
     """Found in an incident: connections that asked once and stayed used up all that clients may hold."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port), sockets=64) as world:
             clients = [await world.client() for _ in range(18)]
@@ -247,11 +276,13 @@
             while world.sidecar._listener.crowded():
                 await asyncio.sleep(0.005)
             assert "connection" not in (await clients[1].ask())[1]
+
     play(scene)
 
 
 def test_what_follows_an_error_in_the_same_read_gets_no_second_one():
     """Found: the second error was written behind the end of the stream, which broke the connection off."""
+
     async def scene():
         broken = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: broken.append(context))
@@ -260,6 +291,7 @@
             await client.send(HEAD.replace(b"free", b"nosuch") % b"c" + b"\r\n\x16\x03\x01 nonsense\r\n\r\n")
             assert (await client.answer())[0] == 404
             assert await ended(client) == b"" and not broken
+
     play(scene)
 
 
@@ -272,4 +304,5 @@
             assert server.calls[0].target == "/free?q=/x"
             await client.send(b"GET http://app HTTP/1.1\r\nHost: app\r\n\r\n")
             assert (await client.answer())[0] == 400
+
     play(scene)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -12,17 +12,27 @@
 from rosechute import __version__
 from rosechute.command.main import COMMANDS, main
 
-GOOD = file(route(name='"rooms"', path='"/list-rooms/{id}"', attempts=2, rate="{ per_s = 4, burst = 2 }"),
-            route(name='"all-rooms"', path='"/list-rooms/*"', timeout='"1s"'),
-            route(name='"seven"', path='"/list-rooms/{id}"', tenant='"charity-partners"',
-                  headers='{ "X-Attrs" = "write=1" }'),
-            route(name='"hold"', path='"/hold-desk/{id}"', method='"POST"'))
+GOOD = file(
+    route(name='"rooms"', path='"/list-rooms/{id}"', attempts=2, rate="{ per_s = 4, burst = 2 }"),
+    route(name='"all-rooms"', path='"/list-rooms/*"', timeout='"1s"'),
+    route(
+        name='"seven"', path='"/list-rooms/{id}"', tenant='"charity-partners"', headers='{ "X-Attrs" = "write=1" }'
+    ),
+    route(name='"hold"', path='"/hold-desk/{id}"', method='"POST"'),
+)
 
 
 @pytest.fixture
 def files(tmp_path):
-    config = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
-              "limits": {"sockets": 1024, "memory_mb": 64}, "known": {"endpoints": []}, "settings": RAW}
+    config = {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "7",
+        "limits": {"sockets": 1024, "memory_mb": 64},
+        "known": {"endpoints": []},
+        "settings": RAW,
+    }
     (tmp_path / "config.json").write_text(json.dumps(config))
     (tmp_path / "good.toml").write_text(GOOD)
     (tmp_path / "bad.toml").write_text(file(route(path='"/hold-desk"', second_copy_after='"100ms"', attempts=9)))
@@ -53,7 +63,9 @@
     assert "line 5: route[0].second_copy_after = '100ms'" in made.output and "settings allow 5" in made.output
     raw = json.loads(call("check", files / "bad.toml", "--against", files / "config.json", "--format", "json").output)
     assert not raw["good"] and {p["path"] for p in raw["problems"]} == {
-        "route[0].second_copy_after", "route[0].attempts"}
+        "route[0].second_copy_after",
+        "route[0].attempts",
+    }
 
 
 def test_check_in_json(files):
@@ -62,13 +74,19 @@
     assert raw["good"] and raw["routes"][0]["attempts"] == {"value": "2", "from": "route rooms: attempts"}
 
 
-@pytest.mark.parametrize("arguments, code", [
-    (("check", "nowhere.toml"), 2), (("check", "good.toml", "--against", "nowhere.json"), 2),
-    (("check", "good.toml", "--against", "good.toml"), 2), (("check",), 2), (("nothing",), 2),
-    (("explain", "good.toml", "nonsense", "--against", "config.json"), 2),
-    (("explain", "good.toml", "GET /x", "--header", "novalue", "--against", "config.json"), 2),
-    (("explain", "bad.toml", "GET /x", "--against", "config.json"), 2),
-])
+@pytest.mark.parametrize(
+    "arguments, code",
+    [
+        (("check", "nowhere.toml"), 2),
+        (("check", "good.toml", "--against", "nowhere.json"), 2),
+        (("check", "good.toml", "--against", "good.toml"), 2),
+        (("check",), 2),
+        (("nothing",), 2),
+        (("explain", "good.toml", "nonsense", "--against", "config.json"), 2),
+        (("explain", "good.toml", "GET /x", "--header", "novalue", "--against", "config.json"), 2),
+        (("explain", "bad.toml", "GET /x", "--against", "config.json"), 2),
+    ],
+)
 def test_what_can_not_be_done_ends_with_two(files, monkeypatch, arguments, code):
     monkeypatch.chdir(files)
     made = call(*arguments)
@@ -89,8 +107,9 @@
     assert "tenant 'charity-partners'" in others["seven"] and "part 1 of the path" in others["hold"]
     chosen, others = explain(files, "GET /list-rooms/7", "--tenant", "charity-partners")
     assert chosen == "rooms" and "wants the header x-attrs: write=1" in others["seven"]
-    chosen, others = explain(files, "GET /list-rooms/7", "--tenant", "charity-partners",
-                             "--header", "X-Attrs=write=1")
+    chosen, others = explain(
+        files, "GET /list-rooms/7", "--tenant", "charity-partners", "--header", "X-Attrs=write=1"
+    )
     assert chosen == "seven" and "it names the tenant" in others["rooms"]
     chosen, others = explain(files, "GET /list-rooms/7/chairs")
     assert chosen == "all-rooms" and "goes on after" in others["rooms"]
@@ -116,29 +135,52 @@
 def test_version_completion_and_module():
     assert call("--version").output.strip() == f"rosechute, version {__version__}"
     assert "_ROSECHUTE_COMPLETE" in call("completion", "bash").output
-    made = subprocess.run([sys.executable, "-m", "rosechute", "--version"], cwd=ROOT, capture_output=True, text=True,
-                          check=True)
+    made = subprocess.run(
+        [sys.executable, "-m", "rosechute", "--version"], cwd=ROOT, capture_output=True, text=True, check=True
+    )
     assert __version__ in made.stdout
 
 
 def test_what_run_loads_without_a_file_is_none_of_the_product():
     """The platform's own `run`, and `rosechute run` up to the point where a file is named."""
-    code = ("import sys, hollyport.__main__; "
-            "rest = ('rosechute', 'click', 'msgspec', 'rich', 'numpy'); "
-            "print([m for m in sys.modules if m.split('.')[0] in rest])")
+    code = (
+        "import sys, hollyport.__main__; "
+        "rest = ('rosechute', 'click', 'msgspec', 'rich', 'numpy'); "
+        "print([m for m in sys.modules if m.split('.')[0] in rest])"
+    )
     made = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert made.stdout.strip() == "[]"
 
 
 def test_run_ends_with_two_where_a_file_is_bad(files):
     made = subprocess.run(
-        [sys.executable, "-m", "rosechute", "run", "--config", str(files / "config.json"), "--file",
-         str(files / "bad.toml")], cwd=ROOT, capture_output=True, text=True, check=False, timeout=20)
+        [
+            sys.executable,
+            "-m",
+            "rosechute",
+            "run",
+            "--config",
+            str(files / "config.json"),
+            "--file",
+            str(files / "bad.toml"),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=20,
+    )
     assert made.returncode == 2 and "second_copy_after" in made.stderr and "Traceback" not in made.stderr
 
 
 def test_the_demo_ends_by_itself_with_a_verdict():
-    made = subprocess.run([sys.executable, "-m", "rosechute", "demo", "--seconds", "6"], cwd=ROOT,
-                          capture_output=True, text=True, check=False, timeout=60)
+    made = subprocess.run(
+        [sys.executable, "-m", "rosechute", "demo", "--seconds", "6"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+    )
     assert made.returncode == 0, made.stdout + made.stderr
     assert "all rules kept" in made.stdout and made.stdout.count("kept  ") == 4
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,27 +11,42 @@
 from hollyport.platform.stats import Gauges, Stats
 
 
-@pytest.mark.parametrize(("call", "status"), [
-    ("GET /healthcheck", 200), ("GET /healthcheck?verbose", 200), ("GET /stats", 200),
-    ("PUT /healthcheck/ok", 200), ("GET /nothing", 404), ("GET /", 404), ("GET /-/ready", 404),
-    ("PUT /stats", 405), ("GET /healthcheck/fail", 405), ("POST /healthcheck/ok", 405),
-    ("DELETE /nothing", 404),
-])
+@pytest.mark.parametrize(
+    ("call", "status"),
+    [
+        ("GET /healthcheck", 200),
+        ("GET /healthcheck?verbose", 200),
+        ("GET /stats", 200),
+        ("PUT /healthcheck/ok", 200),
+        ("GET /nothing", 404),
+        ("GET /", 404),
+        ("GET /-/ready", 404),
+        ("PUT /stats", 405),
+        ("GET /healthcheck/fail", 405),
+        ("POST /healthcheck/ok", 405),
+        ("DELETE /nothing", 404),
+    ],
+)
 def test_each_call_has_one_answer_and_a_close(call, status):
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             assert (await world.operate(call))[0] == status
             assert world.sidecar.ready()  # nothing but PUT /healthcheck/fail drains
+
     play(scene)
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    (b"nonsense\r\n\r\n", 400), (b"GET /stats HTTP/1.1\r\nHost ops\r\n\r\n", 400),
-    (b"PUT /healthcheck/fail HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
-    (b"GET /" + b"p" * (control.MAX_CALL + 1), 431),
-    (b"PUT /healthcheck/fail HTTP/1.1\r\nContent-Length: 90000\r\n\r\n" + b"x" * 9000, 431),
-    (b"CONNECT a:1 HTTP/1.1\r\n\r\n", 404),
-])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /stats HTTP/1.1\r\nHost ops\r\n\r\n", 400),
+        (b"PUT /healthcheck/fail HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
+        (b"GET /" + b"p" * (control.MAX_CALL + 1), 431),
+        (b"PUT /healthcheck/fail HTTP/1.1\r\nContent-Length: 90000\r\n\r\n" + b"x" * 9000, 431),
+        (b"CONNECT a:1 HTTP/1.1\r\n\r\n", 404),
+    ],
+)
 def test_what_is_no_call_gets_an_error_and_changes_nothing(sent, status):
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
@@ -40,6 +55,7 @@
             assert (await client.answer())[0] == status
             assert await client.reader.read() == b""
             assert world.sidecar.ready()
+
     play(scene)
 
 
@@ -58,6 +74,7 @@
             assert b"408" in await idle[-2].reader.read()
             for client in idle:
                 client.writer.close()
+
     play(scene)
 
 
@@ -68,6 +85,7 @@
             await client.send(b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\nPUT /healthcheck/fail HTTP/1.1\r\n\r\n")
             assert (await client.reader.read()).count(b"HTTP/1.1 ") == 1
             assert not world.sidecar._listener.draining
+
     play(scene)
 
 
@@ -82,9 +100,10 @@
                 await go.wait()
             await talk.answer(*((500,) if rid == "bad" else (200, b"done")))
 
-        async with Server(script) as server, sidecar(
-            line("s1", server.port), line("s2", server.port, status="DRAINING")
-        ) as world:
+        async with (
+            Server(script) as server,
+            sidecar(line("s1", server.port), line("s2", server.port, status="DRAINING")) as world,
+        ):
             empty = await world.figures()
             assert empty['node_success_total{tier="free"}'] == 0 and empty["node_backend_calls_total"] == 0
             assert empty["node_hosts_listed"] == 2 and empty["node_hosts_down"] == 1
@@ -102,6 +121,7 @@
             assert told['node_success_total{tier="single_shot"}'] == 4
             assert told['node_failure_total{tier="single_shot"}'] == 1
             assert told["node_backend_calls_total"] == 5 and told["node_inflight"] == 0
+
     play(scene)
 
 
@@ -116,6 +136,7 @@
             told = await world.figures()
             assert told['node_busy_total{tier="single_shot"}'] == 1
             assert told["node_backend_calls_total"] == 0
+
     play(scene)
 
 
@@ -164,11 +185,13 @@
             assert (await world.operate("GET /healthcheck"))[0] == 200
             status, headers, _ = await (await world.client()).ask()
             assert status == 200 and "connection" not in headers
+
     play(scene)
 
 
 def test_a_drain_under_load_loses_nothing_and_leaves_nobody():
     """Clients that use their connections until these are closed, and then go away."""
+
     async def scene():
         served, ended = [], []
 
@@ -193,6 +216,7 @@
             await asyncio.gather(*using)
             assert ended == ["told"] * 20 and set(served) <= {200, 503}
             assert asyncio.get_running_loop().time() - start < 2.0
+
     play(scene)
 
 
@@ -203,4 +227,5 @@
             await world.sidecar.stop()
             with pytest.raises(ConnectionError):
                 await operate(world.control, "GET /healthcheck")
+
     play(scene)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -26,7 +26,7 @@
     client = await world.client()
     size = len(SLOW) // pieces + 1
     for at in range(0, len(SLOW), size):
-        await client.send(SLOW[at:at + size])
+        await client.send(SLOW[at : at + size])
         await asyncio.sleep(over_s / pieces)
     return await client.answer()
 
@@ -55,6 +55,7 @@
 
 def test_one_that_goes_on_writing_outlasts_those_that_have_stopped():
     """Found on reading: the oldest half request gave way, and that is the slow but true one."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port), sockets=72) as world:
             held = world.sidecar._listener
@@ -62,6 +63,7 @@
                 status, _, body = await write_slowly(world, 2.0)
                 assert (status, body) == (200, b"slow")
                 assert len(held.connections) <= held.most
+
     play(scene)
 
 
@@ -77,6 +79,7 @@
                 assert (status, body, headers["connection"]) == (200, b"slow", "close")
                 assert len(held.connections) <= held.most
             await stopping
+
     play(scene)
 
 
@@ -98,6 +101,7 @@
             assert len(held.connections) <= held.most
             for client in clients:
                 client.writer.transport.abort()
+
     play(scene)
 
 
@@ -115,6 +119,7 @@
             status, headers, _ = await client.ask("single_shot", timeout="5")
             assert status == 504 and headers["connection"] == "close"  # it may have run, and is not lost
             await asyncio.wait_for(stopping, 2.0)
+
     play(scene)
 
 
@@ -123,20 +128,31 @@
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             assert (await write_slowly(world, 2 * pause, pieces=2))[0] == 200
+
     play(scene)
 
 
 def test_operators_and_clients_are_answered_with_descriptors_at_their_limit(tmp_path):
     """A process that may open 64, hundreds that connect: none is ever missing where it is needed."""
+
     async def scene():
         port, control, most = free_port(), free_port(), 64
         async with Server(ok) as server:
-            raw = config(listen=f"127.0.0.1:{port}", control=f"127.0.0.1:{control}",
-                         known=listing(line("s1", server.port)), limits={"sockets": most})
+            raw = config(
+                listen=f"127.0.0.1:{port}",
+                control=f"127.0.0.1:{control}",
+                known=listing(line("s1", server.port)),
+                limits={"sockets": most},
+            )
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "hollyport", cwd=ROOT, env={**os.environ, **written(tmp_path, raw)},
+                sys.executable,
+                "-m",
+                "hollyport",
+                cwd=ROOT,
+                env={**os.environ, **written(tmp_path, raw)},
                 stderr=asyncio.subprocess.PIPE,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)))
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
+            )
             assert b"listening" in await logged(process)
             idle = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(200)]
             silent = [Client(*await asyncio.open_connection("127.0.0.1", control)) for _ in range(30)]
@@ -153,4 +169,5 @@
             process.send_signal(signal.SIGTERM)
             _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
             assert process.returncode == 0 and b"Traceback" not in errors and b"Too many open" not in errors
+
     play(scene)
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -10,11 +10,13 @@
 
 def reporting(queue: float, serve: Script = ok) -> Script:
     """A server that serves as told and reports so many waiting requests, true or not."""
+
     async def script(talk: Conversation, call: Call) -> None:
         if call.target == "/-/load":
             await talk.answer(200, dump({"inflight": queue, "queue": queue}))
         else:
             await serve(talk, call)
+
     return script
 
 
@@ -23,12 +25,16 @@
     world.sidecar.core.clock._anchor += int(seconds * 1e9)
 
 
-PROBED = settings(discovery="subscribe", reporting={"how": "probe", "columns": ["inflight", "queue"]},
-                  limits={"mayProbe": True, "cancel": True})
+PROBED = settings(
+    discovery="subscribe",
+    reporting={"how": "probe", "columns": ["inflight", "queue"]},
+    limits={"mayProbe": True, "cancel": True},
+)
 
 
 def test_queues_at_some_servers_refuse_nobody_while_others_stand_idle():
     """Found: the mean over all servers asked took one slow server, or a wrong report, for a crowded fleet."""
+
     async def scene():
         async with contextlib.AsyncExitStack() as stack:
             servers = [await stack.enter_async_context(Server(reporting(9 * (i % 2)))) for i in range(6)]
@@ -38,12 +44,14 @@
                 for _ in range(200):
                     pass_time(world, 0.05)
                     assert (await client.ask())[0] == 200
+
     play(scene)
 
 
 def test_shedding_ends_soon_after_the_crowd_though_clients_storm():
     """Found: crowding was averaged over calls offered. Where nearly all are shed and come again, the few that
     still ask weighed nothing, and idle servers were spared for seconds."""
+
     async def scene():
         queue = [1]
 
@@ -71,12 +79,14 @@
                 queue[0] = 0
                 await refused(1000, 0.02)  # three deadlines long
                 assert await refused(100, 0.02) < 20
+
     play(scene)
 
 
 def test_an_idle_server_is_asked_again_after_slow_answers():
     """Found: one slow answer and some crowding elsewhere, and a server stood idle for seconds. As nothing was
     sent to it, nothing better was learned, and the calls that had found it idle were held and refused."""
+
     async def scene():
         async with Server(reporting(0)) as server, sidecar(line("s1", server.port), raw=PROBED) as world:
             module = world.sidecar.core.module
@@ -85,11 +95,13 @@
             client = await world.client()
             assert (await client.ask("guarded", Idempotency_Key="k"))[0] == 200
             assert known.stretch < 9.0
+
     play(scene)
 
 
 def test_one_error_costs_no_server():
     """Found: a single 500 put one of six servers out of service for half a second and longer."""
+
     async def scene():
         fails = [True]
 
@@ -107,11 +119,13 @@
                 while fails:
                     assert (await client.ask())[0] == 200
                 assert world.sidecar.core.module._servers["s1"].k > 0
+
     play(scene)
 
 
 def test_a_request_on_a_silent_connection_goes_elsewhere_once_others_overtake_it():
     """Found: it waited for its client's time to run out, while its server answered all that came later."""
+
     async def scene():
         hung = asyncio.Event()
 
@@ -130,11 +144,13 @@
                 while not first.done():
                     assert (await client.ask())[0] == 200
                 assert first.result()[0] == 200
+
     play(scene)
 
 
 def test_a_class_that_a_server_leaves_unanswered_goes_elsewhere():
     """Found: half the servers never answered one class and looked well; probes went on choosing them."""
+
     async def scene():
         hung = []
 
@@ -155,4 +171,5 @@
                     assert asking.result()[0] == 200
                 assert [(await client.ask())[0] for _ in range(20)] == [200] * 20
                 assert len(hung) == 2
+
     play(scene)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -90,9 +90,15 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize(("rate", "stands_still"), [
-    (264, (0.0, 0.0)), (264, (0.01, 0.03)), (1000, (0.0, 0.0)), (1000, (0.004, 0.01)),
-])
+@pytest.mark.parametrize(
+    ("rate", "stands_still"),
+    [
+        (264, (0.0, 0.0)),
+        (264, (0.01, 0.03)),
+        (1000, (0.0, 0.0)),
+        (1000, (0.004, 0.01)),
+    ],
+)
 def test_few_short_calls_at_once_are_no_jam_at_the_start_or_after_a_standstill(rate, stands_still, seed):
     """Found: 2 of 1,600 calls were refused in the first second at 264/s and 74 of 3,000 at 1,000/s, by idle servers:
     three in flight were a jam until some twenty answers had told how short they are."""
@@ -354,8 +360,10 @@
     """Found on reading: every name that deploys ever brought was kept, and each list walked through them."""
     b = balancer(servers=2)
     for number in range(100):
-        b.handle(number, Directory("INCREMENTAL", (
-            Entry(f"new-{number}"), Entry(f"new-{number - 1}", lifecycle="removed"))))
+        b.handle(
+            number,
+            Directory("INCREMENTAL", (Entry(f"new-{number}"), Entry(f"new-{number - 1}", lifecycle="removed"))),
+        )
     assert len(b._servers) < 6
     send = only(b.handle(200, accept("x")), Submit)[0]
     b.handle(201, Directory("FULL", (Entry("other"),)))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -35,7 +35,9 @@
 SOON_S = 3.0
 ASKS = {"discovery": "subscribe", "invariants": {"mustAskInNs": 4 * 10**9}}
 STAY = (
-    b"", b"GET /fr", b"GET /-/ready HTTP/1.1\r\nHost: app\r\n\r\n",
+    b"",
+    b"GET /fr",
+    b"GET /-/ready HTTP/1.1\r\nHost: app\r\n\r\n",
     b"GET /free HTTP/1.1\r\nHost: app\r\nX-Request-ID: %s\r\nX-Timeout: 5\r\n\r\n",
 )
 
@@ -43,21 +45,41 @@
 class Process:
     """One sidecar in a process of its own, and the descriptors that it may open."""
 
-    def __init__(self, folder: Path, discovery: int, held: socket.socket, told: int, may: int, raw: dict,
-                 *lines: dict) -> None:
+    def __init__(
+        self, folder: Path, discovery: int, held: socket.socket, told: int, may: int, raw: dict, *lines: dict
+    ) -> None:
         self.control, self.held, self.may = free_port(), held, may
         path = folder / f"config{self.control}.json"
-        path.write_text(json.dumps(config(
-            listen=f"127.0.0.1:{held.getsockname()[1]}", discovery=f"127.0.0.1:{discovery}", known=listing(*lines),
-            limits={"sockets": told}, settings=settings(**raw))))
-        self.env = {**os.environ, "NODE_CONFIG": str(path), "NODE_CONTROL": f"127.0.0.1:{self.control}",
-                    "NODE_LISTEN_FD": str(held.fileno()), "TMPDIR": str(folder)}
+        path.write_text(
+            json.dumps(
+                config(
+                    listen=f"127.0.0.1:{held.getsockname()[1]}",
+                    discovery=f"127.0.0.1:{discovery}",
+                    known=listing(*lines),
+                    limits={"sockets": told},
+                    settings=settings(**raw),
+                )
+            )
+        )
+        self.env = {
+            **os.environ,
+            "NODE_CONFIG": str(path),
+            "NODE_CONTROL": f"127.0.0.1:{self.control}",
+            "NODE_LISTEN_FD": str(held.fileno()),
+            "TMPDIR": str(folder),
+        }
 
     async def __aenter__(self) -> Process:
         self.started = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hollyport", cwd=ROOT, env=self.env, pass_fds=[self.held.fileno()],
+            sys.executable,
+            "-m",
+            "hollyport",
+            cwd=ROOT,
+            env=self.env,
+            pass_fds=[self.held.fileno()],
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.may, self.may)))
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.may, self.may)),
+        )
         self.pid = self.started.pid
         self.log: list[bytes] = []
         await heard(self.started, b"listening")
@@ -91,6 +113,7 @@
 @contextlib.asynccontextmanager
 async def crowd(port: int) -> AsyncIterator[None]:
     """Clients that stay, each in its own way, and come again as soon as they are closed."""
+
     async def stays(number: int) -> None:
         while True:
             with contextlib.suppress(OSError):
@@ -166,8 +189,11 @@
 
 
 @pytest.mark.parametrize("raw", [ASKS, {}], ids=["asked", "pushed"])
-@pytest.mark.parametrize(("told", "between"), [(MOST, False), (MOST, True), (2 * MOST, False)],
-                         ids=["all", "accepts-fail", "fewer-than-told"])
+@pytest.mark.parametrize(
+    ("told", "between"),
+    [(MOST, False), (MOST, True), (2 * MOST, False)],
+    ids=["all", "accepts-fail", "fewer-than-told"],
+)
 def test_each_gets_its_descriptor_while_idle_clients_take_all_that_they_may(tmp_path, raw, told, between):
     async def scene():
         discovery = Discovery()
@@ -209,6 +235,7 @@
                         for said in old.log + new.log:
                             assert b"Traceback" not in said and b"Too many open" not in said, said
                     place.close()
+
     play(scene)
 
 
@@ -217,8 +244,9 @@
     """Found on reading: each that gave way was free with the loop's next turn, and up to 64 were let in before."""
     most_open = []
     take = Listener._take
-    monkeypatch.setattr(Listener, "_take", lambda self: (
-        most_open.append(len(list(Path("/proc/self/fd").iterdir()))), take(self))[1])
+    monkeypatch.setattr(
+        Listener, "_take", lambda self: (most_open.append(len(list(Path("/proc/self/fd").iterdir()))), take(self))[1]
+    )
     monkeypatch.setattr(listener, "HUSH_S", 60.0)
 
     async def scene():
@@ -234,6 +262,7 @@
             assert len(held.connections) <= held.most
             for client in clients:
                 client.close()
+
     play(scene)
 
 
@@ -257,4 +286,5 @@
             await until(lambda: held.most == share)
             for client in clients:
                 client.close()
+
     play(scene)
--- a/tests/test_file_bad.py
+++ b/tests/test_file_bad.py
@@ -14,73 +14,145 @@
 HOLD, CONFIRM = '"/hold-desk/{id}"', '"/confirm-booking/{id}"'
 CASES = {
     # the four rules
-    "a second copy of hold-desk": (route(path=HOLD, second_copy_after='"300ms"'), "route[0].second_copy_after",
-                                   "single_shot must never run twice"),
-    "hold-desk again after a time-out": (route(path=HOLD, attempts=2, retry_on='["timeout"]'), "route[0].retry_on",
-                                         "after timeout a request of the class 'hold-desk' may have run"),
-    "hold-desk again after a reset": (route(path=HOLD, attempts=2, retry_on='["full", "reset"]'),
-                                      "route[0].retry_on", "may have run"),
-    "hold-desk again after an error": (route(path=HOLD, attempts=2, retry_on='["error"]'), "route[0].retry_on",
-                                       "no effect doubled"),
-    "hold-desk told to be free": (cls(name='"hold-desk"', repeat='"free"'), "class[0].repeat",
-                                  "the platform has it as single_shot"),
-    "hold-desk told to be guarded": (cls(name='"hold-desk"', repeat='"guarded"'), "class[0].repeat",
-                                     "may only be stricter"),
-    "hold-desk under another class": (route(path=HOLD, class_='"list-rooms"'), "route[0].class",
-                                      "no route can give them another"),
-    "confirm-booking under a free class": (route(path='"/confirm-booking/*"', class_='"list-rooms"'),
-                                           "route[0].class", "are of the class 'confirm-booking'"),
-    "a time-out after the client has given up": (route(path=HOLD, timeout='"1.3s"'), "route[0].timeout",
-                                                 "give up after 1.2s"),
+    "a second copy of hold-desk": (
+        route(path=HOLD, second_copy_after='"300ms"'),
+        "route[0].second_copy_after",
+        "single_shot must never run twice",
+    ),
+    "hold-desk again after a time-out": (
+        route(path=HOLD, attempts=2, retry_on='["timeout"]'),
+        "route[0].retry_on",
+        "after timeout a request of the class 'hold-desk' may have run",
+    ),
+    "hold-desk again after a reset": (
+        route(path=HOLD, attempts=2, retry_on='["full", "reset"]'),
+        "route[0].retry_on",
+        "may have run",
+    ),
+    "hold-desk again after an error": (
+        route(path=HOLD, attempts=2, retry_on='["error"]'),
+        "route[0].retry_on",
+        "no effect doubled",
+    ),
+    "hold-desk told to be free": (
+        cls(name='"hold-desk"', repeat='"free"'),
+        "class[0].repeat",
+        "the platform has it as single_shot",
+    ),
+    "hold-desk told to be guarded": (
+        cls(name='"hold-desk"', repeat='"guarded"'),
+        "class[0].repeat",
+        "may only be stricter",
+    ),
+    "hold-desk under another class": (
+        route(path=HOLD, class_='"list-rooms"'),
+        "route[0].class",
+        "no route can give them another",
+    ),
+    "confirm-booking under a free class": (
+        route(path='"/confirm-booking/*"', class_='"list-rooms"'),
+        "route[0].class",
+        "are of the class 'confirm-booking'",
+    ),
+    "a time-out after the client has given up": (
+        route(path=HOLD, timeout='"1.3s"'),
+        "route[0].timeout",
+        "give up after 1.2s",
+    ),
     "a time-out over the file's own deadline": (
         cls(name='"hold-desk"', deadline='"500ms"', aim='"400ms"') + route(path=HOLD, timeout='"600ms"'),
-        "route[0].timeout", "the deadline of the class 'hold-desk' is 500ms"),
+        "route[0].timeout",
+        "the deadline of the class 'hold-desk' is 500ms",
+    ),
     "a guarded retry 1 ms past the window": (
         cls(name='"confirm-booking"', window='"749ms"')
         + route(path=CONFIRM, attempts=2, try_timeout='"500ms"', timeout='"2s"'),
-        "route[0].try_timeout", "1ms past the window of 749ms"),
+        "route[0].try_timeout",
+        "1ms past the window of 749ms",
+    ),
     "guarded attempts without a time-out each": (
         cls(name='"confirm-booking"', window='"1s"') + route(path=CONFIRM, attempts=3, timeout='"2s"'),
-        "route[0].attempts", "could be sent 2s after the first"),
-    "guarded attempts by default": (cls(name='"confirm-booking"', window='"1s"') + route(path=CONFIRM),
-                                    "route[0].name", "no effect doubled"),
+        "route[0].attempts",
+        "could be sent 2s after the first",
+    ),
+    "guarded attempts by default": (
+        cls(name='"confirm-booking"', window='"1s"') + route(path=CONFIRM),
+        "route[0].name",
+        "no effect doubled",
+    ),
     "a longer window": (cls(name='"confirm-booking"', window='"6s"'), "class[0].window", "the platform has 5s"),
     "a wider group": (cls(name='"confirm-booking"', group='"all"'), "class[0].group", "the platform has cell"),
     "a longer deadline": (cls(name='"list-rooms"', deadline='"2s"'), "class[0].deadline", "client's give-up time"),
     "a longer aim": (cls(name='"list-rooms"', aim='"1s"'), "class[0].aim", "the platform has 300ms"),
-    "an aim after the deadline": (cls(name='"list-rooms"', aim='"300ms"', deadline='"200ms"'), "class[0].aim",
-                                  "after the deadline of 200ms"),
-    "a key that requests don't carry": (cls(name='"list-rooms"', repeat='"guarded"'), "class[0].repeat",
-                                        "carry no key"),
+    "an aim after the deadline": (
+        cls(name='"list-rooms"', aim='"300ms"', deadline='"200ms"'),
+        "class[0].aim",
+        "after the deadline of 200ms",
+    ),
+    "a key that requests don't carry": (
+        cls(name='"list-rooms"', repeat='"guarded"'),
+        "class[0].repeat",
+        "carry no key",
+    ),
     # limits of the site
     "more attempts than the settings": (route(attempts=6), "route[0].attempts", "the settings allow 5"),
-    "an attempt longer than the request": (route(timeout='"400ms"', try_timeout='"401ms"'),
-                                           "route[0].try_timeout", "has 400ms by route r: timeout"),
-    "an attempt longer than the class": (route(try_timeout='"1.6s"'), "route[0].try_timeout",
-                                         "has 1.5s by class list-rooms"),
-    "a second copy that never comes": (route(try_timeout='"100ms"', second_copy_after='"100ms"', attempts=2),
-                                       "route[0].second_copy_after", "there would never be one"),
+    "an attempt longer than the request": (
+        route(timeout='"400ms"', try_timeout='"401ms"'),
+        "route[0].try_timeout",
+        "has 400ms by route r: timeout",
+    ),
+    "an attempt longer than the class": (
+        route(try_timeout='"1.6s"'),
+        "route[0].try_timeout",
+        "has 1.5s by class list-rooms",
+    ),
+    "a second copy that never comes": (
+        route(try_timeout='"100ms"', second_copy_after='"100ms"', attempts=2),
+        "route[0].second_copy_after",
+        "there would never be one",
+    ),
     "more in flight than descriptors": (route(max_in_flight=400), "route[0].max_in_flight", "of 1024 descriptors"),
-    "more waiting than descriptors": (route(max_in_flight=300, max_waiting=400), "route[0].max_waiting",
-                                      "do not fit"),
+    "more waiting than descriptors": (
+        route(max_in_flight=300, max_waiting=400),
+        "route[0].max_waiting",
+        "do not fit",
+    ),
     "a time-out that leaves nothing": (route(timeout='"15ms"'), "route[0].timeout", "20ms is the least"),
     "waiting for nothing": (route(max_waiting=5), "route[0].max_waiting", "nothing ever waits"),
-    "one attempt and causes for more": (route(attempts=1, retry_on='["full"]'), "route[0].retry_on",
-                                        "nothing to act on"),
-    "one attempt and a second copy": (route(attempts=1, second_copy_after='"50ms"'),
-                                      "route[0].second_copy_after", "nothing to act on"),
-    "one attempt and a budget": (route(attempts=1, retry_budget="{ ratio = 0.1 }"), "route[0].retry_budget",
-                                 "nothing to act on"),
+    "one attempt and causes for more": (
+        route(attempts=1, retry_on='["full"]'),
+        "route[0].retry_on",
+        "nothing to act on",
+    ),
+    "one attempt and a second copy": (
+        route(attempts=1, second_copy_after='"50ms"'),
+        "route[0].second_copy_after",
+        "nothing to act on",
+    ),
+    "one attempt and a budget": (
+        route(attempts=1, retry_budget="{ ratio = 0.1 }"),
+        "route[0].retry_budget",
+        "nothing to act on",
+    ),
     "a rate that never fills": (route(rate="{ per_h = 0.001 }"), "route[0].rate", "would not fill again"),
     # names
-    "an unknown class": (route(path='"/rooms/*"', class_='"list-room"'), "route[0].class",
-                         "did you mean 'list-rooms'?"),
-    "a class of no platform's": (cls(name='"list-room"', deadline='"1s"'), "class[0].name",
-                                 "did you mean 'list-rooms'?"),
+    "an unknown class": (
+        route(path='"/rooms/*"', class_='"list-room"'),
+        "route[0].class",
+        "did you mean 'list-rooms'?",
+    ),
+    "a class of no platform's": (
+        cls(name='"list-room"', deadline='"1s"'),
+        "class[0].name",
+        "did you mean 'list-rooms'?",
+    ),
     "an unknown tenant": (route(tenant='"charity-partner"'), "route[0].tenant", "did you mean 'charity-partners'?"),
     "an unknown key": (route(time_out='"1s"'), "route[0].time_out", "did you mean 'timeout'?"),
-    "an unknown key of a class": (cls(name='"hold-desk"', dead_line='"1s"'), "class[0].dead_line",
-                                  "did you mean 'deadline'?"),
+    "an unknown key of a class": (
+        cls(name='"hold-desk"', dead_line='"1s"'),
+        "class[0].dead_line",
+        "did you mean 'deadline'?",
+    ),
     "an unknown table": ("[routes]\nx = 1\n", "routes", "did you mean 'route'?"),
     "an unknown cause": (route(attempts=2, retry_on='["resett"]'), "route[0].retry_on", "did you mean 'reset'?"),
     "an unknown scope": (route(limit_by='"tennant"'), "route[0].limit_by", "did you mean 'tenant'?"),
@@ -111,25 +183,35 @@
     "no burst": (route(rate="{ per_s = 1, burst = 0 }"), "route[0].rate.burst", "must be 1 or more"),
     "a rate that is no table": (route(rate="5"), "route[0].rate", "must be a table"),
     "an unknown key of a rate": (route(rate="{ per_s = 1, bursts = 2 }"), "route[0].rate.bursts", "'burst'"),
-    "a negative budget": (route(retry_budget="{ ratio = -0.1 }"), "route[0].retry_budget.ratio",
-                          "must be 0 or more"),
-    "a budget without a ratio": (route(retry_budget="{ min_per_s = 1 }"), "route[0].retry_budget.ratio",
-                                 "it is missing"),
+    "a negative budget": (route(retry_budget="{ ratio = -0.1 }"), "route[0].retry_budget.ratio", "must be 0 or more"),
+    "a budget without a ratio": (
+        route(retry_budget="{ min_per_s = 1 }"),
+        "route[0].retry_budget.ratio",
+        "it is missing",
+    ),
     # duplicates and routes that can't match
     "two routes of one name": (route() + route(path='"/list-rooms/x"'), "route[1].name", "has the same name"),
     "two classes of one name": (cls(name='"hold-desk"') * 2, "class[1].name", "has the same name"),
     "a cause twice": (route(attempts=2, retry_on='["full", "full"]'), "route[0].retry_on", "twice"),
     "two routes for the same requests": (route() + route(name='"s"'), "route[1]", "neither is the more specific"),
-    "templates of other names": (route(path='"/list-rooms/{a}"') + route(name='"s"', path='"/list-rooms/{b}"'),
-                                 "route[1]", "neither is the more specific"),
+    "templates of other names": (
+        route(path='"/list-rooms/{a}"') + route(name='"s"', path='"/list-rooms/{b}"'),
+        "route[1]",
+        "neither is the more specific",
+    ),
     "headers that can both be met": (
-        route(headers='{ "X-A" = "1" }') + route(name='"s"', headers='{ "X-B" = "1" }'), "route[1]",
-        "name a method, a tenant or one more header"),
+        route(headers='{ "X-A" = "1" }') + route(name='"s"', headers='{ "X-B" = "1" }'),
+        "route[1]",
+        "name a method, a tenant or one more header",
+    ),
     "a method that the class never has": (route(method='"POST"'), "route[0].method", "it can never match"),
     "a path that names no class": (route(path='"/rooms"'), "route[0].path", "it can never match"),
     "the sidecar's own paths": (route(path='"/-/x"', class_='"list-rooms"'), "route[0].path", "the sidecar's own"),
-    "a header of its own for each request": (route(headers='{ "X-Request-ID" = "7" }'),
-                                             "route[0].headers.X-Request-ID", "one request alone"),
+    "a header of its own for each request": (
+        route(headers='{ "X-Request-ID" = "7" }'),
+        "route[0].headers.X-Request-ID",
+        "one request alone",
+    ),
     "a header that is none": (route(headers='{ "X Y" = "7" }'), "route[0].headers.X Y", "no header's name"),
     "a header that can't be sent": (route(headers='{ "X-Y" = " 7" }'), "route[0].headers.X-Y", "never match"),
     "a header twice": (route(headers='{ "X-Y" = "7", "x-y" = "8" }'), "route[0].headers.x-y", "twice"),
@@ -160,8 +242,11 @@
 @pytest.mark.parametrize("name", CASES)
 def test_refused(name):
     text, path, reason = CASES[name]
-    whole = text if name in ("no version", "another version", "a version that is true", "no TOML",
-                             "a file cut short") else file(text)
+    whole = (
+        text
+        if name in ("no version", "another version", "a version that is true", "no TOML", "a file cut short")
+        else file(text)
+    )
     with pytest.raises(FileError) as caught:
         proven(whole)
     told = [p for p in caught.value.problems if p.path == path and reason in p.reason]
@@ -176,10 +261,16 @@
 BARE_CASES = {
     "a class without its repeat": (cls(name='"x"', deadline='"1s"'), "class[0].repeat", "no platform settings"),
     "a class without its deadline": (cls(name='"x"', repeat='"free"'), "class[0].deadline", "no platform settings"),
-    "a key that holds for no known time": (cls(name='"x"', repeat='"guarded"', deadline='"1s"'), "class[0].window",
-                                           "for how long its key holds"),
-    "an aim after the deadline": (cls(name='"x"', repeat='"free"', deadline='"1s"', aim='"2s"'), "class[0].aim",
-                                  "after the deadline"),
+    "a key that holds for no known time": (
+        cls(name='"x"', repeat='"guarded"', deadline='"1s"'),
+        "class[0].window",
+        "for how long its key holds",
+    ),
+    "an aim after the deadline": (
+        cls(name='"x"', repeat='"free"', deadline='"1s"', aim='"2s"'),
+        "class[0].aim",
+        "after the deadline",
+    ),
     "a route of no class": (route(), "route[0].path", "names no class"),
 }
 
@@ -197,7 +288,11 @@
     with pytest.raises(FileError) as caught:
         proven(text)
     assert {p.path for p in caught.value.problems} == {
-        "route[0].timeout", "route[0].attempts", "route[0].speed", "route[1].rate.per_s"}
+        "route[0].timeout",
+        "route[0].attempts",
+        "route[0].speed",
+        "route[1].rate.per_s",
+    }
     text = file(route(path=HOLD, second_copy_after='"1s"', attempts=9, timeout='"2s"', tenant='"x"'))
     with pytest.raises(FileError) as caught:
         proven(text)
@@ -207,8 +302,11 @@
 
 def test_what_the_settings_forbid_is_refused():
     for changes, text, path in (
-        ({"limits": {"secondCopies": False}}, route(second_copy_after='"50ms"', attempts=2),
-         "route[0].second_copy_after"),
+        (
+            {"limits": {"secondCopies": False}},
+            route(second_copy_after='"50ms"', attempts=2),
+            "route[0].second_copy_after",
+        ),
         ({"projects": []}, route(limit_by='"tenant"'), "route[0].limit_by"),
         ({"limits": {"connectTimeoutNs": 2 * 10**9}}, route(path=CONFIRM, attempts=5, try_timeout='"1s"'), None),
     ):
@@ -222,6 +320,7 @@
 
 def test_bytes_that_are_no_text_and_files_too_large():
     from rosechute.file.reading import MOST_BYTES, read
+
     for raw, reason in ((b"\xff\xfe", "UTF-8"), (b"#" * (MOST_BYTES + 1), "are the most")):
         with pytest.raises(FileError, match=reason):
             read(raw)
--- a/tests/test_file_good.py
+++ b/tests/test_file_good.py
@@ -72,14 +72,25 @@
 
 
 def test_the_window_counts_attempts_copies_and_connecting():
-    text = file('[[class]]\nname = "confirm-booking"\nwindow = "750ms"\n',
-                route(path='"/confirm-booking"', attempts=2, try_timeout='"500ms"', timeout='"2s"'))
+    text = file(
+        '[[class]]\nname = "confirm-booking"\nwindow = "750ms"\n',
+        route(path='"/confirm-booking"', attempts=2, try_timeout='"500ms"', timeout='"2s"'),
+    )
     assert proven(text).routes[0].latest_repeat_ns(250 * MS) == 750 * MS
     assert proven(text.replace("attempts = 2", "attempts = 1")).routes[0].latest_repeat_ns(250 * MS) == 0
 
 
-@pytest.mark.parametrize("text, ns", [("250ms", 250 * MS), ("2.5s", 2500 * MS), ("1h", 3600 * 10**9),
-                                      ("0.5us", 500), ("1 s", 10**9), ("90m", 5400 * 10**9)])
+@pytest.mark.parametrize(
+    "text, ns",
+    [
+        ("250ms", 250 * MS),
+        ("2.5s", 2500 * MS),
+        ("1h", 3600 * 10**9),
+        ("0.5us", 500),
+        ("1 s", 10**9),
+        ("90m", 5400 * 10**9),
+    ],
+)
 def test_times(text, ns):
     assert span(text) == ns
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,10 +19,16 @@
     return points[0]
 
 
-@pytest.mark.parametrize(("mode", "events"), [
-    ("ask", {"change": ["one change"], "zone": ["a zone leaves", "a zone comes back"], "restart": ["all restarted"]}),
-    ("push", {"change": ["one change"]}),
-])
+@pytest.mark.parametrize(
+    ("mode", "events"),
+    [
+        (
+            "ask",
+            {"change": ["one change"], "zone": ["a zone leaves", "a zone comes back"], "restart": ["all restarted"]},
+        ),
+        ("push", {"change": ["one change"]}),
+    ],
+)
 def test_five_sidecars_end_with_discoverys_list(
     mode: str, events: dict[str, list[str]], capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -61,9 +67,24 @@
 
 def test_the_same_event_several_times_is_one_row() -> None:
     row: dict[str, Any] = {
-        "event": "one change", "s": 1.0, "took": [0.1, 0.2], "late": 0, "msgs/s": 1.0, "B/s": 1.0, "ms/s": 1.0,
-        "disc. core": 0.1, "disc. KB/s": 1.0, "stall ms": 1.0, "shared ms": 1.0, "real ms/s": 1.0,
-        "real p99 ms": math.nan, "longest ms": math.nan, "check": "ok", "real calls": 0, "real served": 0}
+        "event": "one change",
+        "s": 1.0,
+        "took": [0.1, 0.2],
+        "late": 0,
+        "msgs/s": 1.0,
+        "B/s": 1.0,
+        "ms/s": 1.0,
+        "disc. core": 0.1,
+        "disc. KB/s": 1.0,
+        "stall ms": 1.0,
+        "shared ms": 1.0,
+        "real ms/s": 1.0,
+        "real p99 ms": math.nan,
+        "longest ms": math.nan,
+        "check": "ok",
+        "real calls": 0,
+        "real served": 0,
+    }
     other = {**row, "s": 3.0, "took": [0.4], "late": 1, "msgs/s": 5.0, "stall ms": 9.0, "check": "FAILED"}
     (one,) = fleet.merged([row, other])
     assert (one["p50"], one["p99"], one["last"], one["late"]) == (0.2, 0.4, 0.4, 1)
--- a/tests/test_lab_cold.py
+++ b/tests/test_lab_cold.py
@@ -16,15 +16,25 @@
 SECOND = 1000 * MS
 
 # A server does 20 requests of mean work a second, a tenth of them at its start: N is 4 then, and the bound 10.
-ONE = Scenario("one", "", instances=Instances(count=3), classes=(Class("a", work=Span(50 * MS)),),
-               fleet=Fleet(servers=1, cores=1, cold_from=0.1, cold=Span(10_000 * SECOND), fall=Span(SECOND)))
+ONE = Scenario(
+    "one",
+    "",
+    instances=Instances(count=3),
+    classes=(Class("a", work=Span(50 * MS)),),
+    fleet=Fleet(servers=1, cores=1, cold_from=0.1, cold=Span(10_000 * SECOND), fall=Span(SECOND)),
+)
 
 
 def read(*sent, multiple=2.0, work=False, more=()):
     """What a reader finds of a server that starts at 1 s, told to instance 1: sent are (at, instance, work)."""
     found = ColdStarts(ONE, multiple, work)
-    records = [(0, SERVER, 0, UP, 1.0, 0.1), (SECOND, SERVER, 0, UP, 1.0, 0.1), (SECOND + 1, TOLD, 1, 0, UP, SECOND),
-               *((at, ARRIVE, n, 0, 0, instance, cost, 1) for n, (at, instance, cost) in enumerate(sent)), *more]
+    records = [
+        (0, SERVER, 0, UP, 1.0, 0.1),
+        (SECOND, SERVER, 0, UP, 1.0, 0.1),
+        (SECOND + 1, TOLD, 1, 0, UP, SECOND),
+        *((at, ARRIVE, n, 0, 0, instance, cost, 1) for n, (at, instance, cost) in enumerate(sent)),
+        *more,
+    ]
     for record in sorted(records, key=lambda record: record[0]):
         found(record)
     return found
@@ -116,8 +126,12 @@
 
 def test_what_discovery_says_reaches_some_late_and_in_order():
     engine, heard = Engine(), []
-    listing = Listing(engine, Discovery(lag=Span(0), late=Span(3 * SECOND), late_share=0.5),
-                      lambda instance, news: heard.append((instance, news.scope, engine.now // SECOND)), 4)
+    listing = Listing(
+        engine,
+        Discovery(lag=Span(0), late=Span(3 * SECOND), late_share=0.5),
+        lambda instance, news: heard.append((instance, news.scope, engine.now // SECOND)),
+        4,
+    )
     for instance in (1, 2):
         listing.subscribe(instance, True)
     engine.run(10 * SECOND)
@@ -129,8 +143,11 @@
     fleet = Fleet(cores=1, slots=1, room=1000, reports="rates")
     server = Server(engine, fleet, 0, 0, lambda *_: None, lambda _: None)
     for n in range(200):
-        engine.at(n * 20 * MS, lambda n: server.arrive(
-            Job(n, 0, 0, -1, 10.0 * MS * work.exponential(), 0, None, lambda *_: None)), n)
+        engine.at(
+            n * 20 * MS,
+            lambda n: server.arrive(Job(n, 0, 0, -1, 10.0 * MS * work.exponential(), 0, None, lambda *_: None)),
+            n,
+        )
     for at in (SECOND, 4 * SECOND):
         engine.run(at)
         use, flow = server.of_late()
--- a/tests/test_lab_files.py
+++ b/tests/test_lab_files.py
@@ -24,24 +24,27 @@
 SECOND = 10**9
 
 
-@pytest.mark.parametrize(("text", "path", "word"), [
-    ('name = "x"\nabout = "y"', "version", "version = 1"),
-    ('version = 1\nname = "x"', "about", "missing"),
-    (HEAD + "[fleet]\nserver = 3", "fleet.server", "did you mean 'servers'"),
-    (HEAD + "[fleet]\nservers = 0", "fleet.servers", "1 or more"),
-    (HEAD + "[clients]\nrate = -1.0", "clients.rate", "above 0"),
-    (HEAD + '[fleet]\ncold = "8"', "fleet.cold", "unit"),
-    (HEAD + 'duration = "3s"\nwarmup = "3s"', "warmup", "leaves nothing"),
-    (HEAD + '[[fault]]\nkind = "slwo"', "fault[0].kind", "did you mean 'slow'"),
-    (HEAD + '[[fault]]\nkind = "slow"\nservers = [10]', "fault[0].servers", "0 to 9"),
-    (HEAD + '[[fault]]\nkind = "grey"\ncls = "hold"', "fault[0].cls", "no such class"),
-    (HEAD + '[[fault]]\nkind = "zone-loss"\nzone = 1', "fault[0].zone", "zones 0 to 0"),
-    (HEAD + '[[fault]]\nkind = "slow"\nat = "31s"', "fault[0].at", "after the run"),
-    (HEAD + '[[fault]]\nkind = "false-reports"', "fault[0].kind", "report nothing"),
-    (HEAD + '[[class]]\nname = "a"\naim = "3s"', "class[0].aim", "over the deadline"),
-    (HEAD + '[[class]]\nname = "a"\n[[class]]\nname = "a"', "class[1].name", "another class"),
-    ("version = ", "", "not TOML"),
-])
+@pytest.mark.parametrize(
+    ("text", "path", "word"),
+    [
+        ('name = "x"\nabout = "y"', "version", "version = 1"),
+        ('version = 1\nname = "x"', "about", "missing"),
+        (HEAD + "[fleet]\nserver = 3", "fleet.server", "did you mean 'servers'"),
+        (HEAD + "[fleet]\nservers = 0", "fleet.servers", "1 or more"),
+        (HEAD + "[clients]\nrate = -1.0", "clients.rate", "above 0"),
+        (HEAD + '[fleet]\ncold = "8"', "fleet.cold", "unit"),
+        (HEAD + 'duration = "3s"\nwarmup = "3s"', "warmup", "leaves nothing"),
+        (HEAD + '[[fault]]\nkind = "slwo"', "fault[0].kind", "did you mean 'slow'"),
+        (HEAD + '[[fault]]\nkind = "slow"\nservers = [10]', "fault[0].servers", "0 to 9"),
+        (HEAD + '[[fault]]\nkind = "grey"\ncls = "hold"', "fault[0].cls", "no such class"),
+        (HEAD + '[[fault]]\nkind = "zone-loss"\nzone = 1', "fault[0].zone", "zones 0 to 0"),
+        (HEAD + '[[fault]]\nkind = "slow"\nat = "31s"', "fault[0].at", "after the run"),
+        (HEAD + '[[fault]]\nkind = "false-reports"', "fault[0].kind", "report nothing"),
+        (HEAD + '[[class]]\nname = "a"\naim = "3s"', "class[0].aim", "over the deadline"),
+        (HEAD + '[[class]]\nname = "a"\n[[class]]\nname = "a"', "class[1].name", "another class"),
+        ("version = ", "", "not TOML"),
+    ],
+)
 def test_a_bad_scenario_is_refused_with_its_place(text, path, word):
     with pytest.raises(FileError) as caught:
         read(text)
@@ -111,9 +114,29 @@
 def test_a_killed_sweep_loses_no_run_that_had_ended(tmp_path):
     path = tmp_path / "lab"
     process = subprocess.Popen(
-        [sys.executable, "-m", "rosechute", "lab", "sweep", "calm", "--policy", "random", "--seeds", "500",
-         "--workers", "2", "--set", "duration=1s", "--set", "warmup=100ms", "--store", str(path)],
-        stderr=subprocess.DEVNULL, start_new_session=True)
+        [
+            sys.executable,
+            "-m",
+            "rosechute",
+            "lab",
+            "sweep",
+            "calm",
+            "--policy",
+            "random",
+            "--seeds",
+            "500",
+            "--workers",
+            "2",
+            "--set",
+            "duration=1s",
+            "--set",
+            "warmup=100ms",
+            "--store",
+            str(path),
+        ],
+        stderr=subprocess.DEVNULL,
+        start_new_session=True,
+    )
     try:
         deadline = time.monotonic() + 60
         count = 0
@@ -151,12 +174,29 @@
     assert "All rules were kept" in page
     assert "--set" in page
     assert "http://" not in page.replace("http://www.w3.org", "").replace("http://purl.org", "").replace(
-        "http://creativecommons.org", "")
+        "http://creativecommons.org", ""
+    )
     assert cli("judge", trace, "--scenario", "slow-one", *short).exit_code == 0
     trace.write_bytes(trace.read_bytes()[:-5])
     assert "breaks off" in cli("judge", trace, "--scenario", "slow-one", *short).output
-    sweeping = ("sweep", "calm", "--policy", "module", "--policy", "random", "--seeds", 6, "--workers", 2,
-                "--store", store, "--set", "duration=1s", "--set", "warmup=100ms")
+    sweeping = (
+        "sweep",
+        "calm",
+        "--policy",
+        "module",
+        "--policy",
+        "random",
+        "--seeds",
+        6,
+        "--workers",
+        2,
+        "--store",
+        store,
+        "--set",
+        "duration=1s",
+        "--set",
+        "warmup=100ms",
+    )
     assert "12 runs done" in cli(*sweeping).output
     assert "0 runs done, 12 were there" in cli(*sweeping).output
     assert "calm" in cli("compare", "random", "module", "--store", store, "--format", "markdown").output
@@ -174,5 +214,3 @@
     assert "has a value of its own" in cli("curve", "calm", "x", tmp_path / "c.html", "--store", store).output
     assert "no such scenario" in cli("run", "nothing").output
     assert "is not PATH=VALUE" in cli("run", "calm", "--set", "x").output
-
-
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -27,12 +27,17 @@
 FREE, SINGLE, GUARDED, CELL = range(4)
 OK, FULL, TIMEOUT = 100, 302, 303
 SCENARIO = Scenario(
-    "planted", "for the judge",
+    "planted",
+    "for the judge",
     fleet=Fleet(servers=4, cold_from=0.1, cold=Span(1000 * MS), fall=Span(100 * MS), fall_multiple=2.0),
     instances=Instances(attempts=3),
-    classes=(Class("free"), Class("single", repeat="single_shot"),
-             Class("guarded", repeat="guarded", window=Span(300 * MS)),
-             Class("cell", repeat="guarded", group="cell", window=Span(300 * MS))))
+    classes=(
+        Class("free"),
+        Class("single", repeat="single_shot"),
+        Class("guarded", repeat="guarded", window=Span(300 * MS)),
+        Class("cell", repeat="guarded", group="cell", window=Span(300 * MS)),
+    ),
+)
 
 
 def ask(at, rid, cls=FREE, instance=0, wait=1000 * MS):
@@ -48,37 +53,58 @@
 
 
 def served(at, rid, cls=FREE, server=0):
-    return [ask(at, rid, cls), (at, SEND, rid, 0, server), (at + 1, ARRIVE, rid, 0, server, 0, 5.0, 1),
-            (at + 1, BEGIN, rid, 0, server), (at + 2, OUTCOME, rid, 0, OK), (at + 2, END, rid, SERVED, 0)]
+    return [
+        ask(at, rid, cls),
+        (at, SEND, rid, 0, server),
+        (at + 1, ARRIVE, rid, 0, server, 0, 5.0, 1),
+        (at + 1, BEGIN, rid, 0, server),
+        (at + 2, OUTCOME, rid, 0, OK),
+        (at + 2, END, rid, SERVED, 0),
+    ]
 
 
 def test_sound_traces_pass():
-    again = [ask(10, 2, SINGLE), (10, SEND, 2, 0, 1), (11, OUTCOME, 2, 0, FULL), (11, SEND, 2, 1, 2),
-             (12, OUTCOME, 2, 1, OK), (12, END, 2, SERVED, 0)]
-    guarded = [ask(20, 3, GUARDED), (20, SEND, 3, 0, 1), (30, OUTCOME, 3, 0, TIMEOUT), (31, SEND, 3, 1, 2),
-               (32, OUTCOME, 3, 1, OK), (32, END, 3, SERVED, 0)]
+    again = [
+        ask(10, 2, SINGLE),
+        (10, SEND, 2, 0, 1),
+        (11, OUTCOME, 2, 0, FULL),
+        (11, SEND, 2, 1, 2),
+        (12, OUTCOME, 2, 1, OK),
+        (12, END, 2, SERVED, 0),
+    ]
+    guarded = [
+        ask(20, 3, GUARDED),
+        (20, SEND, 3, 0, 1),
+        (30, OUTCOME, 3, 0, TIMEOUT),
+        (31, SEND, 3, 1, 2),
+        (32, OUTCOME, 3, 1, OK),
+        (32, END, 3, SERVED, 0),
+    ]
     lost = [ask(40, 4), (40, SEND, 4, 0, 1), (41, END, 4, LOST, 0), (41, INSTANCE, 0, 0)]
     assert judged(*served(0, 1), *again, *guarded, *lost) == set()
 
 
-@pytest.mark.parametrize(("rule", "records"), [
-    ("answer", [ask(0, 1), (1001 * MS, END, 1, REFUSED, 0)]),
-    ("answer", [ask(0, 1), (999 * MS, END, 1, LEFT, 0)]),
-    ("answer", [ask(0, 1), ask(2000 * MS, 2), (2000 * MS, END, 2, REFUSED, 0)]),
-    ("answer", [ask(0, 1), (1, SEND, 1, 0, 0), (2, END, 1, REFUSED, 0), (3, END, 1, REFUSED, 0)]),
-    ("repeat", [ask(0, 1, SINGLE), (0, SEND, 1, 0, 0), (9, OUTCOME, 1, 0, TIMEOUT), (9, SEND, 1, 1, 1)]),
-    ("repeat", [ask(0, 1, SINGLE), (0, SEND, 1, 0, 0), (9, SEND, 1, 1, 1)]),
-    ("repeat", [ask(0, 1, GUARDED), (0, SEND, 1, 0, 0), (9, OUTCOME, 1, 0, TIMEOUT), (300 * MS, SEND, 1, 1, 1)]),
-    ("repeat", [ask(0, 1, CELL), (0, SEND, 1, 0, 0), (9, OUTCOME, 1, 0, TIMEOUT), (10, SEND, 1, 1, 1)]),
-    ("drain", [(0, TOLD, 0, 2, DRAINING, 0), ask(251 * MS, 1), (251 * MS, SEND, 1, 0, 2)]),
-    ("conservation", [ask(0, 1), (0, SEND, 1, 0, 0), (1, OUTCOME, 1, 0, OK), (2, OUTCOME, 1, 0, OK)]),
-    ("conservation", [ask(0, 1), (0, SEND, 1, 0, 0), (1, BEGIN, 1, 0, 3)]),
-    ("conservation", [ask(0, 1), (0, SEND, 1, 0, 0), (1, BEGIN, 1, 0, 0), (1, BEGIN, 1, 0, 0)]),
-    ("conservation", [ask(0, 1), (0, END, 1, SERVED, 0)]),
-    ("conservation", [ask(5, 1), ask(4, 2)]),
-    ("conservation", [ask(0, 1), *((n, SEND, 1, n, n) for n in range(4))]),
-    ("conservation", [(0, SEND, 9, 0, 0)]),
-])
+@pytest.mark.parametrize(
+    ("rule", "records"),
+    [
+        ("answer", [ask(0, 1), (1001 * MS, END, 1, REFUSED, 0)]),
+        ("answer", [ask(0, 1), (999 * MS, END, 1, LEFT, 0)]),
+        ("answer", [ask(0, 1), ask(2000 * MS, 2), (2000 * MS, END, 2, REFUSED, 0)]),
+        ("answer", [ask(0, 1), (1, SEND, 1, 0, 0), (2, END, 1, REFUSED, 0), (3, END, 1, REFUSED, 0)]),
+        ("repeat", [ask(0, 1, SINGLE), (0, SEND, 1, 0, 0), (9, OUTCOME, 1, 0, TIMEOUT), (9, SEND, 1, 1, 1)]),
+        ("repeat", [ask(0, 1, SINGLE), (0, SEND, 1, 0, 0), (9, SEND, 1, 1, 1)]),
+        ("repeat", [ask(0, 1, GUARDED), (0, SEND, 1, 0, 0), (9, OUTCOME, 1, 0, TIMEOUT), (300 * MS, SEND, 1, 1, 1)]),
+        ("repeat", [ask(0, 1, CELL), (0, SEND, 1, 0, 0), (9, OUTCOME, 1, 0, TIMEOUT), (10, SEND, 1, 1, 1)]),
+        ("drain", [(0, TOLD, 0, 2, DRAINING, 0), ask(251 * MS, 1), (251 * MS, SEND, 1, 0, 2)]),
+        ("conservation", [ask(0, 1), (0, SEND, 1, 0, 0), (1, OUTCOME, 1, 0, OK), (2, OUTCOME, 1, 0, OK)]),
+        ("conservation", [ask(0, 1), (0, SEND, 1, 0, 0), (1, BEGIN, 1, 0, 3)]),
+        ("conservation", [ask(0, 1), (0, SEND, 1, 0, 0), (1, BEGIN, 1, 0, 0), (1, BEGIN, 1, 0, 0)]),
+        ("conservation", [ask(0, 1), (0, END, 1, SERVED, 0)]),
+        ("conservation", [ask(5, 1), ask(4, 2)]),
+        ("conservation", [ask(0, 1), *((n, SEND, 1, n, n) for n in range(4))]),
+        ("conservation", [(0, SEND, 9, 0, 0)]),
+    ],
+)
 def test_each_planted_breach_is_found(rule, records):
     assert rule in judged(*records)
 
@@ -92,8 +118,13 @@
         records.append((start + MS, TOLD, 0, 0, UP, start))
     for n in range(100):
         at = start + 50 * MS + n * MS
-        records += [ask(at, n), (at, SEND, n, 0, 0), (at, ARRIVE, n, 0, 0, 0, work, 1), (at, OUTCOME, n, 0, OK),
-                    (at, END, n, SERVED, 0)]
+        records += [
+            ask(at, n),
+            (at, SEND, n, 0, 0),
+            (at, ARRIVE, n, 0, 0, 0, work, 1),
+            (at, OUTCOME, n, 0, OK),
+            (at, END, n, SERVED, 0),
+        ]
     return records
 
 
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -10,10 +10,17 @@
 from rosechute.standin.server import Conduct, StandInServer
 
 
-@pytest.mark.parametrize(("url", "word"), [
-    ("http://10.0.0.1:80/", "loopback"), ("http://example.org/", "not looked up"), ("https://127.0.0.1/", "http://"),
-    ("http://[2001:db8::1]/", "loopback"), ("127.0.0.1:80", "http://"), ("http://127.0.0.1:99999/", "no address"),
-])
+@pytest.mark.parametrize(
+    ("url", "word"),
+    [
+        ("http://10.0.0.1:80/", "loopback"),
+        ("http://example.org/", "not looked up"),
+        ("https://127.0.0.1/", "http://"),
+        ("http://[2001:db8::1]/", "loopback"),
+        ("127.0.0.1:80", "http://"),
+        ("http://127.0.0.1:99999/", "no address"),
+    ],
+)
 def test_nothing_but_loopback_is_ever_sent_to(url, word):
     with pytest.raises(ValueError, match=word):
         target(url)
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -152,14 +152,21 @@
 
 
 SHORT = Scenario(
-    "short", "all at once", duration=Span(4000 * MS), clients=Clients(rate=300.0, retries=1, tenants=(2.0, 1.0)),
+    "short",
+    "all at once",
+    duration=Span(4000 * MS),
+    clients=Clients(rate=300.0, retries=1, tenants=(2.0, 1.0)),
     fleet=Fleet(servers=6, zones=2, connections=40, handshake=Span(MS), reports="some", cold=Span(1000 * MS)),
     instances=Instances(count=3, second_copies=True),
     classes=(Class("a"), Class("b", repeat="guarded", group="zone"), Class("c", repeat="single_shot")),
-    faults=(Fault("crash-loop", at=Span(500 * MS), lasts=Span(2000 * MS), servers=(1,), pause=Span(300 * MS)),
-            Fault("partition", at=Span(1000 * MS), lasts=Span(500 * MS), servers=(2,)),
-            Fault("mass-restart", at=Span(2500 * MS), share=0.4), Fault("loss", at=Span(MS), share=0.02),
-            Fault("rolling-deploy", at=Span(1500 * MS), lasts=Span(1500 * MS), share=0.5, pause=Span(300 * MS))))
+    faults=(
+        Fault("crash-loop", at=Span(500 * MS), lasts=Span(2000 * MS), servers=(1,), pause=Span(300 * MS)),
+        Fault("partition", at=Span(1000 * MS), lasts=Span(500 * MS), servers=(2,)),
+        Fault("mass-restart", at=Span(2500 * MS), share=0.4),
+        Fault("loss", at=Span(MS), share=0.02),
+        Fault("rolling-deploy", at=Span(1500 * MS), lasts=Span(1500 * MS), share=0.5, pause=Span(300 * MS)),
+    ),
+)
 
 
 @pytest.mark.parametrize("policy", NAMES)
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -49,12 +49,21 @@
 
 
 def test_servers_and_sidecars_that_come_and_go_break_no_rule():
-    scenario = load("rolling-deploy", {**SMALL, "duration": "5s", "clients.rate": 80.0, "warmup": "1ms", "fault": [
-        {"kind": "rolling-deploy", "at": "300ms", "lasts": "1500ms", "share": 0.5, "pause": "400ms"},
-        {"kind": "mass-restart", "at": "2s", "lasts": "100ms", "share": 0.5},
-        {"kind": "discovery-down", "at": "2500ms", "lasts": "500ms"},
-        {"kind": "crash-loop", "at": "3s", "lasts": "1s", "servers": [3], "pause": "200ms"},
-    ]})
+    scenario = load(
+        "rolling-deploy",
+        {
+            **SMALL,
+            "duration": "5s",
+            "clients.rate": 80.0,
+            "warmup": "1ms",
+            "fault": [
+                {"kind": "rolling-deploy", "at": "300ms", "lasts": "1500ms", "share": 0.5, "pause": "400ms"},
+                {"kind": "mass-restart", "at": "2s", "lasts": "100ms", "share": 0.5},
+                {"kind": "discovery-down", "at": "2500ms", "lasts": "500ms"},
+                {"kind": "crash-loop", "at": "3s", "lasts": "1s", "servers": [3], "pause": "200ms"},
+            ],
+        },
+    )
     played = asyncio.run(real(scenario, 2))
     assert not any(played.run.result["breaches"].values()), played.run.judge.breaches
     assert played.run.result["unanswered"] == 0
@@ -99,12 +108,18 @@
 
 
 def test_what_only_the_model_can_play_is_told_all_at_once():
-    scenario = load("partition", {"clients.rate": 1e4, "instances.count": 500, "fleet.servers": 300,
-                                  "duration": "1h"})
+    scenario = load(
+        "partition", {"clients.rate": 1e4, "instances.count": 500, "fleet.servers": 300, "duration": "1h"}
+    )
     with pytest.raises(FileError) as caught:
         playable(scenario)
     assert [p.path for p in caught.value.problems] == [
-        "fault[0].kind", "clients.rate", "fleet.servers", "instances.count", "duration"]
+        "fault[0].kind",
+        "clients.rate",
+        "fleet.servers",
+        "instances.count",
+        "duration",
+    ]
     done = CliRunner().invoke(main, ["lab", "real", "one-way"])
     assert done.exit_code == 1
     assert "one-way-cut" in done.output
@@ -124,8 +139,19 @@
 
 def test_the_command_writes_model_and_processes_side_by_side(tmp_path):
     page = tmp_path / f"{uuid.uuid4().hex}.html"
-    done = CliRunner().invoke(main, ["lab", "real", "calm", "--report", str(page), "--set", "warmup=1ms", *(
-        part for path, value in SMALL.items() for part in ("--set", f"{path}={value}"))])
+    done = CliRunner().invoke(
+        main,
+        [
+            "lab",
+            "real",
+            "calm",
+            "--report",
+            str(page),
+            "--set",
+            "warmup=1ms",
+            *(part for path, value in SMALL.items() for part in ("--set", f"{path}={value}")),
+        ],
+    )
     assert done.exit_code == 0, done.output
     assert "processes" in done.output
     text = Path(page).read_text(encoding="utf-8")
@@ -167,13 +193,25 @@
     ask = (0, ASK, 1, 1, 0, 0, 0, 0, 1000 * MS, 0)
     for after, found in ((SLACK_NS, set()), (SLACK_NS + 1, {"conservation"})):
         end = 300 * MS
-        assert _judged(ask, (end, END, 1, REFUSED, 0), (end + after, SEND, 1, 0, 2),
-                       (end + after + 1, OUTCOME, 1, 0, 306)) == found
+        assert (
+            _judged(
+                ask, (end, END, 1, REFUSED, 0), (end + after, SEND, 1, 0, 2), (end + after + 1, OUTCOME, 1, 0, 306)
+            )
+            == found
+        )
     grace = int(load("calm").instances.grace)
     for after, found in ((SLACK_NS, set()), (SLACK_NS + 1, {"drain"})):
         at = 100 * MS + grace + after
-        assert _judged((100 * MS, TOLD, 0, 2, 1, 0), ask, (at, SEND, 1, 0, 2), (at + 1, OUTCOME, 1, 0, 100),
-                       (at + 2, END, 1, SERVED, 0)) == found
+        assert (
+            _judged(
+                (100 * MS, TOLD, 0, 2, 1, 0),
+                ask,
+                (at, SEND, 1, 0, 2),
+                (at + 1, OUTCOME, 1, 0, 100),
+                (at + 2, END, 1, SERVED, 0),
+            )
+            == found
+        )
     sent = (1, SEND, 1, 0, 2), (2, OUTCOME, 1, 0, 100)
     for late, found in ((SLACK_NS, set()), (SLACK_NS + 1, {"answer"})):
         assert _judged(ask, *sent, (1000 * MS + late, END, 1, SERVED, 0)) == found
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -32,7 +32,8 @@
 values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=4),
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.sampled_from(["a", "endpoints", "ü", ""]), inner),
-    max_leaves=20)
+    max_leaves=20,
+)
 spoils = st.lists(st.tuples(st.integers(0, 10**6), st.sampled_from(list('{}[]",: \n1nx\\') + [""])), max_size=2)
 
 
@@ -46,7 +47,7 @@
         text = text[:-1] + ', "endpoints": []}'
     for at, sign in places:
         at %= len(text)
-        text = text[:at] + sign + text[at + (len(sign) == 0):]
+        text = text[:at] + sign + text[at + (len(sign) == 0) :]
     body = text.encode(code, "surrogatepass")
     items = []
 
@@ -105,8 +106,15 @@
 
     def __init__(self, version=5):
         self.known, self.pieces = {}, []
-        self.discovery = Discovery(asyncio.get_running_loop(), Address("127.0.0.1", 1), SITE, version, self.take,
-                                   random.random, known=self.known)
+        self.discovery = Discovery(
+            asyncio.get_running_loop(),
+            Address("127.0.0.1", 1),
+            SITE,
+            version,
+            self.take,
+            random.random,
+            known=self.known,
+        )
 
     def take(self, piece):
         self.pieces.append(piece)
@@ -138,8 +146,12 @@
         del lines[30]
         lines += [line(f"t{i:04d}", 2000 + i) for i in range(60)]
         after = read(lines, index=8)
-        after = after._replace(lines=tuple(told.known.get(one.entry.server, one) if told.known.get(
-            one.entry.server) == one else one for one in after.lines))
+        after = after._replace(
+            lines=tuple(
+                told.known.get(one.entry.server, one) if told.known.get(one.entry.server) == one else one
+                for one in after.lines
+            )
+        )
         await told.discovery._hand_on(after)
         assert told.known == {one.entry.server: one for one in after.lines}
         assert told.names()[:2] == [("s0020", "draining"), ("s0030", "removed")]
@@ -149,6 +161,7 @@
         told.pieces.clear()
         await told.discovery._hand_on(after)  # nothing new: one piece that says so, and the module has its answer
         assert told.pieces == [Listing(8, False, ())]
+
     asyncio.run(scene())
 
 
@@ -160,6 +173,7 @@
         told.discovery._tell = lambda piece: (told.take(piece), fewest.append(len(told.known)))
         await told.discovery._hand_on(read([line(f"t{i:04d}", 2000 + i) for i in range(300)], index=8))
         assert min(fewest) >= 300 and set(told.known) == {f"t{i:04d}" for i in range(300)}
+
     asyncio.run(scene())
 
 
@@ -175,8 +189,10 @@
                 numbers = sorted(set(numbers))
             rng.shuffle(numbers)
             states = ["SERVING"] * 8 + ["DRAINING", "DELETED"]
-            lines = [line(f"s{i:04d}", 1000 + i, status=rng.choice(states), since_ms=rng.choice([0, 0, 9]))
-                     for i in numbers]
+            lines = [
+                line(f"s{i:04d}", 1000 + i, status=rng.choice(states), since_ms=rng.choice([0, 0, 9]))
+                for i in numbers
+            ]
             whole = rng.random() < 0.6
             one = read(lines, index, whole)
             await told.discovery._hand_on(one)
@@ -188,6 +204,7 @@
                 else:
                     plain[now.entry.server] = now
             assert told.known == plain and told.discovery._version == index
+
     asyncio.run(scene())
 
 
@@ -204,6 +221,7 @@
         telling.cancel()
         await asyncio.sleep(0)
         assert told.discovery._version == 6 and telling.cancelled() and told.pieces[-1].part
+
     asyncio.run(scene())
 
 
@@ -227,7 +245,8 @@
     expected = {one.entry.server: one for one in read(lines).lines if one.entry.lifecycle != "removed"}
     assert car._lines == expected
     assert {name: (t.address, t.started_ns, t.up) for name, t in car._upstream._targets.items()} == {
-        name: (one.address, one.entry.started_ns, one.entry.lifecycle == "up") for name, one in expected.items()}
+        name: (one.address, one.entry.started_ns, one.entry.lifecycle == "up") for name, one in expected.items()
+    }
     up = sorted(name for name, one in expected.items() if one.entry.lifecycle == "up")
     assert [s.name for s in module._up] == up and sorted(s.name for s in module._subset) == up
 
@@ -237,9 +256,10 @@
         async with Server(ok) as server:
             registry = Registry()
             lines = [line("a", server.port), *many(600, status="DRAINING")]
-            async with Server(registry) as place, sidecar(
-                line("a", server.port), discovery=place.port, raw=ASKS
-            ) as world:
+            async with (
+                Server(registry) as place,
+                sidecar(line("a", server.port), discovery=place.port, raw=ASKS) as world,
+            ):
                 client = await world.client()
                 await registry.asked.get()
                 for index, status in ((2, "SERVING"), (3, "SERVING"), (4, "DRAINING")):
@@ -256,11 +276,13 @@
                 assert "after=5" in await registry.asked.get()
                 checked(world, [line("a", server.port), *lines[301:]])
                 assert (await client.ask("single_shot"))[0] == 200
+
     play(scene)
 
 
 def test_a_part_leaves_the_version_as_it_was():
     """A process that takes over in between must ask for all that comes after the last whole answer."""
+
     async def scene():
         async with sidecar(*many(3)) as world:
             car = world.sidecar
@@ -268,6 +290,7 @@
             assert car.state()["list"]["index"] == 1 and not car.core.module._servers["s0000"].up
             car._told(Listing(9, False, ()))
             assert car.state()["list"]["index"] == 9
+
     play(scene)
 
 
@@ -297,6 +320,7 @@
             checked(world, changed[1:])
             car._told(read([line("s0001", 1001, status="DELETED")], 5, snapshot=False))
             checked(world, changed[2:])
+
     play(scene)
 
 
@@ -326,4 +350,5 @@
             car._told(read([line("s0000", 1, status="DELETED")], 102, snapshot=False))
             assert told[2] == ("list", 102, 199)
             car._takeover = None
+
     play(scene)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -234,12 +234,17 @@
     assert new.recall(0, [["nobody", "", 5], ["r", "t1", -5]])
 
 
-@given(st.lists(st.tuples(st.sampled_from(["ask", "end", "lower", "raise", "drop", "back"]), st.integers(0, 9)),
-                max_size=120))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["ask", "end", "lower", "raise", "drop", "back"]), st.integers(0, 9)), max_size=120
+    )
+)
 def test_nothing_is_lost_whatever_happens(steps):
     """Every request that was taken either goes, waits or was refused; and no lane is over its limit for good."""
-    sizes = {name: Limits("r", max_in_flight=most, max_waiting=3)
-             for name, most in (("lower", 1), ("raise", 4), ("back", 2))}
+    sizes = {
+        name: Limits("r", max_in_flight=most, max_waiting=3)
+        for name, most in (("lower", 1), ("raise", 4), ("back", 2))
+    }
     own = sizes["back"]
     made, now, count = limiter(own), 0, 0
     going, waiting, listed = [], [], True
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -26,7 +26,7 @@
         try:
             raise ValueError("two\nlines")
         except ValueError:
-            structlog.get_logger().error("call.broken", call="7", exc_info=True, note="a \"b\"\nc", size=3)
+            structlog.get_logger().error("call.broken", call="7", exc_info=True, note='a "b"\nc', size=3)
     assert len(lines) == 2 and not any("\n" in text for text in lines)
     assert "level=error event=call.broken" in lines[0] and "ValueError" in lines[0]
     raw = json.loads(lines[1])
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -24,7 +24,9 @@
 def test_libraries_of_the_sources_as_they_are_get_found_by_module(root):
     base = root / native.FOLDER
     assert native.found(str(root)) == {
-        "pack.one": str(base / "pack" / f"one{SUFFIX}"), "group__mypyc": str(base / f"group__mypyc{SUFFIX}")}
+        "pack.one": str(base / "pack" / f"one{SUFFIX}"),
+        "group__mypyc": str(base / f"group__mypyc{SUFFIX}"),
+    }
 
 
 @pytest.mark.parametrize("change", ["edited", "gone", "none"])
@@ -53,8 +55,14 @@
 
 def test_operators_can_have_the_sources_whatever_was_built():
     code = "from hollyport import native; native.prefer(); import dunefield.rules; print(native.in_force())"
-    done = subprocess.run([sys.executable, "-c", code], env={native.OFF: "1"}, capture_output=True, text=True,
-                          cwd=native.ROOT, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        env={native.OFF: "1"},
+        capture_output=True,
+        text=True,
+        cwd=native.ROOT,
+        check=True,
+    )
     assert done.stdout == "False\n"
 
 
--- a/tests/test_odd.py
+++ b/tests/test_odd.py
@@ -31,10 +31,17 @@
     return ends
 
 
-@pytest.mark.parametrize("call", [
-    Accept("x", -1, SECOND), Accept("x", 99, SECOND), Accept("x", 0, SECOND, tenant=-5),
-    Accept("x", 0, SECOND, tenant=99), Accept("x", 0, SECOND, cost_ns=0), Accept("x", 0, SECOND, key="k"),
-])
+@pytest.mark.parametrize(
+    "call",
+    [
+        Accept("x", -1, SECOND),
+        Accept("x", 99, SECOND),
+        Accept("x", 0, SECOND, tenant=-5),
+        Accept("x", 0, SECOND, tenant=99),
+        Accept("x", 0, SECOND, cost_ns=0),
+        Accept("x", 0, SECOND, key="k"),
+    ],
+)
 def test_odd_numbers_in_a_request(call):
     assert only(balancer().handle(0, call), Submit)
 
@@ -101,9 +108,18 @@
     env = {"classes": [{"hardLimitNs": SECOND, "repeat": "free"}], "limits": {"maxAttempts": 2}}
     opened = f"open_instance who=0 prng=7 env={json.dumps(env)}"
     listed = ["roster slot=0 nodesList=1", "server server=a:1", "directory_update who=0 scope=SAVED slot=0"]
-    lines = ["clock wallNs=1", opened, *listed, "accept who=0 tid=aa ttlNs=900000000", "crash_now who=0",
-             opened, *listed, "accept who=0 tid=bb ttlNs=900000000",
-             "response who=0 tid=aa how=100 server=a:1 go=0 closed=1", "eob"]
+    lines = [
+        "clock wallNs=1",
+        opened,
+        *listed,
+        "accept who=0 tid=aa ttlNs=900000000",
+        "crash_now who=0",
+        opened,
+        *listed,
+        "accept who=0 tid=bb ttlNs=900000000",
+        "response who=0 tid=aa how=100 server=a:1 go=0 closed=1",
+        "eob",
+    ]
     out = io.StringIO()
     assert Host(io.StringIO("\n".join(lines) + "\n"), out).run() == 0
     sent = [line for line in out.getvalue().splitlines() if line.startswith("submit_to")]
@@ -111,8 +127,11 @@
 
 
 def test_the_number_of_a_line_that_is_not_text():
-    made = subprocess.run([sys.executable, "-m", "dunefield.adapter"], capture_output=True,
-                          input=b"clock wallNs=1\neob\nclock wallNs=2\neob\nclock wallNs=3\n\xff\neob\n")
+    made = subprocess.run(
+        [sys.executable, "-m", "dunefield.adapter"],
+        capture_output=True,
+        input=b"clock wallNs=1\neob\nclock wallNs=2\neob\nclock wallNs=3\n\xff\neob\n",
+    )
     assert made.returncode == 2 and made.stdout == b"next\nnext\n"
     assert made.stderr.startswith(b"line 6: ") and made.stderr.count(b"\n") == 1
 
--- a/tests/test_operated.py
+++ b/tests/test_operated.py
@@ -25,12 +25,29 @@
 def platform(**changes):
     """Classes with limits that no slow machine meets."""
     raw = {
-        "classes": [{"name": k, "onTimeNs": 3000 * MS, "hardLimitNs": 6000 * MS, "repeat": k, "windowNs": 9000 * MS,
-                     "group": "all"} for k in ("free", "single_shot", "guarded")],
-        "discovery": "subscribe", "failureDomains": ["a"], "kinds": ["m"],
+        "classes": [
+            {
+                "name": k,
+                "onTimeNs": 3000 * MS,
+                "hardLimitNs": 6000 * MS,
+                "repeat": k,
+                "windowNs": 9000 * MS,
+                "group": "all",
+            }
+            for k in ("free", "single_shot", "guarded")
+        ],
+        "discovery": "subscribe",
+        "failureDomains": ["a"],
+        "kinds": ["m"],
         "projects": [{"name": "acme"}, {"name": "umbrella"}],
-        "limits": {"maxAttempts": 3, "secondCopies": True, "cancel": True, "retryAfter": True,
-                   "maxRetryAfterNs": 1000 * MS, "connectTimeoutNs": 2000 * MS},
+        "limits": {
+            "maxAttempts": 3,
+            "secondCopies": True,
+            "cancel": True,
+            "retryAfter": True,
+            "maxRetryAfterNs": 1000 * MS,
+            "connectTimeoutNs": 2000 * MS,
+        },
         "invariants": {"drainGraceNs": 1000 * MS},
     }
     return {**raw, **changes}
@@ -43,8 +60,16 @@
         self.path, self.lines, self.raw = path, lines, raw or platform()
 
     async def __aenter__(self):
-        self.config = Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 1024, listing(*self.lines),
-                             Settings.parse(self.raw), Address("127.0.0.1", 0))
+        self.config = Config(
+            "n0",
+            Address("127.0.0.1", 0),
+            Address("127.0.0.1", 1),
+            7,
+            1024,
+            listing(*self.lines),
+            Settings.parse(self.raw),
+            Address("127.0.0.1", 0),
+        )
         self.policy = FilePolicy(self.path, self.config)
         self.sidecar = Sidecar(self.config, asyncio.get_running_loop(), self.policy)
         self.port = await self.sidecar.start()
@@ -71,8 +96,13 @@
     def replace(self, text, raw=None):
         """What SIGHUP does once both files have been read."""
         self.path.write_text(text)
-        config = self.config if raw is None else Config(
-            **{**{f: getattr(self.config, f) for f in self.config.__slots__}, "settings": Settings.parse(raw)})
+        config = (
+            self.config
+            if raw is None
+            else Config(
+                **{**{f: getattr(self.config, f) for f in self.config.__slots__}, "settings": Settings.parse(raw)}
+            )
+        )
         self.sidecar.reconfigure(config, self.policy.prepare(config))
 
 
@@ -80,12 +110,16 @@
     """Run a scene with a server, under several names so that the module has room, and a sidecar that goes by this
     file."""
     import uvloop
+
     path = tmp_path / "routes.toml"
     path.write_text(text)
 
     async def whole():
-        async with (asyncio.timeout(LIMIT_S), Server(script) as server,
-                    Running(path, *(line(f"s{i}", server.port) for i in range(4)), raw=raw) as running):
+        async with (
+            asyncio.timeout(LIMIT_S),
+            Server(script) as server,
+            Running(path, *(line(f"s{i}", server.port) for i in range(4)), raw=raw) as running,
+        ):
             await scene(running, server)
 
     try:
@@ -182,6 +216,7 @@
 
 def test_a_body_too_long_to_hold_does_not_wait_without_end(tmp_path):
     """It is not read on while it waits for its place, so only its guard can end that."""
+
     async def scene(running, server):
         gate, server.script = held()
         client = Client(*await asyncio.open_connection("127.0.0.1", running.port))
@@ -190,8 +225,10 @@
             await asyncio.sleep(0.005)
         other = Client(*await asyncio.open_connection("127.0.0.1", running.port))
         size = 8 << 20
-        other.writer.write(b"POST /single_shot HTTP/1.1\r\nHost: a\r\nX-Request-ID: long\r\nX-Timeout: 0.5\r\n"
-                           b"Content-Length: %d\r\n\r\n" % size + b"y" * size)
+        other.writer.write(
+            b"POST /single_shot HTTP/1.1\r\nHost: a\r\nX-Request-ID: long\r\nX-Timeout: 0.5\r\n"
+            b"Content-Length: %d\r\n\r\n" % size + b"y" * size
+        )
         start = time.monotonic()
         assert (await other.answer())[0] == 503 and time.monotonic() - start < 3.0
         other.writer.transport.abort()
@@ -351,8 +388,9 @@
 def test_a_bad_file_ends_the_start_with_all_that_is_wrong(tmp_path):
     path = tmp_path / "routes.toml"
     path.write_text(file(free(attempts=9, timeout='"9h"')))
-    config = Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 1024, listing(),
-                    Settings.parse(platform()))
+    config = Config(
+        "n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 1024, listing(), Settings.parse(platform())
+    )
     with pytest.raises(ConfigError, match=r"2 problem\(s\).*attempts.*timeout"):
         policy(path, config)
 
@@ -360,12 +398,20 @@
 @pytest.mark.parametrize("bad", ["file", "configuration"])
 def test_sighup_takes_both_files_or_neither(tmp_path, bad):
     """The whole process: `rosechute run` with a file that is replaced, once badly and once well."""
+
     async def scene():
         async with asyncio.timeout(LIMIT_S), Server(ok) as server:
             config, routes = tmp_path / "config.json", tmp_path / "routes.toml"
-            told = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "control": "127.0.0.1:0",
-                    "seed": "7", "limits": {"sockets": 256, "memory_mb": 64},
-                    "known": listing(line("s1", server.port)), "settings": platform()}
+            told = {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:1",
+                "control": "127.0.0.1:0",
+                "seed": "7",
+                "limits": {"sockets": 256, "memory_mb": 64},
+                "known": listing(line("s1", server.port)),
+                "settings": platform(),
+            }
             with contextlib.closing(__import__("socket").socket()) as made:
                 made.bind(("127.0.0.1", 0))
                 told["control"] = f"127.0.0.1:{made.getsockname()[1]}"
@@ -373,8 +419,18 @@
             config.write_bytes(dump(told))
             routes.write_text(file('[log]\nformat = "json"\n', free(max_in_flight=2)))
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "rosechute", "run", "--config", str(config), "--file", str(routes), cwd=ROOT,
-                stderr=asyncio.subprocess.PIPE, env={**os.environ, "TMPDIR": str(tmp_path)})
+                sys.executable,
+                "-m",
+                "rosechute",
+                "run",
+                "--config",
+                str(config),
+                "--file",
+                str(routes),
+                cwd=ROOT,
+                stderr=asyncio.subprocess.PIPE,
+                env={**os.environ, "TMPDIR": str(tmp_path)},
+            )
 
             async def event():
                 while True:
--- a/tests/test_other_deployment.py
+++ b/tests/test_other_deployment.py
@@ -12,16 +12,32 @@
     "classes": [
         {"name": "zx-9", "onTimeNs": 7 * 10**8, "hardLimitNs": 14 * 10**8, "repeat": "single_shot", "credit": 0.5},
         {"name": "q", "onTimeNs": 31 * 10**8, "hardLimitNs": 62 * 10**8, "repeat": "free", "credit": 40.0},
-        {"name": "Zeile_3", "onTimeNs": 9 * 10**8, "hardLimitNs": 29 * 10**8, "repeat": "guarded", "group": "zone",
-         "windowNs": 17 * 10**8},
+        {
+            "name": "Zeile_3",
+            "onTimeNs": 9 * 10**8,
+            "hardLimitNs": 29 * 10**8,
+            "repeat": "guarded",
+            "group": "zone",
+            "windowNs": 17 * 10**8,
+        },
     ],
-    "failureDomains": ["north of the river", "7"], "zone": 1, "kinds": ["", "kind two"],
+    "failureDomains": ["north of the river", "7"],
+    "zone": 1,
+    "kinds": ["", "kind two"],
     "projects": [{"name": "one & two", "share": 0.9}, {"name": "-", "share": 0.1}],
-    "limits": {"maxAttempts": 2, "retryAfter": False, "connectTimeoutNs": 9 * 10**8, "connIdleNs": 3 * 10**9,
-               "cancel": False, "mayProbe": True},
+    "limits": {
+        "maxAttempts": 2,
+        "retryAfter": False,
+        "connectTimeoutNs": 9 * 10**8,
+        "connIdleNs": 3 * 10**9,
+        "cancel": False,
+        "mayProbe": True,
+    },
     "invariants": {"drainGraceNs": 77 * 10**6, "mustAskInNs": 5 * 10**9, "coldNs": 10**9},
-    "reporting": {"how": "answers", "columns": ["inflight"]}, "prices": {"probe": 1.0, "somethingNew": 3.5},
-    "discovery": "automatic", "aKeyThatNobodyKnows": {"deep": [1, 2]},
+    "reporting": {"how": "answers", "columns": ["inflight"]},
+    "prices": {"probe": 1.0, "somethingNew": 3.5},
+    "discovery": "automatic",
+    "aKeyThatNobodyKnows": {"deep": [1, 2]},
 }
 
 
@@ -39,8 +55,10 @@
                 await talk.answer(200, rid.encode(), 'X-Server-Load: {"inflight": 3}')
 
         async with Server(serve) as a, Server(serve) as b:
-            lines = [line("α", a.port, zone="7", type="kind two", group=4),
-                     line("b b", b.port, zone="7", type="", group=9)]
+            lines = [
+                line("α", a.port, zone="7", type="kind two", group=4),
+                line("b b", b.port, zone="7", type="", group=9),
+            ]
             async with sidecar(*lines, raw=OTHER) as world:
                 client = await world.client()
                 key = {"Idempotency_Key": "k", "X_Tenant_Id": "one & two"}
@@ -63,4 +81,5 @@
                 assert status == 503 and "retry-after" not in headers
                 told = await world.figures()
                 assert told['node_success_total{tier="Zeile_3"}'] == 1
+
     play(scene)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -83,10 +83,19 @@
     assert demand.wanted(now + later, REST_S, FREE) <= wanted <= demand.wanted(now, REST_S + more_s, FREE)
 
 
-@pytest.mark.parametrize(("rate", "busy_s", "terms", "wanted"), [
-    (2.0, 0.0, FREE, 1), (10.0, 0.0, FREE, 3), (66.0, 0.001, FREE, 6), (250.0, 0.001, FREE, 12),
-    (66.0, 0.001, PRICED, 2), (10.0, 0.0, PRICED, 1), (5000.0, 0.001, FREE, 32), (5000.0, 0.001, PRICED, 8),
-])
+@pytest.mark.parametrize(
+    ("rate", "busy_s", "terms", "wanted"),
+    [
+        (2.0, 0.0, FREE, 1),
+        (10.0, 0.0, FREE, 3),
+        (66.0, 0.001, FREE, 6),
+        (250.0, 0.001, FREE, 12),
+        (66.0, 0.001, PRICED, 2),
+        (10.0, 0.0, PRICED, 1),
+        (5000.0, 0.001, FREE, 32),
+        (5000.0, 0.001, PRICED, 8),
+    ],
+)
 def test_so_many_are_wanted(rate, busy_s, terms, wanted):
     demand, now = steady(rate, busy_s=busy_s)
     assert demand.wanted(now, REST_S, terms) == wanted
@@ -116,7 +125,9 @@
     async def ask(self, rid: str = "r") -> tuple[How, bytes]:
         done = self.loop.create_future()
         self.upstream.exchange(
-            "s1", lambda: b"GET / HTTP/1.1\r\nHost: s\r\nx-request-id: %s\r\n\r\n" % rid.encode(), 15.0,
+            "s1",
+            lambda: b"GET / HTTP/1.1\r\nHost: s\r\nx-request-id: %s\r\n\r\n" % rid.encode(),
+            15.0,
             lambda how, reply: done.set_result((how, reply.body if reply is not None else b"")),
         ).start()
         return await done
@@ -143,6 +154,7 @@
             begun = world.loop.time()
             await world.several(3)
             assert world.loop.time() - begun >= 0.09 and world.held() == server.connections == 1
+
     play(scene)
 
 
@@ -162,6 +174,7 @@
             # Half of the rest is longer than a busy machine takes for one of these; before, none took less.
             assert sum(t < 0.05 for t in took[50:]) >= 90
             assert 8 <= server.connections <= FREE.most
+
     play(scene)
 
 
@@ -183,6 +196,7 @@
             await world.ask()
             assert world.loop.time() - begun < 2.0
             assert world.target.idle == [resting, rested] and server.connections == 2
+
     play(scene)
 
 
@@ -207,6 +221,7 @@
             let.set()
             await until(lambda: len(world.target.idle) == 2)
             assert world.held() == 2
+
     play(scene)
 
 
@@ -230,6 +245,7 @@
             assert found == [(How.OK, b"r%d" % (i % 8)) for i in range(32)]
             assert server.connections >= 32  # each was ended by its second answer, and none was used again
             await until(lambda: not any(c.answered for c in world.target.idle))
+
     play(scene)
 
 
@@ -247,6 +263,7 @@
             assert (await asking)[0] is How.MOOT
             await until(lambda: not world.target.dialling and not world.target.held)
             assert not world.target.idle and not world.upstream._open and len(server.calls) == 1
+
     play(scene)
 
 
@@ -259,6 +276,7 @@
             world.much_called()
             await world.several(12)
             assert 2 <= server.connections <= 3  # half of those that may be open
+
     play(scene)
 
 
@@ -288,4 +306,5 @@
         held[0].transport.abort()
         server.close()
         await until(lambda: not world.target.held)
+
     play(scene)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -19,8 +19,16 @@
 
 
 def config(**changes):
-    return {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "ff",
-            "limits": {"sockets": 1024}, "known": listing(), "settings": settings(), **changes}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "ff",
+        "limits": {"sockets": 1024},
+        "known": listing(),
+        "settings": settings(),
+        **changes,
+    }
 
 
 def written(tmp_path, raw):
@@ -41,18 +49,34 @@
     assert made.listen == ("127.0.0.2", 80) and made.name == "n9" and made.seed == 255
 
 
-@pytest.mark.parametrize(("raw", "key"), [
-    ("{", "NODE_CONFIG"), ("[]", "NODE_CONFIG"), (config(listen="here"), "listen"), (config(seed=7), "seed"),
-    (config(discovery=None), "discovery"), (config(known=[]), "known"), (config(name=1), "name"),
-    (config(limits={"sockets": "many"}), "limits.sockets"), (config(settings={}), "settings.classes"),
-    (config(settings=None), "settings"), (config(listen="127.0.0.1:99999"), "listen"),
-    (config(settings=settings(classes=[{"name": "a", "hardLimitNs": 1, "repeat": "often"}])), r"classes\[0\].repeat"),
-    (config(settings=settings(classes=[{"name": "a", "hardLimitNs": 1, "group": "rack"}])), r"classes\[0\].group"),
-    (config(settings=settings(classes=[{"name": "a", "hardLimitNs": 1}] * 2)), r"classes\[1\].name"),
-    (config(settings=settings(classes=[{"hardLimitNs": 1}])), r"classes\[0\].name"),
-    (config(settings=settings(discovery="gossip")), "settings.discovery"),
-    (config(settings=settings(reporting={"how": "mail"})), "settings.reporting.how"),
-])
+@pytest.mark.parametrize(
+    ("raw", "key"),
+    [
+        ("{", "NODE_CONFIG"),
+        ("[]", "NODE_CONFIG"),
+        (config(listen="here"), "listen"),
+        (config(seed=7), "seed"),
+        (config(discovery=None), "discovery"),
+        (config(known=[]), "known"),
+        (config(name=1), "name"),
+        (config(limits={"sockets": "many"}), "limits.sockets"),
+        (config(settings={}), "settings.classes"),
+        (config(settings=None), "settings"),
+        (config(listen="127.0.0.1:99999"), "listen"),
+        (
+            config(settings=settings(classes=[{"name": "a", "hardLimitNs": 1, "repeat": "often"}])),
+            r"classes\[0\].repeat",
+        ),
+        (
+            config(settings=settings(classes=[{"name": "a", "hardLimitNs": 1, "group": "rack"}])),
+            r"classes\[0\].group",
+        ),
+        (config(settings=settings(classes=[{"name": "a", "hardLimitNs": 1}] * 2)), r"classes\[1\].name"),
+        (config(settings=settings(classes=[{"hardLimitNs": 1}])), r"classes\[0\].name"),
+        (config(settings=settings(discovery="gossip")), "settings.discovery"),
+        (config(settings=settings(reporting={"how": "mail"})), "settings.reporting.how"),
+    ],
+)
 def test_bad_configuration_names_its_key(tmp_path, raw, key):
     with pytest.raises(ConfigError, match=key) as caught:
         load(written(tmp_path, raw))
@@ -61,8 +85,8 @@
 
 async def start(env):
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "hollyport", cwd=ROOT, env={**os.environ, **env},
-        stderr=asyncio.subprocess.PIPE)
+        sys.executable, "-m", "hollyport", cwd=ROOT, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
+    )
 
 
 async def end_seen(client):
@@ -86,6 +110,7 @@
         process = await start(written(tmp_path, config(seed="xyz")))
         _, errors = await process.communicate()
         assert process.returncode == 2 and errors.count(b"\n") == 1 and b"seed" in errors
+
     play(scene)
 
 
@@ -116,6 +141,7 @@
             go.set()
             assert (await taken)[2] == b"done"
             assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
+
     play(scene)
 
 
@@ -128,6 +154,7 @@
 
 def test_sighup_moves_to_the_new_discovery_and_a_bad_file_changes_nothing(tmp_path):
     """Found: SIGHUP killed the process. The new discovery may count its versions from lower."""
+
     async def scene():
         port, asked = free_port(), {"old": asyncio.Queue(), "new": asyncio.Queue()}
 
@@ -138,16 +165,23 @@
                     await talk.answer(200, json.dumps(answer).encode())
                 else:
                     await asyncio.sleep(60)
+
             return script
 
         async def serve(talk: Conversation, call: Call) -> None:
             await talk.answer(200, b"done")
 
-        async with (Server(serve) as one, Server(serve) as two,
-                    Server(place("old", listing(line("s1", one.port), index=900))) as old,
-                    Server(place("new", listing(line("s2", two.port), index=3))) as new):
-            raw = config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{old.port}",
-                         settings=settings(discovery="subscribe", invariants={"mustAskInNs": 10**9}))
+        async with (
+            Server(serve) as one,
+            Server(serve) as two,
+            Server(place("old", listing(line("s1", one.port), index=900))) as old,
+            Server(place("new", listing(line("s2", two.port), index=3))) as new,
+        ):
+            raw = config(
+                listen=f"127.0.0.1:{port}",
+                discovery=f"127.0.0.1:{old.port}",
+                settings=settings(discovery="subscribe", invariants={"mustAskInNs": 10**9}),
+            )
             env = {**written(tmp_path, raw), "NODE_DISCOVERY": f"127.0.0.1:{old.port}"}
             process = await start(env)
             assert b"listening" in await logged(process)
@@ -169,6 +203,7 @@
             assert (await client.ask())[0] == 200 and len(two.calls) == 1
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
+
     play(scene)
 
 
@@ -185,13 +220,19 @@
         assert b"listening" in await logged(process)
         process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
+
     play(scene)
 
 
-@pytest.mark.parametrize("signals", [
-    (signal.SIGTERM, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP), (signal.SIGHUP, signal.SIGTERM),
-    (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM),
-])
+@pytest.mark.parametrize(
+    "signals",
+    [
+        (signal.SIGTERM, signal.SIGTERM),
+        (signal.SIGTERM, signal.SIGHUP),
+        (signal.SIGHUP, signal.SIGTERM),
+        (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM),
+    ],
+)
 def test_signals_in_any_order_end_it_once_and_lose_nothing(tmp_path, signals):
     async def scene():
         came, go = asyncio.Event(), asyncio.Event()
@@ -217,4 +258,5 @@
             assert (await taken)[2] == b"done"
             _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
             assert process.returncode == 0 and b"Traceback" not in errors
+
     play(scene)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -20,8 +20,16 @@
 
 def site(mode: str, group: str) -> Settings:
     classes = [
-        {"name": n, "onTimeNs": 400 * MS, "hardLimitNs": SECOND, "repeat": n, "credit": 1.0 + i,
-         "lateWorth": 0.3 * (i % 2), "group": group, "windowNs": 500 * MS}
+        {
+            "name": n,
+            "onTimeNs": 400 * MS,
+            "hardLimitNs": SECOND,
+            "repeat": n,
+            "credit": 1.0 + i,
+            "lateWorth": 0.3 * (i % 2),
+            "group": group,
+            "windowNs": 500 * MS,
+        }
         for i, n in enumerate(["free", "single_shot", "guarded"])
     ]
     return settings(classes=classes, **MODES[mode])
