--- a/tests/test_proof_property.py
+++ b/tests/test_proof_property.py
@@ -34,31 +34,44 @@
     """A file, often unsafe."""
     tables = []
     for name in draw(st.lists(st.sampled_from(NAMES), max_size=2, unique=True)):
-        keys = {"repeat": draw(maybe(st.sampled_from(["free", "guarded", "single_shot"]))),
-                "deadline": draw(maybe(TIMES)), "window": draw(maybe(TIMES)),
-                "group": draw(maybe(st.sampled_from(["all", "zone", "cell"])))}
-        tables.append("[[class]]\n" + f'name = "{name}"\n' + "".join(
-            f'{key} = "{value}"\n' for key, value in keys.items() if value is not None))
+        keys = {
+            "repeat": draw(maybe(st.sampled_from(["free", "guarded", "single_shot"]))),
+            "deadline": draw(maybe(TIMES)),
+            "window": draw(maybe(TIMES)),
+            "group": draw(maybe(st.sampled_from(["all", "zone", "cell"]))),
+        }
+        tables.append(
+            "[[class]]\n"
+            + f'name = "{name}"\n'
+            + "".join(f'{key} = "{value}"\n' for key, value in keys.items() if value is not None)
+        )
     for i in range(draw(st.integers(0, 3))):
         name = draw(st.sampled_from(NAMES))
         quoted = {key: draw(maybe(TIMES)) for key in ("timeout", "try_timeout", "second_copy_after")}
         causes = draw(maybe(st.lists(st.sampled_from(CAUSES), unique=True)))
-        tables.append(route(
-            name=f'"r{i}"', path=f'"/{name}{draw(st.sampled_from(["/1", "/{id}", "/*"]))}"',
-            tenant=draw(maybe(st.just('"charity-partners"'))),
-            class_=draw(maybe(st.sampled_from(NAMES).map(lambda n: f'"{n}"'))),
-            attempts=draw(maybe(st.integers(1, 5))), max_in_flight=draw(maybe(st.integers(1, 3))),
-            max_waiting=draw(maybe(st.integers(0, 3))), limit_by=draw(maybe(st.sampled_from(['"tenant"', '"key"']))),
-            retry_on=None if causes is None else str(causes).replace("'", '"'),
-            rate=draw(maybe(st.just("{ per_s = 20, burst = 3 }"))),
-            retry_budget=draw(maybe(st.just("{ ratio = 0.5, min_per_s = 1 }"))),
-            **{key: f'"{value}"' for key, value in quoted.items() if value is not None},
-        ))
+        tables.append(
+            route(
+                name=f'"r{i}"',
+                path=f'"/{name}{draw(st.sampled_from(["/1", "/{id}", "/*"]))}"',
+                tenant=draw(maybe(st.just('"charity-partners"'))),
+                class_=draw(maybe(st.sampled_from(NAMES).map(lambda n: f'"{n}"'))),
+                attempts=draw(maybe(st.integers(1, 5))),
+                max_in_flight=draw(maybe(st.integers(1, 3))),
+                max_waiting=draw(maybe(st.integers(0, 3))),
+                limit_by=draw(maybe(st.sampled_from(['"tenant"', '"key"']))),
+                retry_on=None if causes is None else str(causes).replace("'", '"'),
+                rate=draw(maybe(st.just("{ per_s = 20, burst = 3 }"))),
+                retry_budget=draw(maybe(st.just("{ ratio = 0.5, min_per_s = 1 }"))),
+                **{key: f'"{value}"' for key, value in quoted.items() if value is not None},
+            )
+        )
     return file(*tables)
 
 
 PLAYS = st.builds(
-    Play, st.sampled_from([0.0, 1.0, 200.0, 249.0, 300.0]), st.sampled_from([1.0, 20.0, 120.0, 480.0, 900.0, 3000.0]),
+    Play,
+    st.sampled_from([0.0, 1.0, 200.0, 249.0, 300.0]),
+    st.sampled_from([1.0, 20.0, 120.0, 480.0, 900.0, 3000.0]),
     st.sampled_from([How.OK, How.OK, How.ERROR, How.FULL, How.RESET, How.TIMEOUT, How.CONNECT_FAILED]),
 )
 
@@ -66,8 +79,13 @@
 @st.composite
 def events(draw):
     """Requests, drains and crashes."""
-    asks = draw(st.lists(st.tuples(st.integers(0, 1500), st.sampled_from(NAMES), st.integers(0, 1),
-                                   st.sampled_from(["", "k1"])), min_size=1, max_size=8))
+    asks = draw(
+        st.lists(
+            st.tuples(st.integers(0, 1500), st.sampled_from(NAMES), st.integers(0, 1), st.sampled_from(["", "k1"])),
+            min_size=1,
+            max_size=8,
+        )
+    )
     drains = draw(st.lists(st.tuples(st.integers(0, 1500), st.integers(0, 3)), max_size=1))
     crashes = draw(st.lists(st.tuples(st.integers(0, 1500), st.integers(0, 3)), max_size=2))
     return asks, drains, crashes
@@ -85,6 +103,7 @@
     """The rules that a run of this file breaks."""
     made = PLATFORM
     from dataclasses import replace
+
     own = replace(made, classes=tuple(found.classes[c.name] for c in made.classes))
     limits = [r.limits() for r in found.routes]
     table = Table((r.match, each) for r, each in zip(found.routes, limits, strict=True))
@@ -100,8 +119,10 @@
     return run.broken_rules()
 
 
-TIGHT = file('[[class]]\nname = "confirm-booking"\nwindow = "750ms"\n',
-             route(path='"/confirm-booking/*"', attempts=2, try_timeout='"500ms"', timeout='"2s"'))
+TIGHT = file(
+    '[[class]]\nname = "confirm-booking"\nwindow = "750ms"\n',
+    route(path='"/confirm-booking/*"', attempts=2, try_timeout='"500ms"', timeout='"2s"'),
+)
 COPIED = file(route(path='"/confirm-booking/*"', attempts=3, second_copy_after='"50ms"', try_timeout='"300ms"'))
 
 
@@ -134,19 +155,23 @@
 @pytest.mark.parametrize("check", [proof.check_path_class, proof.check_class_stricter])
 def test_without_one_check_a_rule_is_broken(check):
     """The same search finds a breach at once where a check of the proof is left out."""
+
     def breach(drawn):
         text, plays, happens = drawn
         found = accepted(text, check)
         return found is not None and bool(broken(found, plays, happens))
 
-    found = find(st.tuples(texts(), st.lists(PLAYS, min_size=1, max_size=12), events()), breach,
-                 settings=settings(max_examples=20_000, derandomize=True, database=None,
-                                   phases=[Phase.generate]))
+    found = find(
+        st.tuples(texts(), st.lists(PLAYS, min_size=1, max_size=12), events()),
+        breach,
+        settings=settings(max_examples=20_000, derandomize=True, database=None, phases=[Phase.generate]),
+    )
     assert accepted(found[0]) is None  # the whole proof refuses that file
 
 
 def test_the_judge_sees_what_is_planted():
     """A judge that finds nothing proves nothing: each rule is broken on purpose and noticed."""
+
     def run(plant, plays=NORMAL):
         made = Simulated(PLATFORM, list(plays), 4, 7)
         ask = made.ask(0, plant[1])
--- a/tests/test_quick.py
+++ b/tests/test_quick.py
@@ -42,11 +42,47 @@
         self.keep = self.parser.should_keep_alive()
 
 
-NAMES = st.sampled_from([b"Host", b"X-Request-ID", b"Content-Length", b"Transfer-Encoding", b"Connection", b"Expect",
-                         b"x", b"X-Attrs", b"Cookie", b"Upgrade", b"a b", b"", b"Host ", b" folded"])
-VALUES = st.sampled_from([b" app", b" 3", b" 0", b"3", b" +3", b" 03", b" chunked", b" close", b" keep-alive",
-                          b" Keep-Alive", b" keep-alive, close", b"",
-                          b" \t x \t", b" a\x80b", b" a\x00b", b" a\rb", b" a\nb", b" 3, 3", b" 99999999999"])
+NAMES = st.sampled_from(
+    [
+        b"Host",
+        b"X-Request-ID",
+        b"Content-Length",
+        b"Transfer-Encoding",
+        b"Connection",
+        b"Expect",
+        b"x",
+        b"X-Attrs",
+        b"Cookie",
+        b"Upgrade",
+        b"a b",
+        b"",
+        b"Host ",
+        b" folded",
+    ]
+)
+VALUES = st.sampled_from(
+    [
+        b" app",
+        b" 3",
+        b" 0",
+        b"3",
+        b" +3",
+        b" 03",
+        b" chunked",
+        b" close",
+        b" keep-alive",
+        b" Keep-Alive",
+        b" keep-alive, close",
+        b"",
+        b" \t x \t",
+        b" a\x80b",
+        b" a\x00b",
+        b" a\rb",
+        b" a\nb",
+        b" 3, 3",
+        b" 99999999999",
+    ]
+)
 ENDS = st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\r\n", b"\n", b"\r\n "])
 
 
@@ -59,12 +95,30 @@
     return draw(first) + text + b"\r\n" + draw(st.sampled_from([b"", b"abc", b"abcd", b"GET / HTTP/1.1\r\n\r\n"]))
 
 
-REQUESTS = st.sampled_from([b"GET /a?b=1 HTTP/1.1\r\n", b"POST /a HTTP/1.1\r\n", b"GET /a HTTP/1.0\r\n",
-                            b"GET http://h/a HTTP/1.1\r\n", b"GET /a b HTTP/1.1\r\n", b"PUT /a HTTP/1.1\r\n",
-                            b"get /a HTTP/1.1\r\n", b"GET  /a HTTP/1.1\r\n", b"GET /a\x80 HTTP/1.1\r\n"])
-REPLIES = st.sampled_from([b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 200 \r\n", b"HTTP/1.1 500 No\r\n",
-                           b"HTTP/1.0 200 OK\r\n",
-                           b"HTTP/1.1 204 OK\r\n", b"HTTP/1.1 100 Go on\r\n", b"HTTP/1.1 200\r\n"])
+REQUESTS = st.sampled_from(
+    [
+        b"GET /a?b=1 HTTP/1.1\r\n",
+        b"POST /a HTTP/1.1\r\n",
+        b"GET /a HTTP/1.0\r\n",
+        b"GET http://h/a HTTP/1.1\r\n",
+        b"GET /a b HTTP/1.1\r\n",
+        b"PUT /a HTTP/1.1\r\n",
+        b"get /a HTTP/1.1\r\n",
+        b"GET  /a HTTP/1.1\r\n",
+        b"GET /a\x80 HTTP/1.1\r\n",
+    ]
+)
+REPLIES = st.sampled_from(
+    [
+        b"HTTP/1.1 200 OK\r\n",
+        b"HTTP/1.1 200 \r\n",
+        b"HTTP/1.1 500 No\r\n",
+        b"HTTP/1.0 200 OK\r\n",
+        b"HTTP/1.1 204 OK\r\n",
+        b"HTTP/1.1 100 Go on\r\n",
+        b"HTTP/1.1 200\r\n",
+    ]
+)
 
 
 @given(messages(REQUESTS))
@@ -100,14 +154,20 @@
     assert quick.reply(b"HTTP/1.1 200 OK\r\n" + data, MOST, MOST) is None or b"\r\n\r\n" in data
 
 
-@pytest.mark.parametrize("data", [
-    b"GET /a HTTP/1.1\r\n\r\n", b"GET /a HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n",
-    b"GET /a HTTP/1.1\r\nHost: a\r\nX: 1\r\nX: 2\r\n\r\n", b"GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
-    b"POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\nabc",
-    b"GET /a HTTP/1.1\r\nHost: a\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n",
-    b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nabc", b"GET /a HTTP/1.1\r\nHost: a\r\n",
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET /a HTTP/1.1\r\n\r\n",
+        b"GET /a HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n",
+        b"GET /a HTTP/1.1\r\nHost: a\r\nX: 1\r\nX: 2\r\n\r\n",
+        b"GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
+        b"POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\nabc",
+        b"GET /a HTTP/1.1\r\nHost: a\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n",
+        b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nabc",
+        b"GET /a HTTP/1.1\r\nHost: a\r\n",
+    ],
+)
 def test_what_is_out_of_the_ordinary_is_left_to_the_parser(data):
     assert quick.request(data, MOST, MOST) is None
 
@@ -119,6 +179,7 @@
 
 def test_both_ways_take_turns_on_one_connection():
     """A request in pieces, one whole, two at once and one whole again: each is answered, in order."""
+
     async def scene():
         async with Server(ok) as server, sidecar(*(line(f"s{i}", server.port) for i in range(4))) as world:
             client: Client = await world.client()
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -38,6 +38,7 @@
 @pytest.mark.parametrize("cls", ["free", "single_shot"])
 def test_one_that_leaves_while_its_connection_comes_up(how, cls):
     """Found: the attempt stood, and was written a second later, when its connection was up at last."""
+
     async def scene():
         slow = Slow()
         async with sidecar(line("s1", slow.port)) as world:
@@ -53,18 +54,20 @@
             assert sum(len(t.idle) for t in world.sidecar._upstream._targets.values()) == 1  # paid for, and kept
             made.close()
         slow.close()
+
     play(scene)
 
 
 @WAYS
 def test_one_that_leaves_while_a_body_apart_waits_for_its_connection(how):
     """Found: with the body too long to be held reads are paused, so its end showed nowhere."""
+
     async def scene():
         slow = Slow()
         async with sidecar(line("s1", slow.port), memory_mb=32) as world:
             client = await Raw(world.port).connect()
             # All that it sends fits, or its end would stand behind it in its own machine, where nobody sees it.
-            await client.send(request("single_shot", body=b"x" * (2 << 20))[:300 << 10])
+            await client.send(request("single_shot", body=b"x" * (2 << 20))[: 300 << 10])
             await until(lambda: any(c._paused for c in world.sidecar._listener.connections))
             await until(lambda: world.sidecar._upstream._dialling)
             client.leave(how)
@@ -74,6 +77,7 @@
             assert unread(made) == b""
             made.close()
         slow.close()
+
     play(scene)
 
 
@@ -103,6 +107,7 @@
                 server.let.release()
             assert (await (await world.client()).ask("single_shot", rid="next"))[0] == 200
             assert "left" not in [call.headers["x-request-id"] for call in server.calls]
+
     play(scene)
 
 
@@ -111,6 +116,7 @@
 def test_one_that_leaves_behind_further_bytes(how, queued):
     """Found: with as many requests read ahead as may be, reads are paused, and its end showed nowhere: it was sent on
     when a place was free."""
+
     async def scene():
         async with Gated() as server, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port).connect()
@@ -127,6 +133,7 @@
                 server.let.release()
             assert (await (await world.client()).ask("single_shot", rid="next"))[0] == 200
             assert [call.headers["x-request-id"] for call in server.calls][FULL:] == ["next"]
+
     play(scene)
 
 
@@ -151,6 +158,7 @@
             assert [call.headers["x-request-id"] for call in server.calls] == ["first", "third"]
             server.let.release()
             await until(lambda: not world.sidecar.core.calls)
+
     play(scene)
 
 
@@ -179,6 +187,7 @@
             assert (await (await world.client()).ask("single_shot", rid="next"))[0] == 200
             ids = [call.headers.get("x-request-id") for call in server.calls if call.target != "/-/load"]
             assert ids == ["next"]
+
     play(scene)
 
 
@@ -186,6 +195,7 @@
 def test_one_that_leaves_between_two_attempts_is_not_tried_again(how):
     async def scene():
         async with Gated() as first, Server(ok) as second:
+
             async def falls(talk, call):
                 first.came.release()
                 await first.let.acquire()
@@ -203,6 +213,7 @@
                 first.let.release()
                 await until(lambda: not calls(world))
                 assert not second.calls and len(first.calls) == 1
+
     play(scene)
 
 
@@ -222,6 +233,7 @@
                 server.let.release()
             assert (await (await world.client()).ask("single_shot", rid="next"))[0] == 200
             assert len(server.calls) == FULL + 1
+
     play(scene)
 
 
@@ -240,4 +252,5 @@
             client.sock.shutdown(1)
             await until(lambda: not world.sidecar._listener.connections)
             client.close()
+
     play(scene)
--- a/tests/test_races_closes.py
+++ b/tests/test_races_closes.py
@@ -14,6 +14,7 @@
 @pytest.mark.parametrize("end", ["idle", "last"])
 def test_a_request_that_comes_as_its_connection_is_closed_is_not_sent_on(end):
     """Behind the close of a resting connection, or behind the end of our sending side."""
+
     async def scene():
         async with Gated() as server, sidecar(line("s1", server.port)) as world:
             await warmed(world, server)
@@ -33,11 +34,13 @@
             client.close()
             await until(lambda: not held.connections)
             assert server.ids() == ["first"]
+
     play(scene)
 
 
 def test_nothing_small_is_held_back_by_the_system():
     """A close over unread bytes resets the connection, and what the system still held back would go with it."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port).connect()
@@ -47,6 +50,7 @@
             for end in ours:
                 sock = end._transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+
     play(scene)
 
 
@@ -54,6 +58,7 @@
 @pytest.mark.parametrize("size", [0, 1000, 1 << 20])
 def test_an_answer_with_no_length_that_is_reset_is_not_taken_for_whole(cls, size):
     """A close is the end of such an answer, and a reset is none."""
+
     async def scene():
         async def breaks(talk, call):
             talk.writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * size)
@@ -71,6 +76,7 @@
             else:
                 assert answer.startswith(b"HTTP/1.1 50") and server.calls
                 assert len(server.calls) == 1 or cls == "free"
+
     play(scene)
 
 
@@ -88,4 +94,5 @@
             assert (await client.answer()).startswith(b"HTTP/1.1 200")
             made.close()
         slow.close()
+
     play(scene)
--- a/tests/test_races_ends.py
+++ b/tests/test_races_ends.py
@@ -42,6 +42,7 @@
             await world.sidecar.stop()
             assert not world.sidecar.core.calls or all(c.over for c in world.sidecar.core.calls.values())
             assert (await reading).startswith(b"HTTP/1.1 " + status)
+
     play(scene)
 
 
@@ -56,6 +57,7 @@
             await until(lambda: world.sidecar.core.calls)
             await world.sidecar.stop()
             assert (await reading).startswith(b"HTTP/1.1 503")
+
     play(scene)
 
 
@@ -85,11 +87,13 @@
             answer = await client.read()
             assert len(answer.partition(b"\r\n\r\n")[2]) == size
             await stopping
+
     play(scene)
 
 
 def test_a_connection_that_has_just_come_up_is_not_closed_before_it_can_ask():
     """Found on reading: at the end of a process what had said nothing yet was closed with the idle ones."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             held = world.sidecar._listener
@@ -99,11 +103,13 @@
             held.close()
             await client.send(request(rid="late"))
             assert (await client.read()).endswith(b"late")
+
     play(scene)
 
 
 def test_an_answer_that_closes_is_not_taken_along_by_a_reset():
     """Closing with bytes unread resets the connection; what the client has not read by then is lost."""
+
     async def scene():
         async with Gated() as server, sidecar(line("s1", server.port)) as world:
             world.sidecar._listener.last_requests()
@@ -117,6 +123,7 @@
             server.let.release()
             assert (await client.read()).endswith(b"whole")
             assert not connection._transport.is_closing() or connection not in world.sidecar._listener.connections
+
     play(scene)
 
 
@@ -125,6 +132,7 @@
 
 def test_an_answer_before_the_request_was_out_serves_nobody():
     """Found on reading: a server begins with the last byte, so an answer before it is another request's."""
+
     async def scene():
         class Early(Server):
             async def _serve(self, reader, writer):
@@ -136,9 +144,14 @@
             loop = asyncio.get_running_loop()
             upstream, done = Upstream(loop, 10**9, 10**10, 10), loop.create_future()
             upstream.update("s1", Address("127.0.0.1", server.port), 0, True)
-            upstream.exchange("s1", lambda: request("single_shot", body=b"x" * (16 << 20)), 15.0,
-                              lambda how, reply: done.set_result((how, reply))).start()
+            upstream.exchange(
+                "s1",
+                lambda: request("single_shot", body=b"x" * (16 << 20)),
+                15.0,
+                lambda how, reply: done.set_result((how, reply)),
+            ).start()
             assert await done == (How.CONNECT_FAILED, None)
+
     play(scene)
 
 
@@ -165,6 +178,7 @@
         monkeypatch.setattr("test_servers.Server", Eager)
         found, _ = await outcomes(lambda talk, call: asyncio.Event().wait())
         assert found == [(How.CONNECT_FAILED, b"")]
+
     play(scene)
 
 
@@ -173,6 +187,7 @@
 
 def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts():
     """Found on reading: it was noticed as late as what it missed counted, and then a pause for a failed call came."""
+
     async def scene():
         raw = settings(discovery="subscribe", invariants={"mustAskInNs": 10**9})
         registry = Registry(503, 503, listing())  # failures before have made the pause longer
@@ -184,6 +199,7 @@
             _, query, again = await registry.asked.get()
             assert query["wait_ms"] == ["0"] and wait > 0
             assert wait + SILENT_S <= again - at < wait + 2.0
+
     play(scene)
 
 
@@ -196,6 +212,7 @@
             _, query, at = await registry.asked.get()
             _, _, again = await registry.asked.get()
             assert again - at < int(query["wait_ms"][0]) / 1e3 + 2.0
+
     play(scene)
 
 
@@ -221,6 +238,7 @@
                 _, _, first = await registry.asked.get()
             _, _, second = await registry.asked.get()
             assert 0.09 <= second - first < 0.2  # a watch goes on for 0.2 s
+
     play(scene)
 
 
@@ -229,8 +247,13 @@
     async def scene():
         async with Server(ok) as server:
             raw = settings(discovery="subscribe", invariants={"mustAskInNs": 10**9})
-            registry = Registry(listing(line("s1", server.port), index=3), bad, bad, bad,
-                                dump(listing(line("s1", server.port), index=4)).replace(b", ", b",\r\n\t  "))
+            registry = Registry(
+                listing(line("s1", server.port), index=3),
+                bad,
+                bad,
+                bad,
+                dump(listing(line("s1", server.port), index=4)).replace(b", ", b",\r\n\t  "),
+            )
             async with Server(registry) as place, sidecar(discovery=place.port, raw=raw) as world:
                 for _ in range(4):
                     await registry.asked.get()
@@ -238,6 +261,7 @@
                 for _ in range(2):
                     await registry.asked.get()
                 assert world.sidecar._index == 4
+
     play(scene)
     said = capfd.readouterr().err
     assert said.count("event=discovery.lost") == 1 and said.count("event=discovery.back") == 1
@@ -248,6 +272,7 @@
 
 def test_a_request_leaves_nothing_behind_in_memory():
     """Found on the long day: compiled, each answer left a bytes object behind, 9 MB in 15 minutes."""
+
     async def scene():
         # So few descriptors that none is opened ahead: a connection more is no part of what a request leaves behind.
         async with Server(ok) as server, sidecar(line("s1", server.port), sockets=36) as world:
@@ -264,6 +289,7 @@
             before = await ask(300)
             most = 600
             assert await ask(most) - before < most / 4
+
     play(scene)
 
 
@@ -284,8 +310,9 @@
             rid = call.headers["x-request-id"].encode()
             if rid == b"first":
                 await talk.answer(200, rid)
-                await asyncio.wait([asyncio.ensure_future(e.wait()) for e in (late, asked)],
-                                   return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(
+                    [asyncio.ensure_future(e.wait()) for e in (late, asked)], return_when=asyncio.FIRST_COMPLETED
+                )
                 await talk.answer(200, rid)  # once more: late, or on the heels of the next request
             else:
                 asked.set()
@@ -300,6 +327,7 @@
             late.set()
             assert (await asking)[2] == b"second"
             assert server.connections == 2
+
     play(scene)
 
 
@@ -316,6 +344,7 @@
             await until(lambda: not world.sidecar.core.calls)
             assert [len(t.idle) for t in world.sidecar._upstream._targets.values()] == [1]
             assert len(server.calls) == 1
+
     play(scene)
 
 
@@ -331,4 +360,5 @@
             drains = listing(line("s1", server.port, status="DRAINING"), index=2)
             world.sidecar._told(read_listing(drains, world.sidecar._settings))
             assert (await asking)[0] == 503 and len(server.calls) == 1
+
     play(scene)
--- a/tests/test_races_leaving.py
+++ b/tests/test_races_leaving.py
@@ -64,6 +64,7 @@
 @WAYS
 def test_in_order(how):
     """Found: the server's answer was read first, and the place that it freed was given to the one who had left."""
+
     async def scene():
         async with Gated() as server, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port).connect()
@@ -71,12 +72,14 @@
             await long_turn(*all_answered(server), lambda: client.leave(how))
             await until(lambda: not calls(world))
             await serves_on(world, server)
+
     play(scene)
 
 
 @WAYS
 def test_in_order_as_the_list_names_another_server(how):
     """Found: timers go before what was read, and so does what they bring about."""
+
     async def scene():
         async with Gated() as server, Gated() as second, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port).connect()
@@ -88,13 +91,18 @@
             await until(lambda: world.sidecar._index == 2 and not world.sidecar.core.module._held)
             await serves_on(world, second)
             assert "left" not in server.ids()
+
     play(scene)
 
 
 @WAYS
 def test_in_order_as_a_servers_backoff_ends(how):
-    raw = settings(classes=[{"name": k, "onTimeNs": 10**9, "hardLimitNs": 10**9, "repeat": k}
-                            for k in ("free", "single_shot", "guarded")])
+    raw = settings(
+        classes=[
+            {"name": k, "onTimeNs": 10**9, "hardLimitNs": 10**9, "repeat": k}
+            for k in ("free", "single_shot", "guarded")
+        ]
+    )
 
     async def scene():
         async with Gated() as server, Gated() as second:
@@ -123,12 +131,14 @@
                 await asyncio.sleep(0.1)
                 assert "left" not in server.ids() + second.ids()
                 again.close()
+
     play(scene)
 
 
 @WAYS
 def test_for_a_place_of_its_route(how, tmp_path):
     """Found, as in order."""
+
     async def scene():
         path = tmp_path / "routes.toml"
         path.write_text(file(route(path='"/single_shot/*"', max_in_flight=1, max_waiting=1)))
@@ -141,6 +151,7 @@
             await long_turn(lambda: server.answer_now(0), lambda: client.leave(how))
             await until(lambda: not calls(world))
             await serves_on(world, server)
+
     play(scene)
 
 
@@ -165,12 +176,14 @@
             await long_turn(lambda: server.answer_now(2, body=report), lambda: client.leave(how))
             await until(lambda: not calls(world))
             assert "left" not in server.ids()
+
     play(scene)
 
 
 @WAYS
 def test_between_two_attempts(how):
     """Found: what ended the first attempt was read before its client's end, and the second went out."""
+
     async def scene():
         async with Gated() as one, Gated() as two, sidecar(line("s1", one.port), line("s2", two.port)) as world:
             await warmed(world, one, two)
@@ -182,6 +195,7 @@
             await until(lambda: not calls(world))
             await asyncio.sleep(0.05)
             assert one.ids() + two.ids() == ["left"]
+
     play(scene)
 
 
@@ -190,12 +204,13 @@
 def test_while_its_connection_comes_up(how, size):
     """Found: the connection's coming up was read before the client's end. With a body too long to be held, the client
     is not read from at all."""
+
     async def scene():
         slow = Slow()
         async with sidecar(line("s1", slow.port), memory_mb=32) as world:
             client = await Raw(world.port).connect()
             # All that it sends fits, or its end would stand behind it in its own machine, where nobody sees it.
-            await client.send(request("single_shot", body=b"x" * size)[:300 << 10])
+            await client.send(request("single_shot", body=b"x" * size)[: 300 << 10])
             await until(lambda: world.sidecar._upstream._dialling)
             made = []
             await long_turn(lambda: made.append(slow.open_now()), lambda: client.leave(how))
@@ -203,6 +218,7 @@
             assert unread(made[0]) == b""
             made[0].close()
         slow.close()
+
     play(scene)
 
 
@@ -222,12 +238,14 @@
             await long_turn(lambda: client.leave(how), seconds=0.25)
             await until(lambda: not calls(world))
             await serves_on(world, server)
+
     play(scene)
 
 
 @WAYS
 def test_as_a_second_copy_is_due(how, tmp_path):
     """Found: the timer went before what was read."""
+
     async def scene():
         path = tmp_path / "routes.toml"
         path.write_text(file(route(path='"/free"', class_='"free"', second_copy_after='"300ms"', attempts=2)))
@@ -240,6 +258,7 @@
             await until(lambda: all(c.over for c in calls(world).values()))
             await asyncio.sleep(0.05)
             assert one.ids() + two.ids() == ["left"]
+
     play(scene)
 
 
@@ -258,6 +277,7 @@
             await long_turn(*all_answered(server), seconds=0.0)
             await until(lambda: not calls(world))
             await serves_on(world, server)
+
     play(scene)
 
 
@@ -281,6 +301,7 @@
             server.answer_now(answered - 1)
             await until(lambda: not calls(world))
             await serves_on(world, server)
+
     play(scene)
 
 
@@ -288,6 +309,7 @@
 @pytest.mark.parametrize("asked", [False, True])
 def test_as_its_request_is_read(how, asked):
     """Found: a request and its client's end, both come while the loop stood still, and the request was sent on."""
+
     async def scene():
         async with Gated() as server, sidecar(line("s1", server.port)) as world:
             await warmed(world, server)
@@ -300,12 +322,14 @@
             await long_turn(lambda: client.sock.send(ask), lambda: client.leave(how))
             await until(lambda: not world.sidecar._listener.connections)
             await serves_on(world, server)
+
     play(scene)
 
 
 @WAYS
 def test_in_the_listen_queue(how):
     """Found: with no room left for it a connection waits unread; let in at last, its request was sent on."""
+
     async def scene():
         async with Gated() as server, sidecar(line("s1", server.port)) as world:
             await warmed(world, server)
@@ -318,6 +342,7 @@
             await asyncio.sleep(LONG_S)
             held_by.resize(most, most)
             await serves_on(world, server)
+
     play(scene)
 
 
@@ -331,6 +356,7 @@
             assert world.sidecar.core.behind()
             await until(lambda: server.ids() == ["stays"])
             assert (await client.answer()).startswith(b"HTTP/1.1 200")
+
     play(scene)
 
 
@@ -348,6 +374,7 @@
                 server.let.release()
                 assert (await client.ask("single_shot")).startswith(b"HTTP/1.1 200")
             assert 1 <= len(looks) < 20  # the first, and after turns that take long, on a machine short of cores
+
     play(scene)
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -36,24 +36,37 @@
 WHOLE = config(control="127.0.0.1:0")
 
 
-@pytest.mark.parametrize(("raw", "told"), [
-    ("", "NODE_CONFIG"), (json.dumps(WHOLE)[:200], "NODE_CONFIG"), ("[]", "object"), ("null", "object"),
-    (changed(WHOLE, "settings", None), "settings"), (changed(WHOLE, "known", None), "known"),
-    (changed(WHOLE, "discovery", None), "discovery"), (changed(WHOLE, "seed", None), "seed"),
-    (changed(WHOLE, "limits", None), "limits"), (changed(WHOLE, "control", None), "control"),
-    (changed(WHOLE, "settings.classes", None), "classes"),
-    (changed(WHOLE, "settings.classes", []), "classes"),
-    (changed(WHOLE, "settings.limits", None), "limits"),
-    (changed(WHOLE, "settings.limits.maxAttempts", None), "maxAttempts"),
-    (changed(WHOLE, "settings.classes.1.hardLimitNs", None), "hardLimitNs"),
-    (changed(WHOLE, "settings.classes.1.repeat", None), "repeat"),
-    (changed(WHOLE, "settings.classes.1.repeat", "often"), "repeat"),
-    (changed(WHOLE, "settings.classes.1.name", "free"), "name"),
-    *[(changed(WHOLE, "settings.classes.0.hardLimitNs", value), "hardLimitNs")
-      for value in (0, -1, "1200000000", True, [], 1e400)],
-    *[(changed(WHOLE, "settings.limits.maxAttempts", value), "maxAttempts")
-      for value in (0, -3, "5", True, 2.5, {})],
-])
+@pytest.mark.parametrize(
+    ("raw", "told"),
+    [
+        ("", "NODE_CONFIG"),
+        (json.dumps(WHOLE)[:200], "NODE_CONFIG"),
+        ("[]", "object"),
+        ("null", "object"),
+        (changed(WHOLE, "settings", None), "settings"),
+        (changed(WHOLE, "known", None), "known"),
+        (changed(WHOLE, "discovery", None), "discovery"),
+        (changed(WHOLE, "seed", None), "seed"),
+        (changed(WHOLE, "limits", None), "limits"),
+        (changed(WHOLE, "control", None), "control"),
+        (changed(WHOLE, "settings.classes", None), "classes"),
+        (changed(WHOLE, "settings.classes", []), "classes"),
+        (changed(WHOLE, "settings.limits", None), "limits"),
+        (changed(WHOLE, "settings.limits.maxAttempts", None), "maxAttempts"),
+        (changed(WHOLE, "settings.classes.1.hardLimitNs", None), "hardLimitNs"),
+        (changed(WHOLE, "settings.classes.1.repeat", None), "repeat"),
+        (changed(WHOLE, "settings.classes.1.repeat", "often"), "repeat"),
+        (changed(WHOLE, "settings.classes.1.name", "free"), "name"),
+        *[
+            (changed(WHOLE, "settings.classes.0.hardLimitNs", value), "hardLimitNs")
+            for value in (0, -1, "1200000000", True, [], 1e400)
+        ],
+        *[
+            (changed(WHOLE, "settings.limits.maxAttempts", value), "maxAttempts")
+            for value in (0, -3, "5", True, 2.5, {})
+        ],
+    ],
+)
 def test_a_broken_file_is_turned_down_and_the_key_is_named(tmp_path, raw, told):
     old = load(written(tmp_path, WHOLE))
     with pytest.raises(ConfigError, match=told):
@@ -72,8 +85,9 @@
     async def scene():
         port, control = free_port(), free_port()
         async with Server(ok) as server:
-            raw = config(listen=f"127.0.0.1:{port}", control=f"127.0.0.1:{control}",
-                         known=listing(line("s1", server.port)))
+            raw = config(
+                listen=f"127.0.0.1:{port}", control=f"127.0.0.1:{control}", known=listing(line("s1", server.port))
+            )
             env = written(tmp_path, raw)
             process = await start(env)
             assert b"listening" in await logged(process)
@@ -106,11 +120,13 @@
             assert told['node_success_total{tier="added"}'] == 1 and told["node_reconfig_ok_total"] == 3
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
+
     play(scene)
 
 
 def test_an_open_request_keeps_the_class_that_it_was_taken_with():
     """By its old class it may not run twice; by the new one it might."""
+
     async def scene():
         came, go = asyncio.Event(), asyncio.Event()
 
@@ -119,9 +135,7 @@
             await go.wait()
             talk.reset()
 
-        async with Server(breaks) as server, sidecar(
-            line("s1", server.port), line("s2", server.port)
-        ) as world:
+        async with Server(breaks) as server, sidecar(line("s1", server.port), line("s2", server.port)) as world:
             asking = asyncio.ensure_future((await world.client()).ask("single_shot", "old"))
             await came.wait()
             raw = settings(discovery="subscribe")
@@ -133,6 +147,7 @@
             assert (await asking)[0] == 502 and len(server.calls) == 1
             status, _, _ = await (await world.client()).ask("single_shot", "new", method="GET")
             assert status == 503 and len(server.calls) == 3  # by its new class it may run again
+
     play(scene)
 
 
@@ -151,14 +166,18 @@
             del raw["classes"][2]
             made = world.sidecar._config
             world.sidecar.reconfigure(dataclasses.replace(made, settings=Settings.parse(raw)))
-            for cls, method, more in (("single_shot", "POST", {}), ("single_shot", "GET", {}),
-                                      ("guarded", "POST", {"Idempotency_Key": "k"})):
+            for cls, method, more in (
+                ("single_shot", "POST", {}),
+                ("single_shot", "GET", {}),
+                ("guarded", "POST", {"Idempotency_Key": "k"}),
+            ):
                 assert (await (await world.client()).ask(cls, method=method, **more))[0] == 200
             kinds = [event.kind for event in taken if isinstance(event, Accept)]
             assert [k and k.repeat for k in kinds] == ["single_shot", None, "guarded"]
             await asyncio.sleep(0.25)
             assert (await (await world.client()).ask("single_shot", method="POST"))[0] == 405
             assert (await (await world.client()).ask("guarded", Idempotency_Key="k"))[0] == 404
+
     play(scene)
 
 
@@ -168,11 +187,19 @@
 def other(**changes) -> Settings:
     """The usual classes, another in front of them."""
     old = built()
-    return built(**changes, classes=[
-        {"name": c.name, "onTimeNs": c.aim_ns, "hardLimitNs": c.deadline_ns, "repeat": c.repeat,
-         "credit": c.worth}
-        for c in (RequestClass("added", 200 * MS, SECOND), *old.classes)
-    ])
+    return built(
+        **changes,
+        classes=[
+            {
+                "name": c.name,
+                "onTimeNs": c.aim_ns,
+                "hardLimitNs": c.deadline_ns,
+                "repeat": c.repeat,
+                "credit": c.worth,
+            }
+            for c in (RequestClass("added", 200 * MS, SECOND), *old.classes)
+        ],
+    )
 
 
 def test_the_module_keeps_what_it_has_learnt_where_positions_shift():
@@ -194,10 +221,12 @@
 def test_open_calls_keep_class_and_attempts_and_new_ones_get_the_new():
     b = balancer(servers=4)
     old = only(b.handle(0, accept("old", cls=1)), Submit)[0]
-    loose = Settings.parse({
-        "classes": [{"name": "single_shot", "hardLimitNs": SECOND, "repeat": "free"}],
-        "limits": {"maxAttempts": 1},
-    })
+    loose = Settings.parse(
+        {
+            "classes": [{"name": "single_shot", "hardLimitNs": SECOND, "repeat": "free"}],
+            "limits": {"maxAttempts": 1},
+        }
+    )
     b.handle(MS, Reconfigure(loose))
     b.handle(2 * MS, fleet(4))
     assert not only(b.handle(3 * MS, outcome(old, 305)), Submit)  # may have run, and was never to run twice
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -35,17 +35,35 @@
 
 
 def settings(index, probing):
-    return Settings.parse({
-        "index": index, "replicasOfMe": 40, "failureDomains": ["a", "b", "c"], "discovery": "subscribe",
-        "classes": [
-            {"name": "free", "onTimeNs": SECOND, "hardLimitNs": 2 * SECOND, "repeat": "free"},
-            {"name": "zone", "onTimeNs": SECOND, "hardLimitNs": 2 * SECOND, "repeat": "guarded",
-             "group": "zone", "windowNs": 2 * SECOND},
-            {"name": "cell", "onTimeNs": SECOND, "hardLimitNs": 2 * SECOND, "repeat": "guarded",
-             "group": "cell", "windowNs": 2 * SECOND},
-        ],
-        "limits": {"maxAttempts": 4, "mayProbe": probing, "cancel": True}, "reporting": {"how": "answers"},
-    })
+    return Settings.parse(
+        {
+            "index": index,
+            "replicasOfMe": 40,
+            "failureDomains": ["a", "b", "c"],
+            "discovery": "subscribe",
+            "classes": [
+                {"name": "free", "onTimeNs": SECOND, "hardLimitNs": 2 * SECOND, "repeat": "free"},
+                {
+                    "name": "zone",
+                    "onTimeNs": SECOND,
+                    "hardLimitNs": 2 * SECOND,
+                    "repeat": "guarded",
+                    "group": "zone",
+                    "windowNs": 2 * SECOND,
+                },
+                {
+                    "name": "cell",
+                    "onTimeNs": SECOND,
+                    "hardLimitNs": 2 * SECOND,
+                    "repeat": "guarded",
+                    "group": "cell",
+                    "windowNs": 2 * SECOND,
+                },
+            ],
+            "limits": {"maxAttempts": 4, "mayProbe": probing, "cancel": True},
+            "reporting": {"how": "answers"},
+        }
+    )
 
 
 def plain_rules():
@@ -101,8 +119,10 @@
 def derived(balancer):
     """All that the list decides, by name."""
     return {
-        "servers": [(s.name, s.zone, s.cell, s.heft, s.up, s.gone, s.started, s.k, s.inflight, s.credit, s.credit_at)
-                    for s in balancer._servers.values()],
+        "servers": [
+            (s.name, s.zone, s.cell, s.heft, s.up, s.gone, s.started, s.k, s.inflight, s.credit, s.credit_at)
+            for s in balancer._servers.values()
+        ],
         "up": [s.name for s in balancer._up],
         "subset": [s.name for s in balancer._subset],
         "groups": {key: [s.name for s in members] for key, members in balancer._groups.items()},
@@ -115,22 +135,49 @@
 
 
 entries = st.builds(
-    Entry, st.sampled_from(NAMES), st.integers(-1, 2), st.just(0), st.integers(-1, 2),
-    st.sampled_from(["up", "up", "up", "draining", "removed", "odd"]), st.sampled_from([0.0, 0.5, 1.0, 1.0, 4.0]),
+    Entry,
+    st.sampled_from(NAMES),
+    st.integers(-1, 2),
+    st.just(0),
+    st.integers(-1, 2),
+    st.sampled_from(["up", "up", "up", "draining", "removed", "odd"]),
+    st.sampled_from([0.0, 0.5, 1.0, 1.0, 4.0]),
     st.sampled_from([0, SECOND, 2 * SECOND, 3 * SECOND]),
 )
 lists = st.builds(
-    Directory, st.sampled_from(["INCREMENTAL", "INCREMENTAL", "INCREMENTAL", "FULL", "SAVED"]),
+    Directory,
+    st.sampled_from(["INCREMENTAL", "INCREMENTAL", "INCREMENTAL", "FULL", "SAVED"]),
     st.lists(entries, max_size=14).map(tuple),
 )
 again = st.just("again")  # the last whole list once more
 failures = st.sampled_from([Directory("FAILED"), Directory("SILENT")])
 calls = st.integers(0, 2)
-outcomes = st.tuples(st.just("outcome"), st.integers(0, 5), st.sampled_from([
-    How.OK, How.OK, How.ERROR, How.FULL, How.TIMEOUT, How.CONNECT_FAILED, How.RESET, How.MOOT]))
+outcomes = st.tuples(
+    st.just("outcome"),
+    st.integers(0, 5),
+    st.sampled_from([How.OK, How.OK, How.ERROR, How.FULL, How.TIMEOUT, How.CONNECT_FAILED, How.RESET, How.MOOT]),
+)
 other = st.builds(lambda index: ("index", index), st.integers(0, 3))
-steps = st.lists(st.one_of(lists, lists, lists, again, calls, calls, calls, calls, outcomes, outcomes, outcomes,
-                           failures, other, st.just("hangup"), st.just("alarm")), max_size=60)
+steps = st.lists(
+    st.one_of(
+        lists,
+        lists,
+        lists,
+        again,
+        calls,
+        calls,
+        calls,
+        calls,
+        outcomes,
+        outcomes,
+        outcomes,
+        failures,
+        other,
+        st.just("hangup"),
+        st.just("alarm"),
+    ),
+    max_size=60,
+)
 
 
 class Play:
@@ -234,11 +281,17 @@
             play.step(("index", rng.randint(0, 3)))
         else:
             old = known[name]
-            known[name] = rng.choice([
-                old._replace(lifecycle="draining"), old._replace(lifecycle="removed"), old._replace(lifecycle="up"),
-                old._replace(lifecycle="up", started_ns=play.now), old._replace(zone=rng.randint(-1, 2)),
-                old._replace(cell=rng.randint(-1, 2)), old._replace(weight=rng.choice([0.5, 1.0, 3.0])),
-            ])
+            known[name] = rng.choice(
+                [
+                    old._replace(lifecycle="draining"),
+                    old._replace(lifecycle="removed"),
+                    old._replace(lifecycle="up"),
+                    old._replace(lifecycle="up", started_ns=play.now),
+                    old._replace(zone=rng.randint(-1, 2)),
+                    old._replace(cell=rng.randint(-1, 2)),
+                    old._replace(weight=rng.choice([0.5, 1.0, 3.0])),
+                ]
+            )
             play.step(Directory("INCREMENTAL", (known[name],)))
         seen |= {s.k == 0 for s in play.pair[0]._up} | ({"left"} if play.pair[0]._gone else set())
     assert seen == {True, False, "left"}
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -17,8 +17,12 @@
     parts = [f"{{x{i}}}" if part == "{x}" else part for i, part in enumerate(parts)]
     text = "/" + "/".join(parts) + draw(st.sampled_from(["", "/*"]))
     headers = draw(st.dictionaries(st.sampled_from([b"h1", b"h2", b"h3"]), VALUES, max_size=2))
-    return Match(parse(text), draw(st.sampled_from([None, b"GET", b"POST"])),
-                 draw(st.sampled_from([None, b"t1", b"t2"])), tuple(sorted(headers.items())))
+    return Match(
+        parse(text),
+        draw(st.sampled_from([None, b"GET", b"POST"])),
+        draw(st.sampled_from([None, b"t1", b"t2"])),
+        tuple(sorted(headers.items())),
+    )
 
 
 def fits(match, method, path, tenant, headers):
@@ -26,15 +30,21 @@
     own = match.pattern.parts
     if len(parts) < len(own) + match.pattern.below or (len(parts) > len(own) and not match.pattern.below):
         return False
-    return (all(want in (None, got) and (want is not None or got) for want, got in zip(own, parts, strict=False))
-            and match.method in (None, method) and match.tenant in (None, tenant)
-            and all(headers.get(name) == value for name, value in match.headers))
-
-
-@given(st.lists(matches(), max_size=12),
-       st.lists(st.sampled_from([b"a", b"b", b"c", b"d", b""]), max_size=4),
-       st.sampled_from([b"GET", b"POST"]), st.sampled_from([None, b"t1", b"t2", b"t3"]),
-       st.dictionaries(st.sampled_from([b"h1", b"h2", b"h3"]), VALUES))
+    return (
+        all(want in (None, got) and (want is not None or got) for want, got in zip(own, parts, strict=False))
+        and match.method in (None, method)
+        and match.tenant in (None, tenant)
+        and all(headers.get(name) == value for name, value in match.headers)
+    )
+
+
+@given(
+    st.lists(matches(), max_size=12),
+    st.lists(st.sampled_from([b"a", b"b", b"c", b"d", b""]), max_size=4),
+    st.sampled_from([b"GET", b"POST"]),
+    st.sampled_from([None, b"t1", b"t2", b"t3"]),
+    st.dictionaries(st.sampled_from([b"h1", b"h2", b"h3"]), VALUES),
+)
 def test_the_table_agrees_with_a_look_at_every_route(routes, parts, method, tenant, headers):
     kept = []
     for match in routes:  # as the proof has it: none that is ambiguous
@@ -49,8 +59,12 @@
 
 @given(st.lists(matches(), min_size=2, max_size=8))
 def test_ambiguous_pairs_are_those_that_overlap_and_are_equal_in_order(routes):
-    pairs = {(i, j) for i, one in enumerate(routes) for j, two in enumerate(routes)
-             if i < j and one.order == two.order and one.overlaps(two)}
+    pairs = {
+        (i, j)
+        for i, one in enumerate(routes)
+        for j, two in enumerate(routes)
+        if i < j and one.order == two.order and one.overlaps(two)
+    }
     told = set(ambiguous(routes))
     assert told <= pairs and bool(told) == bool(pairs)
 
@@ -82,26 +96,47 @@
 
 
 def test_many_tenants_on_one_path_and_many_header_values():
-    table = Table([(Match(parse("/a"), None, f"t{i}".encode()), i) for i in range(2000)]
-                  + [(Match(parse("/b"), None, None, ((b"x-kind", f"{i}".encode()),)), i) for i in range(2000)])
+    table = Table(
+        [(Match(parse("/a"), None, f"t{i}".encode()), i) for i in range(2000)]
+        + [(Match(parse("/b"), None, None, ((b"x-kind", f"{i}".encode()),)), i) for i in range(2000)]
+    )
     assert table.find(b"GET", b"/a", b"t1999", {}) == 1999 and table.find(b"GET", b"/a", b"t2000", {}) is None
     assert table.find(b"GET", b"/b", None, {b"x-kind": b"77"}) == 77
 
 
 def test_order_path_before_method_before_tenant_before_headers():
-    names = [("/a/*", None, None, 0), ("/a/{x}", None, None, 0), ("/a/{x}", None, None, 1), ("/a/{x}", None, b"t", 0),
-             ("/a/{x}", b"GET", None, 0), ("/a/{x}", b"GET", b"t", 0), ("/a/7", None, None, 0)]
+    names = [
+        ("/a/*", None, None, 0),
+        ("/a/{x}", None, None, 0),
+        ("/a/{x}", None, None, 1),
+        ("/a/{x}", None, b"t", 0),
+        ("/a/{x}", b"GET", None, 0),
+        ("/a/{x}", b"GET", b"t", 0),
+        ("/a/7", None, None, 0),
+    ]
     rows = [(Match(parse(p), m, t, ((b"h", b"1"),)[:n]), i) for i, (p, m, t, n) in enumerate(names)]
     for last in range(len(rows), 0, -1):
         assert Table(rows[:last]).find(b"GET", b"/a/7", b"t", {b"h": b"1"}) == last - 1
 
 
-@pytest.mark.parametrize("pattern, path, fit", [
-    ("/a", b"/a", True), ("/a", b"/a/", False), ("/a/{x}", b"/a/", False), ("/a/{x}", b"/a/b", True),
-    ("/a/*", b"/a", False), ("/a/*", b"/a/", True), ("/a/*", b"/a/b/c", True), ("/a/", b"/a/", True),
-    ("/a/%7Eb", b"/a/~b", True), ("/a/b", b"/a/%62", True), ("/a/b", b"/a/%2Fb", False), ("/a", b"*", False),
-    ("/a/%c3%b6", b"/a/%C3%B6", True),
-])
+@pytest.mark.parametrize(
+    "pattern, path, fit",
+    [
+        ("/a", b"/a", True),
+        ("/a", b"/a/", False),
+        ("/a/{x}", b"/a/", False),
+        ("/a/{x}", b"/a/b", True),
+        ("/a/*", b"/a", False),
+        ("/a/*", b"/a/", True),
+        ("/a/*", b"/a/b/c", True),
+        ("/a/", b"/a/", True),
+        ("/a/%7Eb", b"/a/~b", True),
+        ("/a/b", b"/a/%62", True),
+        ("/a/b", b"/a/%2Fb", False),
+        ("/a", b"*", False),
+        ("/a/%c3%b6", b"/a/%C3%B6", True),
+    ],
+)
 def test_paths(pattern, path, fit):
     assert (Table([(Match(parse(pattern)), 1)]).find(b"GET", path, None, {}) == 1) is fit
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -36,18 +36,21 @@
 
 def test_a_request_goes_through_unchanged_and_connections_are_kept():
     """Found: every connection to a server was closed after one answer, as the parser was asked too late."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             for number in range(3):
-                status, _, body = await client.ask("guarded", f"id-{number}", body=b"x" * 60_000,
-                                                   Idempotency_Key="k1", Connection="keep-alive")
+                status, _, body = await client.ask(
+                    "guarded", f"id-{number}", body=b"x" * 60_000, Idempotency_Key="k1", Connection="keep-alive"
+                )
                 assert (status, body) == (200, f"id-{number}".encode())
             call = server.calls[0]
             assert (call.method, call.target, call.body) == ("POST", "/guarded?q=1", b"x" * 60_000)
             assert call.headers["x-request-id"] == "id-0" and call.headers["idempotency-key"] == "k1"
             assert 4.0 < float(call.headers["X-Timeout"]) < 5.0
             assert "connection" not in call.headers and server.connections == 1
+
     play(scene)
 
 
@@ -58,6 +61,7 @@
             async with Server(script) as bad, sidecar(line("s1", bad.port), line("s2", bad.port)) as world:
                 status, _, _ = await (await world.client()).ask(cls, method=method)
                 assert (status, len(bad.calls)) == ((503, 2) if repeated else (502, 1))
+
     play(scene)
 
 
@@ -78,11 +82,13 @@
                     status, _, _ = await client.ask("single_shot", f"{number}")
                     assert status == 200
                 assert len(good.calls) == 5
+
     play(scene)
 
 
 def test_a_connection_closed_while_idle_is_not_sent_on():
     """A send on it would count as run, and an unsafe request would be lost for nothing."""
+
     async def once(talk: Conversation, call: Call) -> None:
         await ok(talk, call)
         talk.writer.close()
@@ -93,23 +99,27 @@
             for number in range(20):
                 assert (await client.ask("single_shot", f"{number}"))[0] == 200
             assert len(server.calls) == 20
+
     play(scene)
 
 
 def test_a_connection_that_ended_before_the_first_send_has_not_run():
     """A server at its limit accepts and closes; a write then raised, and the attempt had no outcome."""
+
     async def scene():
         async with Server(ok) as server:
             loop = asyncio.get_running_loop()
             lost, ended = asyncio.Event(), []
             _, connection = await loop.create_connection(
-                lambda: Connection(lambda _: lost.set()), "127.0.0.1", server.port)
+                lambda: Connection(lambda _: lost.set()), "127.0.0.1", server.port
+            )
             sock = connection._transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)  # the loop's doing
             connection.close()
             await lost.wait()
             connection.send(b"GET / HTTP/1.1\r\n\r\n", ended.append)
             assert ended == [None] and not connection.written
+
     play(scene)
 
 
@@ -137,6 +147,7 @@
         await ended.wait()
         assert outcomes == [How.CONNECT_FAILED]
         server.close()
+
     play(scene)
 
 
@@ -150,9 +161,9 @@
                 upstream.update(name, Address("127.0.0.1", server.port), 0, True)
                 done: asyncio.Future[How] = asyncio.get_running_loop().create_future()
                 request = b"GET / HTTP/1.1\r\nHost: s\r\n\r\n"
-                upstream.exchange(name, lambda r=request: r, 10.0, lambda how, _, d=done: d.set_result(how)
-                                  ).start()
+                upstream.exchange(name, lambda r=request: r, 10.0, lambda how, _, d=done: d.set_result(how)).start()
                 assert await done is How.OK  # four servers by turns over two descriptors
+
     play(scene)
 
 
@@ -180,12 +191,14 @@
             outcome = await told.get()
             assert isinstance(outcome, Response) and outcome.how == How.OK and outcome.closed
             assert not world.sidecar.core.calls
+
     play(scene)
 
 
 @pytest.mark.plain
 def test_a_held_request_whose_client_leaves_is_forgotten():
     """Found on reading: its entry stayed in the table for good."""
+
     async def scene():
         told = asyncio.Queue()
         async with sidecar() as world:
@@ -200,6 +213,7 @@
             while not isinstance(await told.get(), Hangup):
                 pass
             assert not world.sidecar.core.calls
+
     play(scene)
 
 
@@ -217,11 +231,13 @@
                 await client.send(head.encode())
             assert [(await client.answer())[2] for _ in range(3)] == [b"a", b"b", b"c"]
             assert float(server.calls[1].headers["X-Timeout"]) < 4.8
+
     play(scene)
 
 
 def test_time_that_the_process_stood_still_counts_for_the_client(capfd):
     """Found with a third of a core: a request read late was answered after its client's time."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
@@ -232,6 +248,7 @@
             assert (await asking)[0] == 200
             assert float(server.calls[0].headers["X-Timeout"]) > 4.8
             assert float(server.calls[1].headers["X-Timeout"]) < 4.6
+
     play(scene)
     assert "stood_still" in capfd.readouterr().err
 
@@ -245,6 +262,7 @@
                 patch.setattr(world.sidecar.core, "_new_id", lambda rid, now: 1 // 0)
                 assert (await client.ask())[0] == 500
             assert (await client.ask())[0] == 200
+
     play(scene)
     assert "ZeroDivisionError" in capfd.readouterr().err
 
@@ -292,6 +310,7 @@
                 assert idle and not world.sidecar._upstream._targets["s1"].idle
                 status, headers, _ = await asking  # one answer: the first
                 assert status == 503 and headers["retry-after"] == "0.250"
+
     play(scene)
     assert "a word" in capfd.readouterr().err
 
@@ -304,15 +323,18 @@
             world.sidecar.core.module.handle = lambda now, event: []
             assert (await client.ask("single_shot", timeout="0.2"))[0] == 503  # never sent
             world.sidecar.core.module.handle = lambda now, event: (
-                [Submit(event.tid, "s1", now + 10**9)] if isinstance(event, Accept) else [])
+                [Submit(event.tid, "s1", now + 10**9)] if isinstance(event, Accept) else []
+            )
             assert (await client.ask("single_shot", timeout="0.2"))[0] == 504  # may have run
             assert (await client.ask("free", timeout="0.2"))[0] == 503
+
     play(scene)
 
 
 @pytest.mark.plain
 def test_alarms_never_come_early():
     """The loop counts whole milliseconds; the module lets an alarm that is early by its clock pass."""
+
     async def scene():
         async with sidecar() as world:
             told = asyncio.Queue()
@@ -325,6 +347,7 @@
             while due:
                 at, alarm = await told.get()
                 assert at >= due.pop(alarm.tag)
+
     play(scene)
 
 
@@ -339,6 +362,7 @@
             status, _, _ = await client.ask("single_shot", timeout="1.5")
             assert status == 504 and asyncio.get_running_loop().time() - start > 1.0
             assert len(server.calls) == 1
+
     play(scene)
 
 
@@ -352,6 +376,7 @@
             assert (await client.ask("single_shot", "1"))[0] == 503  # never sent, so a retry is harmless
             monkeypatch.setattr(world.sidecar.core.module, "handle", real)
             assert (await client.ask("single_shot", "2"))[0] == 200
+
     play(scene)
     assert "ZeroDivisionError" in capfd.readouterr().err
 
@@ -362,6 +387,5 @@
             client = await world.client()
             await client.send(b"GET /-/ready HTTP/1.1\r\nHost: app\r\n\r\n")
             assert (await client.answer())[0] == 503
-    play(scene)
-
 
+    play(scene)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -25,14 +25,12 @@
 
 def head(size: int | None, *more: bytes, cls: bytes = b"single_shot") -> bytes:
     framing = b"Transfer-Encoding: chunked" if size is None else b"Content-Length: %d" % size
-    lines = [b"POST /%s HTTP/1.1" % cls, b"Host: app", b"X-Request-ID: long-%d" % next(IDS),
-             b"X-Timeout: 5",
-             framing]
+    lines = [b"POST /%s HTTP/1.1" % cls, b"Host: app", b"X-Request-ID: long-%d" % next(IDS), b"X-Timeout: 5", framing]
     return b"\r\n".join([*lines, *more]) + b"\r\n\r\n"
 
 
 def chunks(data: bytes, size: int) -> bytes:
-    pieces = (data[at:at + size] for at in range(0, len(data), size))
+    pieces = (data[at : at + size] for at in range(0, len(data), size))
     framed = b"".join(b"%x;ext=1\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
     return framed + b"0\r\nX-Request-ID: trailer\r\n\r\n"
 
@@ -85,6 +83,7 @@
                 assert (status, answer.decode()) == (200, hashlib.sha256(body).hexdigest())
                 assert "connection" not in headers
             assert world.sidecar._budget.used == 0
+
     play(scene)
 
 
@@ -92,6 +91,7 @@
 @pytest.mark.parametrize("memory_mb", [46, 192])
 def test_bodies_in_pieces_between_slow_peers_come_whole(memory_mb):
     """Many at once, with pauses on both sides, in little memory and in much."""
+
     async def scene():
         rng = random.Random(memory_mb)
 
@@ -109,7 +109,7 @@
             at = 0
             while at < len(sent):
                 step = rng.choice([1, 100, 10_000, 12_044, 300_000, 1_000_000])
-                await client.send(sent[at:at + step])
+                await client.send(sent[at : at + step])
                 at += step
                 if rng.random() < 0.2:
                     await asyncio.sleep(rng.random() * 0.05)
@@ -126,11 +126,13 @@
                 await asyncio.gather(*(one(world, number) for number in range(12)))
                 assert statuses == [200] * 12
                 assert world.sidecar._budget.used == 0
+
     play(scene)
 
 
 def test_a_read_that_tips_a_body_over_its_share_is_not_parsed_twice(monkeypatch):
     """Found on the bench: the part of a read before the tip went out again behind it."""
+
     async def scene():
         body = noise(FLOOR * 3)
         async with Server(digest) as server, sidecar(line("s1", server.port)) as world:
@@ -139,6 +141,7 @@
             await client.send(head(len(body)) + body)  # one read, several pieces
             status, _, answer = await client.answer()
             assert (status, answer.decode()) == (200, hashlib.sha256(body).hexdigest())
+
     play(scene)
 
 
@@ -147,8 +150,11 @@
 
 def long_answer(body: bytes, framing: str, cut: int | None = None):
     async def script(talk: Conversation, call: Call) -> None:
-        lines = {"length": f"Content-Length: {len(body)}", "chunked": "Transfer-Encoding: chunked",
-                 "end": "Connection: close"}
+        lines = {
+            "length": f"Content-Length: {len(body)}",
+            "chunked": "Transfer-Encoding: chunked",
+            "end": "Connection: close",
+        }
         talk.writer.write(f"HTTP/1.1 200 OK\r\n{lines[framing]}\r\nX-Odd: kept\r\n\r\n".encode())
         sent = chunks(body, 50_000) if framing == "chunked" else body
         talk.writer.write(sent if cut is None else sent[:cut])
@@ -157,6 +163,7 @@
             talk.reset()
         elif framing == "end":
             talk.writer.close()
+
     return script
 
 
@@ -176,6 +183,7 @@
             stats = await world.figures()
             assert stats['node_success_total{tier="single_shot"}'] == 2 and stats["node_inflight"] == 0
             assert world.sidecar._budget.used == 0 and not world.sidecar.core.calls
+
     play(scene)
 
 
@@ -187,12 +195,18 @@
             await client.send(head(0).replace(b"HTTP/1.1", b"HTTP/1.0"))
             status, headers, answer = await told(client)
             assert status == 200 and answer == body and headers["connection"] == "close"
+
     play(scene)
 
 
-@pytest.mark.parametrize(("framing", "version"), [
-    ("length", b"1.1"), ("chunked", b"1.1"), ("chunked", b"1.0"),
-])
+@pytest.mark.parametrize(
+    ("framing", "version"),
+    [
+        ("length", b"1.1"),
+        ("chunked", b"1.1"),
+        ("chunked", b"1.0"),
+    ],
+)
 def test_the_client_can_tell_an_answer_that_broke(framing, version):
     async def scene():
         script = long_answer(noise(5 * MB), framing, cut=2 * MB)
@@ -203,6 +217,7 @@
                 await told(client)
             assert (await world.figures())['node_failure_total{tier="single_shot"}'] == 1
             assert len(server.calls) == 1 and not world.sidecar.core.calls  # and is not sent again
+
     play(scene)
 
 
@@ -233,6 +248,7 @@
             assert heard.is_set() and (await world.figures())["node_inflight"] == 1
             go.set()
             assert await client.reader.readexactly(100_000) == b"b" * 100_000
+
     play(scene)
 
 
@@ -266,6 +282,7 @@
             client.reader._limit = 1 << 20
             await client.reader.readuntil(b"\r\n\r\n")
             assert len(await client.reader.readexactly(32 * MB)) == 32 * MB
+
     play(scene)
 
 
@@ -288,6 +305,7 @@
             while world.sidecar.core.calls:
                 await asyncio.sleep(0.01)
             assert world.sidecar._budget.used == 0 and (await world.figures())["node_inflight"] == 0
+
     play(scene)
 
 
@@ -305,6 +323,7 @@
             await client.send(head(0))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await told(client)
+
     play(scene)
 
 
@@ -336,6 +355,7 @@
             asking.cancel()
             assert (await world.figures())["node_backend_calls_total"] == 0
         server.close()
+
     play(scene)
 
 
@@ -360,14 +380,18 @@
                 await asyncio.sleep(0.01)
             assert world.sidecar._budget.used == 0
         server.close()
+
     play(scene)
 
 
-@pytest.mark.parametrize(("sent", "status"), [
-    (lambda: partial(8 * MB, 3 * MB), 408),
-    (lambda: head(None) + b"%x\r\n" % (3 * MB) + noise(3 * MB) + b"\r\nno size\r\n", 400),
-    (lambda: head(None) + (b"%x\r\n" % MB + noise(MB) + b"\r\n") * 34, 413),
-])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (lambda: partial(8 * MB, 3 * MB), 408),
+        (lambda: head(None) + b"%x\r\n" % (3 * MB) + noise(3 * MB) + b"\r\nno size\r\n", 400),
+        (lambda: head(None) + (b"%x\r\n" % MB + noise(MB) + b"\r\n") * 34, 413),
+    ],
+)
 def test_a_body_that_stops_or_goes_wrong_on_its_way_gets_its_error(monkeypatch, sent, status):
     monkeypatch.setattr(client_side, "WHOLE_S", 0.2)
     monkeypatch.setattr(client_side, "PAUSE_S", 0.5)
@@ -383,6 +407,7 @@
                 await asyncio.sleep(0.01)
             assert world.sidecar._budget.used == 0
             assert (await (await world.client()).ask())[0] == 200 or server.calls
+
     play(scene)
 
 
@@ -397,6 +422,7 @@
                 await asyncio.sleep(0.1)
                 await client.send(b"x" * 2000)
             assert (await client.answer())[0] == 200
+
     play(scene)
 
 
@@ -417,17 +443,20 @@
             assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             await client.send(b"abc")
             assert (await client.answer())[0] == 200 and server.calls[1].body == b"abc"
+
     play(scene)
 
 
 def test_blanks_around_values_are_no_part_of_them():
     """Found on the bench: a deadline with a blank behind it passed for none."""
+
     async def scene():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             sent = head(0).replace(b"X-Timeout: 5", b"X-Timeout:\t 5 \t").replace(b"Host: app", b"Host: app ")
             await client.send(sent)
             assert (await client.answer())[0] == 200
+
     play(scene)
 
 
@@ -438,6 +467,7 @@
             await client.send(head(None) + b"3\r\nabc\r\n0\r\nX-Timeout: 9\r\nX-Request-ID: other\r\n\r\n")
             assert (await client.answer())[0] == 200
             assert server.calls[0].headers["x-request-id"].startswith("long-")
+
     play(scene)
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -47,11 +47,22 @@
         control, number = free_port(), len(self.started)
         path = self.folder / f"config{number}.json"
         path.write_text(json.dumps(config(listen=f"127.0.0.1:{self.port}", known=listing(*self.lines))))
-        env = {**os.environ, "NODE_CONFIG": str(path), "NODE_CONTROL": f"127.0.0.1:{control}",
-               "NODE_LISTEN_FD": str(self.socket.fileno()), "TMPDIR": str(self.folder)}
+        env = {
+            **os.environ,
+            "NODE_CONFIG": str(path),
+            "NODE_CONTROL": f"127.0.0.1:{control}",
+            "NODE_LISTEN_FD": str(self.socket.fileno()),
+            "TMPDIR": str(self.folder),
+        }
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hollyport", cwd=ROOT, env=env, pass_fds=[self.socket.fileno()],
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "hollyport",
+            cwd=ROOT,
+            env=env,
+            pass_fds=[self.socket.fileno()],
+            stderr=asyncio.subprocess.PIPE,
+        )
         self.started.append(process)
         await heard(process, b"listening")
         assert (await operate(control, "GET /healthcheck"))[0] == 200
@@ -68,6 +79,7 @@
 
 def test_the_new_process_goes_on_where_the_old_one_stands(tmp_path):
     """Nothing refused, nothing lost, ids known across both, and nothing taken back from the queue."""
+
     async def scene():
         came, go = asyncio.Event(), asyncio.Event()
 
@@ -102,6 +114,7 @@
             assert (await (await platform.client()).ask())[0] == 200
             assert await asyncio.wait_for(new.wait(), LIMIT_S) == 0
             assert (await (await platform.client()).ask())[0] == 200
+
     play(scene)
 
 
@@ -119,6 +132,7 @@
             assert (await (await platform.client()).ask("single_shot", "at-old"))[0] == 409
             assert (await (await platform.client()).ask("single_shot", "at-new"))[0] == 200
             assert (await kept[1].ask("single_shot", "at-new"))[0] == 409
+
     play(scene)
 
 
@@ -130,6 +144,7 @@
             old.kill()
             await heard(new, b"takeover.clients_taken")
             assert (await (await platform.client()).ask())[0] == 200
+
     play(scene)
 
 
@@ -149,11 +164,13 @@
             old.send_signal(signal.SIGTERM)
             await heard(last, b"takeover.clients_taken")
             assert (await (await platform.client()).ask())[0] == 200
+
     play(scene)
 
 
 def test_without_a_new_process_the_queue_is_left_as_it_is(tmp_path):
     """Shutting the socket down would end it for the platform and for whoever comes next."""
+
     async def scene():
         async with Server(ok) as server, Platform(tmp_path, line("s1", server.port)) as platform:
             old, _ = await platform.start()
@@ -163,16 +180,28 @@
             asking = asyncio.ensure_future(early.ask())
             await platform.start()  # the path is there, and nobody behind it
             assert (await asking)[0] == 200
+
     play(scene)
 
 
-@pytest.mark.parametrize("said", [
-    b"", b"\xff" * 40, LENGTH.pack(4) + b"nope", LENGTH.pack(2) + b"[]",
-    *[LENGTH.pack(len(text)) + text for text in (
-        b'{"kind": "hello", "v": 99}', b'{"kind": "hello", "v": 1}',
-        b'{"kind": "hello", "v": 1, "list": [], "ids": [[1]], "memory": {"version": 1, "own": 3}}',
-        b'{"kind": "hello", "v": 1, "list": {"index": 9, "lines": [["s1", 2]]}, "ids": 7, "memory": []}')],
-])
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"",
+        b"\xff" * 40,
+        LENGTH.pack(4) + b"nope",
+        LENGTH.pack(2) + b"[]",
+        *[
+            LENGTH.pack(len(text)) + text
+            for text in (
+                b'{"kind": "hello", "v": 99}',
+                b'{"kind": "hello", "v": 1}',
+                b'{"kind": "hello", "v": 1, "list": [], "ids": [[1]], "memory": {"version": 1, "own": 3}}',
+                b'{"kind": "hello", "v": 1, "list": {"index": 9, "lines": [["s1", 2]]}, "ids": 7, "memory": []}',
+            )
+        ],
+    ],
+)
 def test_an_old_process_that_says_nothing_usable_means_a_cold_start(monkeypatch, tmp_path, said):
     monkeypatch.setattr(takeover, "HELLO_S", 0.2)
 
@@ -193,15 +222,25 @@
         async with Server(ok) as server:
             await asyncio.start_unix_server(greet, str(tmp_path / takeover.NAME))
             made = Sidecar(
-                Config("n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 1024,
-                       listing(line("s1", server.port)), Settings.parse(settings()),
-                       listen_fd=os.dup(held.fileno()), folder=str(tmp_path)),
-                asyncio.get_running_loop())
+                Config(
+                    "n0",
+                    Address("127.0.0.1", 0),
+                    Address("127.0.0.1", 1),
+                    7,
+                    1024,
+                    listing(line("s1", server.port)),
+                    Settings.parse(settings()),
+                    listen_fd=os.dup(held.fileno()),
+                    folder=str(tmp_path),
+                ),
+                asyncio.get_running_loop(),
+            )
             port = await made.start()
             assert made.healthy()  # a first yes; the old one's word is due
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             assert (await client.ask())[0] == 200
         held.close()
+
     play(scene)
 
 
@@ -239,6 +278,7 @@
             await asyncio.sleep(0.01)
         assert shares == [2, 2, 1, 1] and not old.linked()
         old.close()
+
     play(scene)
 
 
@@ -273,11 +313,19 @@
     assert new._servers["10.0.0.1:80"].k == 1
 
 
-@pytest.mark.parametrize("spoil", [
-    lambda m: None, lambda m: [], lambda m: {**m, "version": 0}, lambda m: {**m, "own": {}},
-    lambda m: {**m, "crowding": float("nan")}, lambda m: {**m, "classes": {"free": []}},
-    lambda m: {**m, "servers": {"10.0.0.1:80": {"started": 0}}}, lambda m: {**m, "servers": 7},
-])
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda m: None,
+        lambda m: [],
+        lambda m: {**m, "version": 0},
+        lambda m: {**m, "own": {}},
+        lambda m: {**m, "crowding": float("nan")},
+        lambda m: {**m, "classes": {"free": []}},
+        lambda m: {**m, "servers": {"10.0.0.1:80": {"started": 0}}},
+        lambda m: {**m, "servers": 7},
+    ],
+)
 def test_useless_memory_changes_nothing(spoil):
     new = balancer(servers=3)
     before = memory.told(new, 0)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -11,9 +11,15 @@
 
 
 def fleet(servers, seed=7, index=0):
-    settings = Settings.parse({"replicasOfMe": 40, "index": index, "classes": [{"name": "free", "onTimeNs": SECOND,
-                               "hardLimitNs": 2 * SECOND, "repeat": "free"}],
-                               "limits": {"maxAttempts": 3}, "reporting": {"how": "answers"}})
+    settings = Settings.parse(
+        {
+            "replicasOfMe": 40,
+            "index": index,
+            "classes": [{"name": "free", "onTimeNs": SECOND, "hardLimitNs": 2 * SECOND, "repeat": "free"}],
+            "limits": {"maxAttempts": 3},
+            "reporting": {"how": "answers"},
+        }
+    )
     balancer = Balancer(settings, seed, SECOND)
     names = [f"s{i}" for i in range(servers)]
     balancer.handle(SECOND, Directory("FULL", tuple(Entry(name) for name in names)))
@@ -32,8 +38,9 @@
                 sent[action.server] += 1
                 how, load = answer(action.server)
                 number = balancer._calls[action.tid].attempts - 1
-                waiting += balancer.handle(now + 40 * MS, Response(
-                    action.tid, how, 40 * MS, action.server, number, how is How.OK, load))
+                waiting += balancer.handle(
+                    now + 40 * MS, Response(action.tid, how, 40 * MS, action.server, number, how is How.OK, load)
+                )
     return sent
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -45,6 +45,7 @@
                 assert [query["after"] for _, query, _ in calls] == [["1"], ["7"], ["9"]]
                 assert calls[0][1]["wait_ms"] == ["0"] and int(calls[1][1]["wait_ms"][0]) > 0
                 assert (await (await world.client()).ask())[0] == 200
+
     play(scene)
 
 
@@ -61,19 +62,28 @@
                 await registry.asked.get()
             scopes = [event.scope for event in told if hasattr(event, "scope")]
             assert scopes == ["FAILED", "FAILED", "FAILED", "FULL", "FAILED"]
+
     play(scene)
 
 
 def test_bad_entries_cost_only_themselves(capfd):
     async def scene():
         async with Server(ok) as server:
-            bad = [7, {}, line("x", 1, address="nowhere"), line("y", 1, weight="heavy"),
-                   line("z", 1, group=None), line("q", 1, zone=[]), line("s2", server.port, status="ODD")]
+            bad = [
+                7,
+                {},
+                line("x", 1, address="nowhere"),
+                line("y", 1, weight="heavy"),
+                line("z", 1, group=None),
+                line("q", 1, zone=[]),
+                line("s2", server.port, status="ODD"),
+            ]
             registry = Registry({"index": 3, "snapshot": True, "endpoints": [*bad, line("s1", server.port)]})
             async with Server(registry) as place, sidecar(discovery=place.port, raw=ASKS) as world:
                 for _ in range(2):
                     await registry.asked.get()
                 assert (await (await world.client()).ask())[0] == 200
+
     play(scene)
     assert "entry_left_out" in capfd.readouterr().err
 
@@ -82,31 +92,29 @@
     async def scene():
         async with Server(ok) as old, Server(ok) as new:
             registry = Registry(listing(index=2, snapshot=False))
-            async with Server(registry) as place, sidecar(
-                line("s1", old.port), discovery=place.port, raw=ASKS
-            ) as world:
+            async with (
+                Server(registry) as place,
+                sidecar(line("s1", old.port), discovery=place.port, raw=ASKS) as world,
+            ):
                 client = await world.client()
                 assert (await client.ask("single_shot", "1"))[0] == 200
                 for _ in range(2):
                     await registry.asked.get()
-                registry.answers.put_nowait(
-                    listing(line("s1", old.port, status="DRAINING"), index=3, snapshot=False))
+                registry.answers.put_nowait(listing(line("s1", old.port, status="DRAINING"), index=3, snapshot=False))
                 await registry.asked.get()
                 assert (await client.ask("single_shot", "2", timeout="1"))[0] == 503 and len(old.calls) == 1
-                registry.answers.put_nowait(
-                    listing(line("s1", old.port, since_ms=1000), index=4, snapshot=False))
+                registry.answers.put_nowait(listing(line("s1", old.port, since_ms=1000), index=4, snapshot=False))
                 await registry.asked.get()
                 assert (await client.ask("single_shot", "3"))[0] == 200
                 assert old.connections == 2  # the process before is not talked to on its connection
-                registry.answers.put_nowait(
-                    listing(line("s1", new.port, since_ms=1000), index=5, snapshot=False))
+                registry.answers.put_nowait(listing(line("s1", new.port, since_ms=1000), index=5, snapshot=False))
                 await registry.asked.get()
                 assert (await client.ask("single_shot", "4"))[0] == 200 and len(new.calls) == 1
-                registry.answers.put_nowait(
-                    listing(line("s1", new.port, status="DELETED"), index=6, snapshot=False))
+                registry.answers.put_nowait(listing(line("s1", new.port, status="DELETED"), index=6, snapshot=False))
                 await registry.asked.get()
                 assert (await client.ask("single_shot", "5", timeout="1"))[0] == 503 and len(new.calls) == 1
                 assert not world.sidecar._upstream._targets
+
     play(scene)
 
 
@@ -125,6 +133,7 @@
                     await registry.asked.get()
                 assert [event.scope for event in told] == ["FULL"]
                 assert (await (await world.client()).ask())[0] == 200
+
     play(scene)
 
 
@@ -137,6 +146,7 @@
                 for _ in range(2):  # the second call proves that the module asked again
                     await registry.asked.get()
             assert world.sidecar.ready() is False
+
     play(scene)
     assert "ZeroDivisionError" in capfd.readouterr().err
 
@@ -145,6 +155,7 @@
 def test_a_silent_or_broken_watch_costs_a_part_of_the_time_a_list_may_be_old():
     """Found: a watch waited for all of that time and two seconds more, its connection being silent, and one
     failure more than doubled it: through a release a sidecar knew none of the new servers for 19 s."""
+
     async def scene():
         may_be_old = 60.0
         raw = settings(discovery="subscribe", invariants={"mustAskInNs": int(may_be_old * 1e9)})
@@ -167,4 +178,5 @@
             registry.answers.put_nowait(None)
             await failed.wait()
             assert (module._asked_at - world.sidecar.core.clock()) / 1e9 <= may_be_old / 4
+
     play(scene)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -208,8 +208,9 @@
 def config(port: int, mode: str, seed: int = 1, **invariants: int) -> Config:
     """`mode` is one of HOW."""
     raw = settings(discovery=HOW[mode], invariants=invariants)
-    return Config("n0", Address("127.0.0.1", 0), Address(HOST, port), seed, 1024, listing(line("s1", 1)),
-                  Settings.parse(raw))
+    return Config(
+        "n0", Address("127.0.0.1", 0), Address(HOST, port), seed, 1024, listing(line("s1", 1)), Settings.parse(raw)
+    )
 
 
 def sidecar(loop: Loop, made: Config) -> process.Sidecar:
