--- a/benchmarks/fleet_list.py
+++ b/benchmarks/fleet_list.py
@@ -19,8 +19,8 @@
 
 from benchmarks.fleet_size import SIZE, servers
 from benchmarks.hollow_list import LargeList
-from rosechute.control.list_client import ListClient
-from rosechute.control.list_reader import ListReader
+from rosechute.control_plane.list_client import ListClient
+from rosechute.control_plane.list_reader import ListReader
 from rosechute.distribution.values import ListedServer
 from rosechute.standin.fleet.platform import Instance
 
--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -17,11 +17,11 @@
 from benchmarks.fleet_size import configuration as body_of
 from rosechute.configuration.operator import parse
 from rosechute.configuration.process import Bounds
-from rosechute.control.list_page import read_page
-from rosechute.control.quota_service import QuotaService
+from rosechute.control_plane.list_page import read_page
+from rosechute.control_plane.quota_service import QuotaService
 from rosechute.coordination.memory import load, write_message
 from rosechute.coordination.views import State
-from rosechute.data.admission import InForce
+from rosechute.data_plane.admission import InForce
 from rosechute.distribution.actions import Dialed
 from rosechute.distribution.membership import SETTLE_S, EdgeIdentity
 from rosechute.distribution.publisher import CoreAddress, Publisher
--- a/benchmarks/fleet_slopes_events.py
+++ b/benchmarks/fleet_slopes_events.py
@@ -18,7 +18,7 @@
 from benchmarks.fitting import Slope
 from rosechute.configuration.operator import parse
 from rosechute.configuration.process import Listen, ProcessLimits, ProcessSettings
-from rosechute.data.plane import DataPlane
+from rosechute.data_plane.plane import DataPlane
 from rosechute.routing.model import ServerEntry
 from rosechute.routing.router import Router
 from rosechute.routing.tuning import RouterTuning
--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -89,8 +89,8 @@
         "        if sent is not None:\n            return [sent]\n",
         "",
     ),
-    "no-rate-leases": _constant("rosechute/control/quota.py", "LEASED_SHARE", "0.0", "0.65"),
-    "no-emergency-rate": _constant("rosechute/control/quota.py", "EMERGENCY_SHARE", "0.0", "0.06"),
+    "no-rate-leases": _constant("rosechute/control_plane/quota.py", "LEASED_SHARE", "0.0", "0.65"),
+    "no-emergency-rate": _constant("rosechute/control_plane/quota.py", "EMERGENCY_SHARE", "0.0", "0.06"),
     "no-noted-holders": _line(
         "rosechute/coordination/lease.py",
         "return noted.edges if self._previous == noted.term else None",
@@ -100,6 +100,6 @@
         f"{ROUTING}/quota_wallet.py", "        if expected_at - now > WAIT_S:", "        if False:"
     ),
     "no-quota-priority": _line(
-        "rosechute/data/plane.py", "request.quota_decided, admitted.priority)", "request.quota_decided, 0)"
+        "rosechute/data_plane/plane.py", "request.quota_decided, admitted.priority)", "request.quota_decided, 0)"
     ),
 }
--- a/rosechute/control/lease_holders.py
+++ b/rosechute/control_plane/lease_holders.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from rosechute.control.rate_leases import REACH_S
+from rosechute.control_plane.rate_leases import REACH_S
 
 TIDY_S = 10.0  # how often a note is made anew only to leave names out
 
--- a/rosechute/data/attempt.py
+++ b/rosechute/data_plane/attempt.py
@@ -9,9 +9,9 @@
 from hollyport.core.flow import Body, Sink
 from hollyport.core.log import LOG
 from hollyport.http1.connection import Echo, Reply
-from rosechute.data import verdict
-from rosechute.data.servers import Link, Server, Servers
-from rosechute.data.verdict import Verdict
+from rosechute.data_plane import verdict
+from rosechute.data_plane.servers import Link, Server, Servers
+from rosechute.data_plane.verdict import Verdict
 
 
 class AttemptOwner(Protocol):
--- a/rosechute/data/client_answer.py
+++ b/rosechute/data_plane/client_answer.py
@@ -12,8 +12,8 @@
 from hollyport.core.flow import Source
 from hollyport.http1.connection import Reply
 from hollyport.http1.message import HOP_BY_HOP, Headers, Message
-from rosechute.data.admission import REQUEST_ID, Admitted, Resume
-from rosechute.data.events import VERSIONS, BrokenStream, EventStream
+from rosechute.data_plane.admission import REQUEST_ID, Admitted, Resume
+from rosechute.data_plane.events import VERSIONS, BrokenStream, EventStream
 
 NOT_RETURNED = HOP_BY_HOP | {b"content-length"}
 MAX_EVENT_BYTES = 256 * 1024  # of one event, where only whole ones are passed on
--- a/rosechute/data/dispatcher.py
+++ b/rosechute/data_plane/dispatcher.py
@@ -9,8 +9,8 @@
 
 from hollyport.core.log import LOG
 from rosechute.configuration.process import Bounds
-from rosechute.data.request import ClientRequest
-from rosechute.data.servers import Servers
+from rosechute.data_plane.request import ClientRequest
+from rosechute.data_plane.servers import Servers
 from rosechute.routing.model import (
     AttemptResult,
     CloseIdle,
--- a/rosechute/data/front.py
+++ b/rosechute/data_plane/front.py
@@ -13,9 +13,9 @@
 from hollyport.http1.listener import Listener, ListenerTimes
 from hollyport.http1.message import Headers, Message
 from rosechute.configuration.operator import Limits
-from rosechute.data.admission import REQUEST_ID, Admitted, Refusal
-from rosechute.data.client_limits import KEEP_SPARE_S, ClientLimits
-from rosechute.data.request import STOPPING_RETRY_S, ClientRequest
+from rosechute.data_plane.admission import REQUEST_ID, Admitted, Refusal
+from rosechute.data_plane.client_limits import KEEP_SPARE_S, ClientLimits
+from rosechute.data_plane.request import STOPPING_RETRY_S, ClientRequest
 
 METHODS = frozenset({b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"})
 CLOSING = frozenset({400, 408, 413, 417, 431})  # of our own answers: what follows a request like that is as bad
--- a/rosechute/data/plane.py
+++ b/rosechute/data_plane/plane.py
@@ -13,16 +13,16 @@
 from hollyport.http1.message import Message
 from rosechute.configuration.operator import Configuration, Tenant
 from rosechute.configuration.process import ProcessSettings
-from rosechute.data.admission import Admitted, InForce, Refusal
-from rosechute.data.dispatcher import Dispatcher, RouterPort
-from rosechute.data.durations import RouteDurations
-from rosechute.data.front import Front
-from rosechute.data.ports import Freshness, QuotaTokens
-from rosechute.data.report import ClientsReport
-from rosechute.data.request import STOPPING_RETRY_S, ClientRequest
-from rosechute.data.servers import Servers
-from rosechute.data.shutdown import Shutdown
-from rosechute.data.traffic_split import SplitSequences
+from rosechute.data_plane.admission import Admitted, InForce, Refusal
+from rosechute.data_plane.dispatcher import Dispatcher, RouterPort
+from rosechute.data_plane.durations import RouteDurations
+from rosechute.data_plane.front import Front
+from rosechute.data_plane.ports import Freshness, QuotaTokens
+from rosechute.data_plane.report import ClientsReport
+from rosechute.data_plane.request import STOPPING_RETRY_S, ClientRequest
+from rosechute.data_plane.servers import Servers
+from rosechute.data_plane.shutdown import Shutdown
+from rosechute.data_plane.traffic_split import SplitSequences
 from rosechute.routing.counts import Counts
 from rosechute.routing.model import AttemptResult, ServerEntry
 
--- a/rosechute/data/request.py
+++ b/rosechute/data_plane/request.py
@@ -13,15 +13,15 @@
 from hollyport.core.log import LOG
 from hollyport.http1.connection import Reply
 from hollyport.http1.message import Message
-from rosechute.data import verdict
-from rosechute.data.admission import REQUEST_ID, Admitted, Refusal, attempt_wire
-from rosechute.data.attempt import Attempt
-from rosechute.data.client_answer import ClientAnswer
-from rosechute.data.events import BrokenStream
-from rosechute.data.request_state import AT_SERVER, UNSENT, RequestState, checked_transition
-from rosechute.data.servers import Server, Servers
-from rosechute.data.silence import SilenceWatch
-from rosechute.data.verdict import Verdict
+from rosechute.data_plane import verdict
+from rosechute.data_plane.admission import REQUEST_ID, Admitted, Refusal, attempt_wire
+from rosechute.data_plane.attempt import Attempt
+from rosechute.data_plane.client_answer import ClientAnswer
+from rosechute.data_plane.events import BrokenStream
+from rosechute.data_plane.request_state import AT_SERVER, UNSENT, RequestState, checked_transition
+from rosechute.data_plane.servers import Server, Servers
+from rosechute.data_plane.silence import SilenceWatch
+from rosechute.data_plane.verdict import Verdict
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
 UNSENT_RETRY_S = 0.25  # when to come back where nothing else tells
--- a/rosechute/data/shutdown.py
+++ b/rosechute/data_plane/shutdown.py
@@ -5,10 +5,10 @@
 import asyncio
 
 from hollyport.core.log import LOG
-from rosechute.data.admission import Admitted, answer_limit
-from rosechute.data.durations import RouteDurations
-from rosechute.data.front import Front
-from rosechute.data.request_state import UNSENT
+from rosechute.data_plane.admission import Admitted, answer_limit
+from rosechute.data_plane.durations import RouteDurations
+from rosechute.data_plane.front import Front
+from rosechute.data_plane.request_state import UNSENT
 
 LEAST_S = 2.5  # for so long clients may come that were sent here before the process was seen not to be ready
 ANSWERED_SHARE = 0.9  # of the requests of a route that end within the time for which one is taken
--- a/rosechute/data/silence.py
+++ b/rosechute/data_plane/silence.py
@@ -10,7 +10,7 @@
 import math
 from typing import Protocol
 
-from rosechute.data.admission import Admitted
+from rosechute.data_plane.admission import Admitted
 
 CLIENT_MARGIN_S = 0.05  # a silent stream is given up so long before its client does
 RESERVED_PATIENCE = 0.25  # part of the client's patience that is left to another server, where one may go on
--- a/rosechute/processes/core.py
+++ b/rosechute/processes/core.py
@@ -22,7 +22,7 @@
     load_from_environment,
     problem_for,
 )
-from rosechute.control.core_machine import CoreMachine
+from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.processes import logs
 from rosechute.processes.core_metrics import core_families
 from rosechute.processes.metrics import CORE_PORT, MetricsServer
--- a/rosechute/processes/core_metrics.py
+++ b/rosechute/processes/core_metrics.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Callable
 
-from rosechute.control.core_machine import CoreMachine
-from rosechute.control.core_report import CoreReport
+from rosechute.control_plane.core_machine import CoreMachine
+from rosechute.control_plane.core_report import CoreReport
 from rosechute.processes.metrics import Family, by_kind, single
 
 
--- a/rosechute/processes/edge.py
+++ b/rosechute/processes/edge.py
@@ -27,7 +27,7 @@
     problem_for,
     split_address,
 )
-from rosechute.data.plane import DataPlane
+from rosechute.data_plane.plane import DataPlane
 from rosechute.distribution.actions import Action, ConfigurationChanged, EdgesTotalChanged, ServersChanged
 from rosechute.distribution.values import ListedServer
 from rosechute.processes import logs
--- a/rosechute/processes/edge_metrics.py
+++ b/rosechute/processes/edge_metrics.py
@@ -5,7 +5,7 @@
 import asyncio
 import math
 
-from rosechute.data.plane import REQUESTS, TURNED_AWAY, DataPlane
+from rosechute.data_plane.plane import REQUESTS, TURNED_AWAY, DataPlane
 from rosechute.processes.edge_links import BYTES_SENT, EdgeLinks
 from rosechute.processes.metrics import Family, Values, by_kind, single
 from rosechute.processes.quota_client import QUOTA_DECISIONS
--- a/rosechute/processes/quota_client.py
+++ b/rosechute/processes/quota_client.py
@@ -18,7 +18,7 @@
 
 
 class QuotaClient:
-    """`rosechute.data.ports.QuotaTokens`, over the link to the leader.
+    """`rosechute.data_plane.ports.QuotaTokens`, over the link to the leader.
 
     `send` passes a message to the leader; `leaderless_since` tells since when none is known, or None.
     """
--- a/tests/fleet/data_site.py
+++ b/tests/fleet/data_site.py
@@ -20,7 +20,7 @@
 
 from rosechute.configuration.operator import Configuration
 from rosechute.configuration.process import Bounds, Listen, ProcessLimits, ProcessSettings
-from rosechute.data.plane import DataPlane
+from rosechute.data_plane.plane import DataPlane
 from rosechute.routing.model import ServerEntry
 from rosechute.routing.router import Router
 from rosechute.routing.tuning import RouterTuning
--- a/tests/fleet/distribution_checkers.py
+++ b/tests/fleet/distribution_checkers.py
@@ -6,7 +6,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from rosechute.data.plane import LEASE_MARGIN_S
+from rosechute.data_plane.plane import LEASE_MARGIN_S
 from rosechute.distribution.actions import ConfigurationChanged, ServersChanged
 from rosechute.distribution.membership import LEASE_S
 from rosechute.distribution.values import CONFIG_TOPIC
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -16,9 +16,9 @@
 from returns.result import Failure, Result, Success
 
 from rosechute.configuration.process import Bounds, CloudApi, Listen, ProcessSettings
-from rosechute.control.core_machine import CoreMachine
-from rosechute.control.list_page import Instance, ListProblem, Page
-from rosechute.control.list_reader import ListReader
+from rosechute.control_plane.core_machine import CoreMachine
+from rosechute.control_plane.list_page import Instance, ListProblem, Page
+from rosechute.control_plane.list_reader import ListReader
 from rosechute.coordination.types import CommittedConfiguration, Identity
 from rosechute.distribution.actions import Send
 from rosechute.distribution.subscriber import Subscriber
--- a/tests/fleet/distribution_world.py
+++ b/tests/fleet/distribution_world.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from rosechute.configuration.process import Bounds
-from rosechute.control.list_page import Instance
+from rosechute.control_plane.list_page import Instance
 from rosechute.distribution.actions import (
     Action,
     ConfigurationChanged,
@@ -54,12 +54,12 @@
 
 def setUpModule() -> None:
     """Of the tests that import it: what is played here would be told at length."""
-    logger.disable("rosechute.control")
+    logger.disable("rosechute.control_plane")
 
 
 def tearDownModule() -> None:
     """The same."""
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 @dataclass
--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -73,7 +73,7 @@
     ),
     Area(
         "control",
-        ["rosechute/control/*.py"],
+        ["rosechute/control_plane/*.py"],
         ["test_planted_control*", "test_control_*", "test_quota_leases", "test_distribution_wallet", "test_quota_*"],
         ["test_distribution_wallet", "test_quota_sum", "test_control_runtime"],
     ),
@@ -86,11 +86,14 @@
     Area(
         "requests",
         [
-            "rosechute/data/request*.py",
-            "rosechute/data/client_answer.py",
-            "rosechute/data/silence.py",
-            "rosechute/data/durations.py",
-            *(f"rosechute/data/{name}.py" for name in ("attempt", "verdict", "servers", "admission", "shutdown")),
+            "rosechute/data_plane/request*.py",
+            "rosechute/data_plane/client_answer.py",
+            "rosechute/data_plane/silence.py",
+            "rosechute/data_plane/durations.py",
+            *(
+                f"rosechute/data_plane/{name}.py"
+                for name in ("attempt", "verdict", "servers", "admission", "shutdown")
+            ),
         ],
         [
             "test_planted_requests*",
--- a/tests/fleet/quota_world.py
+++ b/tests/fleet/quota_world.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from rosechute.configuration.process import Bounds
-from rosechute.control.quota_service import QuotaService
+from rosechute.control_plane.quota_service import QuotaService
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.processes.quota_client import QuotaClient
 
--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from rosechute.control.orders import order_digest
-from rosechute.control.replica_runtime import Done, ReplicaRuntime
+from rosechute.control_plane.orders import order_digest
+from rosechute.control_plane.replica_runtime import Done, ReplicaRuntime
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import CommittedConfiguration, Configuration, Elsewhere, Outcome, ReplicaConfig
 from rosechute.messages.coordination_pb2 import CoreMessage
--- a/tests/fleet/simulation/losses.py
+++ b/tests/fleet/simulation/losses.py
@@ -10,7 +10,7 @@
 from functools import partial
 from random import Random
 
-from rosechute.control.core_machine import FAREWELL_S, HAND_OVER_POLL_S, HAND_OVER_WITHIN_S
+from rosechute.control_plane.core_machine import FAREWELL_S, HAND_OVER_POLL_S, HAND_OVER_WITHIN_S
 from tests.fleet.simulation.faults import CATCH_UP_S
 from tests.fleet.simulation.machine import Machine
 from tests.fleet.simulation.storage import SYNC_S
--- a/tests/fleet/simulation/machine.py
+++ b/tests/fleet/simulation/machine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from rosechute.control.replica_runtime import ReplicaRuntime
+from rosechute.control_plane.replica_runtime import ReplicaRuntime
 from rosechute.coordination import (
     Action,
     Committed,
--- a/tests/fleet/simulation/operators.py
+++ b/tests/fleet/simulation/operators.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from rosechute.control.orders import order_digest
+from rosechute.control_plane.orders import order_digest
 from rosechute.coordination import Acknowledged, Configuration, Elsewhere, NoConfiguration, Order, Outcome, Stale
 from tests.fleet.simulation.world import Machine, World
 
--- a/tests/fleet/simulation/storage.py
+++ b/tests/fleet/simulation/storage.py
@@ -13,7 +13,7 @@
 
 from returns.result import Failure, Success
 
-from rosechute.control.replica_runtime import LOG_LIMIT_BYTES
+from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES
 from rosechute.coordination.memory import Memory
 from rosechute.coordination.views import Ballot
 from rosechute.storage.record_store import RecordStore
@@ -54,7 +54,7 @@
 
 
 class SimulatedStorage:
-    """The records of one machine; `rosechute.control.replica_runtime.Records` for its processes."""
+    """The records of one machine; `rosechute.control_plane.replica_runtime.Records` for its processes."""
 
     def __init__(self, world: World, tell: Callable[[int, Done, Outcome], None]) -> None:
         self._world = world
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control.core_machine import CoreMachine
+from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.coordination.types import CommittedConfiguration, Identity, Unsure
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
@@ -40,11 +40,11 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be told at length
 
 
 def tearDownModule() -> None:
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 class FakeReplica:
--- a/tests/fleet/test_control_lease_holders.py
+++ b/tests/fleet/test_control_lease_holders.py
@@ -5,9 +5,9 @@
 
 import unittest
 
-from rosechute.control.lease_holders import TIDY_S, LeaseHolders
-from rosechute.control.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
-from rosechute.control.rate_leases import FULL_REACH_S, REACH_S, Holder
+from rosechute.control_plane.lease_holders import TIDY_S, LeaseHolders
+from rosechute.control_plane.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.rate_leases import FULL_REACH_S, REACH_S, Holder
 from rosechute.coordination.memory import Memory, RateLeaseHolders, load
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseReport
--- a/tests/fleet/test_control_list_reader.py
+++ b/tests/fleet/test_control_list_reader.py
@@ -8,20 +8,20 @@
 from loguru import logger
 from returns.result import Failure, Result, Success
 
-from rosechute.control import list_reader
-from rosechute.control.list_page import Instance, ListProblem, Page, read_page
-from rosechute.control.list_reader import INTERVAL_S, RETRY_S, ListReader
+from rosechute.control_plane import list_reader
+from rosechute.control_plane.list_page import Instance, ListProblem, Page, read_page
+from rosechute.control_plane.list_reader import INTERVAL_S, RETRY_S, ListReader
 from rosechute.distribution.values import ListedServer
 
 RATE_PER_S = 40.0
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be told at length
 
 
 def tearDownModule() -> None:
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 class FakePlatform:
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -9,9 +9,9 @@
 from aiohttp.test_utils import TestServer
 from loguru import logger
 
-from rosechute.control import operator_api
-from rosechute.control.operator_api import BASE_VERSION_HEADER, READ_PATH, REPLACE_PATH, OperatorApi
-from rosechute.control.orders import order_digest
+from rosechute.control_plane import operator_api
+from rosechute.control_plane.operator_api import BASE_VERSION_HEADER, READ_PATH, REPLACE_PATH, OperatorApi
+from rosechute.control_plane.orders import order_digest
 from rosechute.coordination.types import (
     Acknowledged,
     Configuration,
@@ -32,11 +32,11 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be told at length
 
 
 def tearDownModule() -> None:
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 class FakeChain:
--- a/tests/fleet/test_control_quota.py
+++ b/tests/fleet/test_control_quota.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from unittest import TestCase
 
-from rosechute.control.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
 
 TENANT = "a"
 STEP_S = 0.05
--- a/tests/fleet/test_control_runtime.py
+++ b/tests/fleet/test_control_runtime.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from rosechute.control import replica_runtime
-from rosechute.control.core_report import core_report
+from rosechute.control_plane import replica_runtime
+from rosechute.control_plane.core_report import core_report
 from rosechute.coordination.types import Acknowledged, Stale
 from rosechute.storage.layout import encode_slot
 
@@ -18,11 +18,11 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be told at length
 
 
 def tearDownModule() -> None:
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 class RuntimeTest(IsolatedAsyncioTestCase):
--- a/tests/fleet/test_control_worst_days.py
+++ b/tests/fleet/test_control_worst_days.py
@@ -12,9 +12,9 @@
 from loguru import logger
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control import core_machine
-from rosechute.control.core_machine import CoreMachine
-from rosechute.control.operator_api import BODY_LIMIT_BYTES
+from rosechute.control_plane import core_machine
+from rosechute.control_plane.core_machine import CoreMachine
+from rosechute.control_plane.operator_api import BODY_LIMIT_BYTES
 from rosechute.coordination.types import Identity
 from rosechute.coordination.views import TAKEN_BYTES, TAKEN_ORDERS, Ballot, Proposal, State, View
 from rosechute.messages import coordination_pb2 as pb
@@ -60,8 +60,8 @@
 
 class Loading(IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        logger.disable("rosechute.control")
-        self.addCleanup(logger.enable, "rosechute.control")
+        logger.disable("rosechute.control_plane")
+        self.addCleanup(logger.enable, "rosechute.control_plane")
 
     async def test_a_disk_that_refuses_at_the_start_costs_no_descriptors(self) -> None:
         with tempfile.TemporaryDirectory() as path:
--- a/tests/fleet/test_data_client_limits.py
+++ b/tests/fleet/test_data_client_limits.py
@@ -5,7 +5,7 @@
 import unittest
 
 from rosechute.configuration.operator import Limits
-from rosechute.data.client_limits import KEEP_SPARE_S, UNCONFIGURED, ClientLimits
+from rosechute.data_plane.client_limits import KEEP_SPARE_S, UNCONFIGURED, ClientLimits
 
 WIDE = Limits(max_header_bytes=8192, max_body_bytes=1000, header_timeout_ms=3000, idle_timeout_ms=20000)
 NARROW = Limits(max_header_bytes=4096, max_body_bytes=500, header_timeout_ms=1000, idle_timeout_ms=5000)
--- a/tests/fleet/test_data_durations.py
+++ b/tests/fleet/test_data_durations.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from rosechute.data.durations import KEPT, LEAST_FOR_LONGEST, LEAST_FOR_SHARE, RouteDurations
+from rosechute.data_plane.durations import KEPT, LEAST_FOR_LONGEST, LEAST_FOR_SHARE, RouteDurations
 
 
 class Durations(unittest.TestCase):
--- a/tests/fleet/test_data_events.py
+++ b/tests/fleet/test_data_events.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from rosechute.data.events import BrokenStream, EventStream
+from rosechute.data_plane.events import BrokenStream, EventStream
 from tests.fleet.data_site import event
 
 MOST = 1000
--- a/tests/fleet/test_data_model.py
+++ b/tests/fleet/test_data_model.py
@@ -13,14 +13,14 @@
 
 from hollyport.http1.client import ClientConnection
 from hollyport.http1.connection import Connection, Reply
-from rosechute.data import admission, attempt, request, verdict
-from rosechute.data.admission import Admitted
-from rosechute.data.client_answer import ClientAnswer
-from rosechute.data.events import EventStream
-from rosechute.data.plane import DataPlane
-from rosechute.data.request import ClientRequest
-from rosechute.data.silence import SilenceWatch
-from rosechute.data.verdict import Verdict
+from rosechute.data_plane import admission, attempt, request, verdict
+from rosechute.data_plane.admission import Admitted
+from rosechute.data_plane.client_answer import ClientAnswer
+from rosechute.data_plane.events import EventStream
+from rosechute.data_plane.plane import DataPlane
+from rosechute.data_plane.request import ClientRequest
+from rosechute.data_plane.silence import SilenceWatch
+from rosechute.data_plane.verdict import Verdict
 from rosechute.routing.model import AttemptResult
 from rosechute.routing.router import Router
 from tests.fleet import data_judges
@@ -257,7 +257,8 @@
             return None
 
         self.found(
-            data_judges.judge_nothing_else, mock.patch("rosechute.data.dispatcher.Dispatcher.withdraw", withdraw)
+            data_judges.judge_nothing_else,
+            mock.patch("rosechute.data_plane.dispatcher.Dispatcher.withdraw", withdraw),
         )
 
 
--- a/tests/fleet/test_data_races.py
+++ b/tests/fleet/test_data_races.py
@@ -6,8 +6,8 @@
 import socket
 from dataclasses import replace
 
-from rosechute.data.request import ClientRequest
-from rosechute.data.request_state import RequestState
+from rosechute.data_plane.request import ClientRequest
+from rosechute.data_plane.request_state import RequestState
 from rosechute.routing.model import AttemptResult, RoutingAction, Send, ServerEntry
 from tests.fleet.data_site import Call, Script, Site, SiteCase, Talk, configuration, event, plain, route, until_closed
 from tests.fleet.test_data_streams import events, streaming
--- a/tests/fleet/test_data_terms.py
+++ b/tests/fleet/test_data_terms.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from rosechute.data.request_state import RequestState
+from rosechute.data_plane.request_state import RequestState
 from tests.fleet.data_site import (
     Answer,
     Call,
--- a/tests/fleet/test_data_traffic_split.py
+++ b/tests/fleet/test_data_traffic_split.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from rosechute.configuration.operator import Route, TrafficSplit
-from rosechute.data.traffic_split import SplitSequences
+from rosechute.data_plane.traffic_split import SplitSequences
 
 WEIGHTS = ((90.0, 10.0), (50.0, 50.0), (70.0, 20.0, 10.0), (1.0, 99.0))
 REQUESTS = 300
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -15,11 +15,11 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.control import quota, rate_leases
-from rosechute.control.core_machine import CoreMachine
-from rosechute.control.list_reader import ListReader
-from rosechute.control.quota_service import QuotaService
-from rosechute.data.plane import DataPlane
+from rosechute.control_plane import quota, rate_leases
+from rosechute.control_plane.core_machine import CoreMachine
+from rosechute.control_plane.list_reader import ListReader
+from rosechute.control_plane.quota_service import QuotaService
+from rosechute.data_plane.plane import DataPlane
 from rosechute.distribution import confirmation, publisher, store
 from rosechute.distribution.catch_up import CatchUp
 from rosechute.distribution.leader_search import LeaderSearch
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.control import list_reader, quota
+from rosechute.control_plane import list_reader, quota
 from rosechute.distribution import catch_up, confirmation, home_links, membership, publisher, store, values
 from rosechute.distribution.store import Taken
 from tests.fleet.distribution_checkers import Checkers
--- a/tests/fleet/test_distribution_wallet.py
+++ b/tests/fleet/test_distribution_wallet.py
@@ -9,7 +9,7 @@
 import unittest
 from collections.abc import Callable
 
-from rosechute.control.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
 from rosechute.routing.quota_wallet import Ask, Decision, Issue, QuotaWallet
 
 ASKS = itertools.count(1)
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -21,11 +21,11 @@
 from msgspec import structs
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control import core_machine, list_client
-from rosechute.control.core_machine import CoreMachine
-from rosechute.control.core_report import CoreReport, core_report
-from rosechute.control.list_client import ListClient
-from rosechute.control.operator_api import BASE_VERSION_HEADER
+from rosechute.control_plane import core_machine, list_client
+from rosechute.control_plane.core_machine import CoreMachine
+from rosechute.control_plane.core_report import CoreReport, core_report
+from rosechute.control_plane.list_client import ListClient
+from rosechute.control_plane.operator_api import BASE_VERSION_HEADER
 from rosechute.coordination.types import CommittedConfiguration, Identity, ReplicaConfig, Unsure
 from rosechute.distribution.actions import Dialed, Send
 from rosechute.distribution.publisher import CoreAddress, PublisherState
@@ -41,11 +41,11 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be told at length
 
 
 def tearDownModule() -> None:
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 def free_ports(count: int) -> list[int]:
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -14,12 +14,12 @@
 from returns.result import Failure, Success
 
 from rosechute.configuration.process import Bounds
-from rosechute.control import operator_api, quota, rate_leases
-from rosechute.control.operator_api import OperatorApi
-from rosechute.control.orders import order_digest
-from rosechute.control.quota import LIFETIME_S, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
-from rosechute.control.quota_service import QuotaService
-from rosechute.control.rate_leases import (
+from rosechute.control_plane import operator_api, quota, rate_leases
+from rosechute.control_plane.operator_api import OperatorApi
+from rosechute.control_plane.orders import order_digest
+from rosechute.control_plane.quota import LIFETIME_S, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota_service import QuotaService
+from rosechute.control_plane.rate_leases import (
     ACTIVE_S,
     BARE_S,
     DRIFT,
@@ -33,7 +33,7 @@
     RateLeases,
     fair_level,
 )
-from rosechute.control.replica_runtime import LOG_LIMIT_BYTES, ReplicaRuntime
+from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES, ReplicaRuntime
 from rosechute.coordination import types as core
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
@@ -47,11 +47,11 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be told at length
 
 
 def tearDownModule() -> None:
-    logger.enable("rosechute.control")
+    logger.enable("rosechute.control_plane")
 
 
 def report(demand: float = 900.0, held: LeaseGrant | None = None, remaining_s: float = LEASE_S, **more: Any) -> Any:
--- a/tests/fleet/test_planted_requests.py
+++ b/tests/fleet/test_planted_requests.py
@@ -16,15 +16,15 @@
 from hollyport.core.log import LOG
 from hollyport.http1.connection import Reply
 from rosechute.configuration.operator import Route, Tenant
-from rosechute.data import admission, request, shutdown, silence, verdict
-from rosechute.data.admission import Admitted, InForce, Refusal, Resume, attempt_wire
-from rosechute.data.attempt import Attempt, AttemptState
-from rosechute.data.client_answer import ClientAnswer, is_framed, returned_headers
-from rosechute.data.durations import RouteDurations
-from rosechute.data.request import ClientRequest
-from rosechute.data.request_state import RequestState
-from rosechute.data.silence import SilenceWatch
-from rosechute.data.verdict import CONNECT_FAILED, RESET, SERVER_ERROR, TIMEOUT, Verdict, of_reply
+from rosechute.data_plane import admission, request, shutdown, silence, verdict
+from rosechute.data_plane.admission import Admitted, InForce, Refusal, Resume, attempt_wire
+from rosechute.data_plane.attempt import Attempt, AttemptState
+from rosechute.data_plane.client_answer import ClientAnswer, is_framed, returned_headers
+from rosechute.data_plane.durations import RouteDurations
+from rosechute.data_plane.request import ClientRequest
+from rosechute.data_plane.request_state import RequestState
+from rosechute.data_plane.silence import SilenceWatch
+from rosechute.data_plane.verdict import CONNECT_FAILED, RESET, SERVER_ERROR, TIMEOUT, Verdict, of_reply
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
 from .data_site import SiteCase, configuration, event, route
--- a/tests/fleet/test_planted_requests_servers.py
+++ b/tests/fleet/test_planted_requests_servers.py
@@ -8,9 +8,9 @@
 from unittest import mock
 
 from hollyport.http1.connection import Reply
-from rosechute.data import request_state, servers
-from rosechute.data.request_state import ForbiddenTransition, RequestState, checked_transition
-from rosechute.data.servers import IDLE_S, SWEEP_S, Link, Server, Servers
+from rosechute.data_plane import request_state, servers
+from rosechute.data_plane.request_state import ForbiddenTransition, RequestState, checked_transition
+from rosechute.data_plane.servers import IDLE_S, SWEEP_S, Link, Server, Servers
 from rosechute.routing.model import ServerEntry
 
 from .test_planted_requests import NOW, Loop
--- a/tests/fleet/test_processes_metrics.py
+++ b/tests/fleet/test_processes_metrics.py
@@ -15,8 +15,8 @@
 import aiohttp
 
 from rosechute.configuration.process import Listen, ProcessSettings
-from rosechute.control.core_machine import CoreMachine
-from rosechute.data.plane import DataPlane
+from rosechute.control_plane.core_machine import CoreMachine
+from rosechute.data_plane.plane import DataPlane
 from rosechute.processes.core_metrics import core_families
 from rosechute.processes.edge_links import EdgeLinks
 from rosechute.processes.edge_metrics import edge_families
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -8,9 +8,9 @@
 import unittest
 
 from rosechute.configuration.process import Bounds
-from rosechute.control.quota import EMERGENCY_SHARE, LEASED_SHARE, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
-from rosechute.control.quota_service import QuotaService
-from rosechute.control.rate_leases import BARE_S, LEASE_S, REACH_S, Holder, LeaseTotals, RateLeases, fair_level
+from rosechute.control_plane.quota import EMERGENCY_SHARE, LEASED_SHARE, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota_service import QuotaService
+from rosechute.control_plane.rate_leases import BARE_S, LEASE_S, REACH_S, Holder, LeaseTotals, RateLeases, fair_level
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
 from rosechute.routing.quota_wallet import QuotaWallet
--- a/tests/fleet/test_quota_sum.py
+++ b/tests/fleet/test_quota_sum.py
@@ -7,7 +7,7 @@
 from statistics import mean
 
 from rosechute.configuration.process import Bounds
-from rosechute.control.quota_service import QuotaService
+from rosechute.control_plane.quota_service import QuotaService
 
 from .quota_world import Limit, World, most_allowed
 
