--- a/benchmarks/hollow_edges.py
+++ b/benchmarks/hollow_edges.py
@@ -18,9 +18,9 @@
 from rosechute.distribution.actions import (
     Action,
     ConfigurationChanged,
-    Dialed,
+    DialedLink,
     EdgesTotalChanged,
-    Send,
+    SendMessage,
     ServersChanged,
 )
 from rosechute.distribution.membership import EdgeIdentity
@@ -102,14 +102,14 @@
     # --- messages
 
     def _dialed(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
-        self._take(Dialed(connection.address), data)
+        self._take(DialedLink(connection.address), data)
 
     def _accepted(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
         self._take(connection, data)
 
     def _dial_closed(self, error: LinkError) -> None:
         if self.running:
-            self._carry(self.sub.connection_closed(time.monotonic(), Dialed(error.peer)))
+            self._carry(self.sub.connection_closed(time.monotonic(), DialedLink(error.peer)))
 
     def _accept_closed(self, connection: LinkConnection) -> None:
         if self.running:
@@ -127,7 +127,7 @@
 
     def _carry(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self._send(action)
             elif isinstance(action, ConfigurationChanged):
                 self._configuration(action)
@@ -136,12 +136,12 @@
             elif isinstance(action, EdgesTotalChanged):
                 self.total = action.count
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendMessage) -> None:
         if self.fault == "uncounted" and action.message.WhichOneof("body") == "renew":
             return
         data = action.message.SerializeToString()
         self.seen.sent += len(data) + FRAME_BYTES
-        if isinstance(action.connection, Dialed):
+        if isinstance(action.connection, DialedLink):
             self.pool.send(action.connection.address, Kind.DISTRIBUTION, data)
         else:
             action.connection.send(Kind.DISTRIBUTION, data)
@@ -195,7 +195,7 @@
             "list_at": seen.list_at,
             "without_lease_s": seen.without_lease_s,
             "worst_age_s": seen.worst_age_s,
-            "attached": self.sub.attached,
+            "attached": self.sub.is_attached,
             "leader": self.sub.leader,
             "sequence": self.sub.position(CONFIG_TOPIC)[1],
             "listed": self.listed,
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -15,7 +15,7 @@
 from rosechute.configuration.process import ProcessSettings
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import CommittedConfiguration, Outcome, ReplicaConfig, Unsure
-from rosechute.distribution.actions import Dialed, Send
+from rosechute.distribution.actions import DialedLink, SendMessage
 from rosechute.distribution.publisher import CoreAddress, Publisher, PublisherState
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
@@ -130,7 +130,7 @@
         now = self._clock()
         self._quota.committed(now, configuration.body)
         sequence, version, body = configuration.sequence, configuration.version, configuration.body
-        self._send_all(self._publisher.committed(now, sequence, version, body))
+        self._send_all(self._publisher.configuration_committed(now, sequence, version, body))
 
     def lease_gained(self, term: int, holders: frozenset[str] | None = None) -> None:
         """This machine leads from here on. Only `holders` may hold rate leases of earlier terms; None: not known."""
@@ -138,7 +138,7 @@
         told = "not known" if holders is None else f"{len(holders)} at most"
         logger.info("leads with term {}, edges with rate leases: {}", term, told)
         self._quota.lease_gained(now, term, holders)
-        self._send_all(self._publisher.lease_gained(now, term))
+        self._send_all(self._publisher.leadership_gained(now, term))
         self._reader.lease_gained()
 
     def lease_lost(self) -> None:
@@ -146,7 +146,7 @@
         if self._publisher.state is not PublisherState.LEADER:
             return
         logger.info("leads no more")
-        self._send_all(self._publisher.lease_lost(self._clock()))
+        self._send_all(self._publisher.leadership_lost(self._clock()))
 
     def holders_noted(self, term: int, edges: frozenset[str]) -> None:
         """The names of the edges that may hold rate leases are synced."""
@@ -204,7 +204,7 @@
         return self._publisher.term if leads else None
 
     def _take_list(self, servers: Sequence[ListedServer]) -> None:
-        self._send_all(self._publisher.servers(self._clock(), servers))
+        self._send_all(self._publisher.endpoint_list_read(self._clock(), servers))
 
     def _tick(self, runtime: ReplicaRuntime, due: float) -> None:
         """Once in `TICK_S`, also after one that failed."""
@@ -225,14 +225,14 @@
             self.lease_lost()
         fresh = replica.freshness(now)
         if fresh is not None:
-            self._publisher.freshness(now, *fresh)
+            self._publisher.update_freshness(now, *fresh)
         leader = replica.leader_hint()
         other = leader is not None and leader.id != replica.identity.id
-        self._publisher.redirect(leader.peer_address if leader is not None and other else None)
+        self._publisher.set_leader_address(leader.peer_address if leader is not None and other else None)
         core = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in replica.core_machines())
         if core != self._core:
             self._core = core
-            self._publisher.core(core)
+            self._publisher.set_core_machines(core)
 
     # Links
 
@@ -252,12 +252,12 @@
     def _send_core(self, address: str, message: CoreMessage) -> None:
         self._pool.send(address, Kind.COORDINATION, message.SerializeToString())
 
-    def _send_all(self, sends: Sequence[Send]) -> None:
+    def _send_all(self, sends: Sequence[SendMessage]) -> None:
         for send in sends:
             data = send.message.SerializeToString()
             if isinstance(send.connection, LinkConnection):
                 send.connection.send(Kind.DISTRIBUTION, data)
-            elif isinstance(send.connection, Dialed):
+            elif isinstance(send.connection, DialedLink):
                 self._pool.send(send.connection.address, Kind.DISTRIBUTION, data)
 
 
--- a/rosechute/distribution/actions.py
+++ b/rosechute/distribution/actions.py
@@ -12,14 +12,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dialed:
+class DialedLink:
     """The link that this process opens to an address, as a connection."""
 
     address: str  # host:port
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     """Send a message on a connection; it may be lost."""
 
     connection: Connection
@@ -51,4 +51,4 @@
     count: int
 
 
-Action = Send | ConfigurationChanged | ServersChanged | EdgesTotalChanged
+Action = SendMessage | ConfigurationChanged | ServersChanged | EdgesTotalChanged
--- a/rosechute/distribution/fan_out.py
+++ b/rosechute/distribution/fan_out.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rosechute.distribution.actions import Connection, Send
+from rosechute.distribution.actions import Connection, SendMessage
 from rosechute.distribution.hints import Hints
 from rosechute.distribution.store import TopicStore
-from rosechute.distribution.values import NOTHING, Position
+from rosechute.distribution.values import NO_POSITION, Position
 
 SUBSCRIPTION_S = 5.0  # a subscription that is not renewed ends
 
@@ -35,7 +35,7 @@
         self._subscribed: dict[str, dict[str, float]] = {}  # by topic and name: until when
         self._hints = Hints()
 
-    def spoke(self, now: float, name: str, connection: Connection, told: dict[str, Position]) -> list[Send]:
+    def spoke(self, now: float, name: str, connection: Connection, told: dict[str, Position]) -> list[SendMessage]:
         """A target spoke on this connection and told what it holds; what was missed is handed over."""
         target = self._targets.get(name)
         if target is None or target.connection != connection:
@@ -54,9 +54,9 @@
         """Who follows a topic."""
         return list(self._subscribed.get(topic, {}))
 
-    def publish(self, now: float, topic: str, names: Iterable[str]) -> list[Send]:
+    def publish(self, now: float, topic: str, names: Iterable[str]) -> list[SendMessage]:
         """Send the value of a topic to these targets, or keep a hint."""
-        sends: list[Send] = []
+        sends: list[SendMessage] = []
         for name in names:
             target = self._targets.get(name)
             if target is None or target.connection is None:
@@ -97,19 +97,19 @@
         if target is None or target.connection is None:
             return
         for topic, position in target.held.items():
-            if position > target.told.get(topic, NOTHING):
+            if position > target.told.get(topic, NO_POSITION):
                 self._hints.put(name, topic, now)
 
-    def _hand_over(self, now: float, name: str, target: _Target) -> list[Send]:
-        sends: list[Send] = []
+    def _hand_over(self, now: float, name: str, target: _Target) -> list[SendMessage]:
+        sends: list[SendMessage] = []
         for topic in self._hints.take(name):
             sends += self._send(now, topic, target)
         return sends
 
-    def _send(self, now: float, topic: str, target: _Target) -> list[Send]:
+    def _send(self, now: float, topic: str, target: _Target) -> list[SendMessage]:
         value = self._store.get(topic)
-        held = target.held.get(topic, NOTHING)
+        held = target.held.get(topic, NO_POSITION)
         if value is None or held >= value.position or target.connection is None:
             return []
         target.held[topic] = value.position
-        return [Send(target.connection, value.message(held, now))]
+        return [SendMessage(target.connection, value.update_message(held, now))]
--- a/rosechute/distribution/homes.py
+++ b/rosechute/distribution/home_edges.py
@@ -9,11 +9,11 @@
 from hashlib import blake2b
 
 
-def weight(topic: str, name: str) -> bytes:
+def rendezvous_weight(topic: str, name: str) -> bytes:
     """The place of an edge in a topic's order; the greatest is the home."""
     return blake2b(f"{topic}\0{name}".encode(), digest_size=8).digest()
 
 
-def home(topic: str, names: Iterable[str]) -> str | None:
+def home_edge(topic: str, names: Iterable[str]) -> str | None:
     """The home of a topic among these edges of one zone; None where there are none."""
-    return max(names, key=lambda name: (weight(topic, name), name), default=None)
+    return max(names, key=lambda name: (rendezvous_weight(topic, name), name), default=None)
--- a/rosechute/distribution/home_links.py
+++ b/rosechute/distribution/home_subscriptions.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rosechute.distribution.homes import home
+from rosechute.distribution.home_edges import home_edge
 from rosechute.distribution.membership import EdgeIdentity
 
 RESUBSCRIBE_S = 2.0  # well below SUBSCRIPTION_S of the other side
@@ -20,17 +20,17 @@
 SUSPICION_S = 2.0  # a home that failed is left alone for so long
 
 
-class FollowState(enum.Enum):
+class SubscriptionState(enum.Enum):
     """How news of a topic comes to this edge."""
 
-    OWN = "own"
-    ASKING = "asking"
-    FOLLOWING = "following"
+    LOCAL = "local"
+    SUBSCRIBING = "subscribing"
+    SUBSCRIBED = "subscribed"
     DIRECT = "direct"
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SubscriptionRequest:
     """Subscribe to a topic at a home, or at the leader."""
 
     topic: str
@@ -40,14 +40,14 @@
 @dataclass(slots=True)
 class _Follow:
     topic: str
-    state: FollowState = FollowState.OWN
+    state: SubscriptionState = SubscriptionState.LOCAL
     home: EdgeIdentity | None = None
     due: float = math.inf  # of the next step
     suspect_until: float = -math.inf
     asks: bool = False  # a subscription is to be sent
 
 
-class HomeLinks:
+class HomeSubscriptions:
     """One state for each topic."""
 
     def __init__(self, name: str) -> None:
@@ -55,7 +55,7 @@
         self._edges: dict[str, EdgeIdentity] = {}
         self._follows: dict[str, _Follow] = {}
 
-    def state(self, topic: str) -> FollowState:
+    def state(self, topic: str) -> SubscriptionState:
         """How a topic is followed."""
         return self._follows[topic].state
 
@@ -84,23 +84,23 @@
         follow = self._follows.get(topic)
         if follow is None or follow.home is None or follow.home.address != address:
             return
-        if follow.state is FollowState.ASKING:
+        if follow.state is SubscriptionState.SUBSCRIBING:
             self._to_following(now, follow)
 
     def failed(self, now: float, address: str) -> None:
         """The home at this address is silent, or its link ended."""
         for follow in self._follows.values():
-            followed = follow.state in (FollowState.ASKING, FollowState.FOLLOWING)
+            followed = follow.state in (SubscriptionState.SUBSCRIBING, SubscriptionState.SUBSCRIBED)
             if followed and follow.home is not None and follow.home.address == address:
                 self._to_direct(now, follow)
 
     def leader_found(self, now: float) -> None:
         """There is another leader: subscriptions at the former one are void."""
         for follow in self._follows.values():
-            if follow.state is FollowState.DIRECT:
+            if follow.state is SubscriptionState.DIRECT:
                 follow.asks = True
 
-    def due(self, now: float) -> list[Ask]:
+    def due(self, now: float) -> list[SubscriptionRequest]:
         """Subscriptions to be sent now."""
         for follow in self._follows.values():
             if follow.due <= now:
@@ -109,8 +109,10 @@
         for follow in self._follows.values():
             if follow.asks:
                 follow.asks = False
-                direct = follow.state is FollowState.DIRECT or follow.home is None
-                asks.append(Ask(follow.topic, None if direct or follow.home is None else follow.home.address))
+                direct = follow.state is SubscriptionState.DIRECT or follow.home is None
+                asks.append(
+                    SubscriptionRequest(follow.topic, None if direct or follow.home is None else follow.home.address)
+                )
         return asks
 
     def next_due(self) -> float:
@@ -119,39 +121,39 @@
 
     def _step(self, now: float, follow: _Follow) -> None:
         match follow.state:
-            case FollowState.ASKING if follow.home is not None:
+            case SubscriptionState.SUBSCRIBING if follow.home is not None:
                 self.failed(now, follow.home.address)
-            case FollowState.FOLLOWING if follow.home is not None:
+            case SubscriptionState.SUBSCRIBED if follow.home is not None:
                 self._to_asking(now, follow, follow.home)
-            case FollowState.DIRECT if follow.home is not None and now >= follow.suspect_until:
+            case SubscriptionState.DIRECT if follow.home is not None and now >= follow.suspect_until:
                 self._to_asking(now, follow, follow.home)
             case _:
                 self._to_own(follow)
 
     def _place(self, now: float, follow: _Follow) -> None:
-        name = home(follow.topic, self._edges)
+        name = home_edge(follow.topic, self._edges)
         if name is None or name == self._name:
             self._to_own(follow)
         elif follow.home != self._edges[name]:
             self._to_asking(now, follow, self._edges[name])
 
     def _to_own(self, follow: _Follow) -> None:
-        follow.state = FollowState.OWN
+        follow.state = SubscriptionState.LOCAL
         follow.home = None
         follow.due = math.inf
         follow.asks = False
 
     def _to_asking(self, now: float, follow: _Follow, home_edge: EdgeIdentity) -> None:
-        follow.state = FollowState.ASKING
+        follow.state = SubscriptionState.SUBSCRIBING
         follow.home = home_edge
         follow.due = now + HOME_SILENCE_S
         follow.asks = True
 
     def _to_following(self, now: float, follow: _Follow) -> None:
-        follow.state = FollowState.FOLLOWING
+        follow.state = SubscriptionState.SUBSCRIBED
         follow.due = now + RESUBSCRIBE_S
 
     def _to_direct(self, now: float, follow: _Follow) -> None:
-        follow.state = FollowState.DIRECT
+        follow.state = SubscriptionState.DIRECT
         follow.due = follow.suspect_until = now + SUSPICION_S
         follow.asks = True
--- a/rosechute/distribution/membership.py
+++ b/rosechute/distribution/membership.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-LEASE_S = 2.0
+MEMBERSHIP_LEASE_S = 2.0
 RENEW_INTERVAL_S = 0.4
-SETTLE_S = 1.0  # a new leader does not know yet who lives
+MEMBERSHIP_GRACE_S = 1.0  # a new leader does not know yet who lives
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     def __init__(self, now: float) -> None:
         self._members: dict[str, Member] = {}
         self._revisions: dict[str, int] = {}  # by zone
-        self._settled_at = now + SETTLE_S
+        self._settled_at = now + MEMBERSHIP_GRACE_S
 
     def settled(self, now: float) -> bool:
         """Whether every living edge has had the time to renew."""
@@ -43,7 +43,7 @@
     def renew(self, now: float, edge: EdgeIdentity, boot: int, leaving: bool) -> bool:
         """Take or renew a lease; True where the edge started anew, or is new here."""
         old = self._members.get(edge.name)
-        self._members[edge.name] = Member(edge, boot, leaving, now + LEASE_S)
+        self._members[edge.name] = Member(edge, boot, leaving, now + MEMBERSHIP_LEASE_S)
         if old is None or old.edge != edge or old.leaving != leaving:
             self._changed(edge.zone)
             if old is not None and old.edge.zone != edge.zone:
--- a/rosechute/distribution/publisher.py
+++ b/rosechute/distribution/publisher.py
@@ -12,23 +12,23 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from rosechute.distribution.actions import Connection, Send
+from rosechute.distribution.actions import Connection, SendMessage
 from rosechute.distribution.fan_out import FanOut
-from rosechute.distribution.homes import home
-from rosechute.distribution.membership import LEASE_S, EdgeIdentity, Membership
-from rosechute.distribution.store import Taken, TopicStore
+from rosechute.distribution.home_edges import home_edge
+from rosechute.distribution.membership import MEMBERSHIP_LEASE_S, EdgeIdentity, Membership
+from rosechute.distribution.store import TopicStore, UpdateResult
 from rosechute.distribution.values import (
     CONFIG_TOPIC,
-    NOTHING,
+    NO_POSITION,
     Configuration,
     ListedServer,
     Position,
     Value,
-    advance,
+    is_unchanged,
     list_position,
     list_topic,
-    same_servers,
-    told_positions,
+    next_service_list,
+    reported_positions,
     topic_position,
 )
 from rosechute.messages import distribution_pb2 as pb
@@ -88,7 +88,7 @@
         """Living edges; 0 where it is not known, or this is not the leader."""
         return self._membership.total(now) if self._state is PublisherState.LEADER else 0
 
-    def lease_gained(self, now: float, term: int) -> list[Send]:
+    def leadership_gained(self, now: float, term: int) -> list[SendMessage]:
         """This machine holds the leader lease from now on, for a term that is higher than every one before."""
         if self._state is PublisherState.LEADER and self._term == term:
             return []
@@ -101,7 +101,7 @@
         self._asked.clear()
         return self._tell(searching, pb.Renewed(is_leader=True, members_term=term))
 
-    def lease_lost(self, now: float) -> list[Send]:
+    def leadership_lost(self, now: float) -> list[SendMessage]:
         """This machine does not hold the leader lease any more."""
         if self._state is PublisherState.FOLLOWER:
             return []
@@ -111,31 +111,31 @@
         self._leader_address = None
         return self._tell(followers, pb.Renewed())
 
-    def redirect(self, address: str | None) -> None:
+    def set_leader_address(self, address: str | None) -> None:
         """The address of the leader's link, where it is another machine and known."""
         self._leader_address = address
 
-    def core(self, machines: Sequence[CoreAddress]) -> None:
+    def set_core_machines(self, machines: Sequence[CoreAddress]) -> None:
         """The core machines of the current view."""
         self._core = tuple(pb.CoreMachine(id=one.id, address=one.address, control=one.control) for one in machines)
         told = "\n".join(f"{one.id} {one.address} {one.control}" for one in machines)
         self._core_digest = zlib.crc32(told.encode()) or 1
 
-    def committed(self, now: float, sequence: int, version: int, body: bytes) -> list[Send]:
+    def configuration_committed(self, now: float, sequence: int, version: int, body: bytes) -> list[SendMessage]:
         """A configuration is committed; called on every core machine."""
         if (0, sequence) <= self._store.position(CONFIG_TOPIC):
             return []
-        self._store.take(Configuration.of(sequence, version, body))
+        self._store.put(Configuration.from_body(sequence, version, body))
         return self._publish(now, CONFIG_TOPIC)
 
-    def freshness(self, now: float, sequence: int, age_s: float) -> None:
+    def update_freshness(self, now: float, sequence: int, age_s: float) -> None:
         """So long ago, the newest acknowledged configuration was at most the one of this sequence."""
         as_of = now - age_s
         if as_of >= self._fresh_at:
             self._fresh_at = as_of
             self._fresh_sequence = sequence
 
-    def servers(self, now: float, entries: Iterable[ListedServer]) -> list[Send]:
+    def endpoint_list_read(self, now: float, entries: Iterable[ListedServer]) -> list[SendMessage]:
         """A whole reading of the platform's list, made under the lease."""
         if self._state is not PublisherState.LEADER:
             return []
@@ -144,12 +144,12 @@
             by_service.setdefault(entry.service, []).append(entry)
         known = {value.service for value in self._store.lists()}
         self._list_known = True
-        sends: list[Send] = []
+        sends: list[SendMessage] = []
         for service in sorted(known | by_service.keys()):
             sends += self._take_reading(now, service, by_service.get(service, []))
         return sends
 
-    def receive(self, now: float, connection: Connection, message: pb.Distribution) -> list[Send]:
+    def receive(self, now: float, connection: Connection, message: pb.Distribution) -> list[SendMessage]:
         """A message of an edge, which came on this connection."""
         match message.WhichOneof("body"):
             case "renew":
@@ -169,7 +169,7 @@
         for key in [key for key in self._fetched if key[0] == connection]:
             del self._fetched[key]
 
-    def tick(self, now: float) -> list[Send]:
+    def tick(self, now: float) -> list[SendMessage]:
         """End what has run out; a few times a second is enough."""
         if self._state is PublisherState.LEADER:
             self._membership.expire(now)
@@ -178,19 +178,19 @@
             del self._fetched[key]
         return []
 
-    def _renew(self, now: float, connection: Connection, renew: pb.Renew) -> list[Send]:
+    def _renew(self, now: float, connection: Connection, renew: pb.Renew) -> list[SendMessage]:
         if self._state is not PublisherState.LEADER:
             self._asked[connection] = now
-            return [Send(connection, pb.Distribution(renewed=self._answer(now, renew)))]
+            return [SendMessage(connection, pb.Distribution(renewed=self._answer(now, renew)))]
         edge = EdgeIdentity(renew.edge.name, renew.edge.zone, renew.edge.address)
         self._membership.renew(now, edge, renew.boot, renew.leaving)
         self._learn_services(now, renew)
-        sends = self._fan_out.spoke(now, edge.name, connection, told_positions(renew))
-        return [Send(connection, pb.Distribution(renewed=self._leader_answer(now, renew))), *sends]
+        sends = self._fan_out.spoke(now, edge.name, connection, reported_positions(renew))
+        return [SendMessage(connection, pb.Distribution(renewed=self._leader_answer(now, renew))), *sends]
 
-    def _tell(self, connections: Iterable[Connection], answer: pb.Renewed) -> list[Send]:
+    def _tell(self, connections: Iterable[Connection], answer: pb.Renewed) -> list[SendMessage]:
         """Tell edges unasked whether this machine leads; they ask again at once."""
-        return [Send(connection, pb.Distribution(renewed=answer)) for connection in connections]
+        return [SendMessage(connection, pb.Distribution(renewed=answer)) for connection in connections]
 
     def _answer(self, now: float, renew: pb.Renew) -> pb.Renewed:
         """What every core machine can tell: the freshness of the configuration, the core, who leads."""
@@ -207,7 +207,7 @@
         answer = self._answer(now, renew)
         answer.is_leader = True
         answer.leader = ""
-        answer.lease_ms = int(LEASE_S * 1000.0)
+        answer.lease_ms = int(MEMBERSHIP_LEASE_S * 1000.0)
         answer.members_term = self._term
         answer.edges_total = self._membership.total(now)
         for value in self._store.lists():
@@ -229,7 +229,7 @@
             if self._store.position(list_topic(told.service))[0] != self._term:
                 self._take_reading(now, told.service, [])
 
-    def _subscribe(self, now: float, connection: Connection, subscribe: pb.Subscribe) -> list[Send]:
+    def _subscribe(self, now: float, connection: Connection, subscribe: pb.Subscribe) -> list[SendMessage]:
         """From an edge whose home for this topic fails."""
         if self._state is not PublisherState.LEADER:
             return []
@@ -240,7 +240,7 @@
             return sends
         return sends + self._fan_out.publish(now, topic, [subscribe.edge.name])
 
-    def _fetch(self, now: float, connection: Connection, topic: str) -> list[Send]:
+    def _fetch(self, now: float, connection: Connection, topic: str) -> list[SendMessage]:
         value = self._current(topic)
         if value is None:
             return []
@@ -248,7 +248,7 @@
         if sent is not None and sent[0] == value.position and now - sent[1] < FETCH_AGAIN_S:
             return []  # it is on its way on this very connection, which may be slow
         self._fetched[connection, topic] = (value.position, now)
-        return [Send(connection, value.message(NOTHING, now))]
+        return [SendMessage(connection, value.update_message(NO_POSITION, now))]
 
     def _current(self, topic: str) -> Value | None:
         """What this machine may tell of a topic: lists only under the lease, and only those read in its term."""
@@ -258,25 +258,25 @@
         leads = self._state is PublisherState.LEADER
         return value if leads and value.position[0] == self._term else None
 
-    def _quota(self, now: float, connection: Connection, request: pb.QuotaRequest) -> list[Send]:
+    def _quota(self, now: float, connection: Connection, request: pb.QuotaRequest) -> list[SendMessage]:
         if self._state is not PublisherState.LEADER:
             answer = pb.Renewed(leader=self._leader_address or "", core_digest=self._core_digest)
-            return [Send(connection, pb.Distribution(renewed=answer))]
+            return [SendMessage(connection, pb.Distribution(renewed=answer))]
         issue = self._on_quota(now, request)
-        return [Send(connection, pb.Distribution(quota_issue=issue))] if issue is not None else []
+        return [SendMessage(connection, pb.Distribution(quota_issue=issue))] if issue is not None else []
 
-    def _take_reading(self, now: float, service: str, servers: list[ListedServer]) -> list[Send]:
+    def _take_reading(self, now: float, service: str, servers: list[ListedServer]) -> list[SendMessage]:
         old = self._store.service_list(service)
         same_term = old is not None and old.position[0] == self._term
         revision = old.position[1] + 1 if old is not None and same_term else 1
-        value = advance(old, service, (self._term, revision), servers, now)
-        if same_term and same_servers(value):
+        value = next_service_list(old, service, (self._term, revision), servers, now)
+        if same_term and is_unchanged(value):
             return []
-        if self._store.take(value) is not Taken.NEWER:
+        if self._store.put(value) is not UpdateResult.APPLIED:
             return []
         return self._publish(now, value.topic)
 
-    def _publish(self, now: float, topic: str) -> list[Send]:
+    def _publish(self, now: float, topic: str) -> list[SendMessage]:
         """News of a topic: to its home in each zone, and to those who follow it here."""
         if self._state is not PublisherState.LEADER:
             return []
@@ -285,6 +285,6 @@
     def _targets(self, now: float, topic: str) -> list[str]:
         if not self._membership.settled(now):
             return self._membership.names()
-        homes = [home(topic, names) for names in self._membership.zones().values()]
+        homes = [home_edge(topic, names) for names in self._membership.zones().values()]
         targets = {name for name in homes if name is not None}
         return sorted(targets | set(self._fan_out.subscribers(topic)))
--- a/rosechute/distribution/store.py
+++ b/rosechute/distribution/store.py
@@ -6,26 +6,26 @@
 
 from rosechute.distribution.values import (
     CONFIG_TOPIC,
-    NOTHING,
+    NO_POSITION,
     Configuration,
     Position,
     ServiceList,
     Value,
-    advance,
     decode_configuration,
     decode_servers,
     list_topic,
+    next_service_list,
 )
 from rosechute.messages import distribution_pb2 as pb
 
 
-class Taken(enum.Enum):
+class UpdateResult(enum.Enum):
     """What became of an update."""
 
-    NEWER = "newer"  # it is held now
-    OLD = "old"  # it was held already, or a newer one is
+    APPLIED = "applied"  # it is held now
+    STALE = "stale"  # it was held already, or a newer one is
     GAP = "gap"  # it tells changes against something that is not held
-    BROKEN = "broken"  # it can't be read
+    INVALID = "invalid"  # it can't be read
 
 
 class TopicStore:
@@ -59,37 +59,37 @@
     def position(self, topic: str) -> Position:
         """Where a topic stands here."""
         value = self._values.get(topic)
-        return value.position if value is not None else NOTHING
+        return value.position if value is not None else NO_POSITION
 
-    def take(self, value: Value) -> Taken:
+    def put(self, value: Value) -> UpdateResult:
         """Hold a value unless it is no newer than the one held."""
         if value.position <= self.position(value.topic):
-            return Taken.OLD
+            return UpdateResult.STALE
         self._values[value.topic] = value
-        return Taken.NEWER
+        return UpdateResult.APPLIED
 
-    def take_configuration(self, update: pb.ConfigUpdate) -> Taken:
+    def apply_configuration(self, update: pb.ConfigUpdate) -> UpdateResult:
         """Hold the configuration of an update, if it is newer."""
         if (0, update.sequence) <= self.position(CONFIG_TOPIC):
-            return Taken.OLD
+            return UpdateResult.STALE
         configuration = decode_configuration(update)
-        return self.take(configuration) if configuration is not None else Taken.BROKEN
+        return self.put(configuration) if configuration is not None else UpdateResult.INVALID
 
-    def take_list(self, update: pb.ListUpdate, now: float) -> Taken:
+    def apply_list(self, update: pb.ListUpdate, now: float) -> UpdateResult:
         """Hold the list of an update, if it is newer and, where it tells changes, they are to what is held."""
         service = update.position.service
         position = (update.position.term, update.position.revision)
         old = self.service_list(service)
         if not service:
-            return Taken.BROKEN
+            return UpdateResult.INVALID
         if old is not None and position <= old.position:
-            return Taken.OLD
+            return UpdateResult.STALE
         servers = decode_servers(update, now)
         if not update.whole:
             if old is None or old.position != (position[0], update.base_revision):
-                return Taken.GAP
+                return UpdateResult.GAP
             removed = set(update.removed)
             changed = {server.id: server for server in servers}
             kept = [server for server in old.servers.values() if server.id not in removed | changed.keys()]
             servers = kept + servers
-        return self.take(advance(old, service, position, servers, now))
+        return self.put(next_service_list(old, service, position, servers, now))
--- a/rosechute/distribution/subscriber.py
+++ b/rosechute/distribution/subscriber.py
@@ -13,27 +13,27 @@
     Action,
     ConfigurationChanged,
     Connection,
-    Dialed,
+    DialedLink,
     EdgesTotalChanged,
-    Send,
+    SendMessage,
     ServersChanged,
 )
 from rosechute.distribution.catch_up import PATIENCE_PER_EDGE_S, PATIENCE_S, CatchUp
 from rosechute.distribution.confirmation import Confirmation
 from rosechute.distribution.fan_out import FanOut
-from rosechute.distribution.home_links import Ask, FollowState, HomeLinks
+from rosechute.distribution.home_subscriptions import HomeSubscriptions, SubscriptionRequest, SubscriptionState
 from rosechute.distribution.leader_search import LeaderSearch, SearchState
 from rosechute.distribution.membership import EdgeIdentity
-from rosechute.distribution.store import Taken, TopicStore
+from rosechute.distribution.store import TopicStore, UpdateResult
 from rosechute.distribution.values import (
     CONFIG_TOPIC,
-    NOTHING,
+    NO_POSITION,
     Configuration,
     Position,
     list_position,
     list_topic,
+    reported_positions,
     service_of,
-    told_positions,
     topic_position,
 )
 from rosechute.messages import distribution_pb2 as pb
@@ -53,9 +53,9 @@
         self._search = LeaderSearch(now, seeds)
         self._confirmation = Confirmation()
         self._catch_up = CatchUp()
-        self._homes = HomeLinks(edge.name)
+        self._homes = HomeSubscriptions(edge.name)
         self._homes.add(now, CONFIG_TOPIC)
-        self._members: Position = NOTHING
+        self._members: Position = NO_POSITION
         self._edges_total = 0
         self._core_digest = 0
         self._leader_term = 0
@@ -73,7 +73,7 @@
         return self._search.leader
 
     @property
-    def attached(self) -> bool:
+    def is_attached(self) -> bool:
         """Whether the leader answers."""
         return self._search.state is SearchState.ATTACHED
 
@@ -85,7 +85,7 @@
     def leaderless_since(self) -> float | None:
         """Since when there is no leader to be asked; None while there is one, or one that is only silent."""
         since = self._search.leaderless_since
-        return None if self.attached or since > self._now else since
+        return None if self.is_attached or since > self._now else since
 
     @property
     def edges_total(self) -> int:
@@ -100,7 +100,7 @@
         """Where every topic stands here."""
         return {topic: self._store.position(topic) for topic in self._store.topics()}
 
-    def follow_state(self, topic: str) -> FollowState:
+    def subscription_state(self, topic: str) -> SubscriptionState:
         """How news of a topic comes here."""
         return self._homes.state(topic)
 
@@ -128,7 +128,7 @@
             self._expire_at = now + EXPIRE_INTERVAL_S
             self._fan_out.expire(now)
         sends: list[Action] = [
-            Send(Dialed(address), self._renew(request)) for address, request in self._search.due(now)
+            SendMessage(DialedLink(address), self._renew(request)) for address, request in self._search.due(now)
         ]
         for ask in self._homes.due(now):
             sends += self._subscribe(ask)
@@ -159,7 +159,7 @@
 
     def connection_closed(self, now: float, connection: Connection) -> list[Action]:
         """A connection has ended, or the link to an address could not be opened."""
-        if isinstance(connection, Dialed):
+        if isinstance(connection, DialedLink):
             self._search.closed(now, connection.address)
             self._homes.failed(now, connection.address)
         else:
@@ -181,7 +181,7 @@
             )
         )
 
-    def _subscribe(self, ask: Ask) -> list[Action]:
+    def _subscribe(self, ask: SubscriptionRequest) -> list[Action]:
         address = ask.home_address if ask.home_address is not None else self._search.leader
         if address is None:
             return []
@@ -191,20 +191,20 @@
             subscribe.config_sequence = position[1]
         else:
             subscribe.list.CopyFrom(list_position(service_of(ask.topic), position))
-        return [Send(Dialed(address), pb.Distribution(subscribe=subscribe))]
+        return [SendMessage(DialedLink(address), pb.Distribution(subscribe=subscribe))]
 
     def _fetch(self, topic: str, source: str, attempt: int) -> list[Action]:
         """From the leader; the configuration also from who told of it, and from the other core machines in turn."""
-        address = self._search.leader if self.attached else None
+        address = self._search.leader if self.is_attached else None
         if topic == CONFIG_TOPIC and (address is None or attempt % 2):
             others = [source, *self._search.addresses()]
             address = others[attempt // 2 % len(others)]
         if address is None:
             return []
-        return [Send(Dialed(address), pb.Distribution(fetch=pb.Fetch(topic=topic)))]
+        return [SendMessage(DialedLink(address), pb.Distribution(fetch=pb.Fetch(topic=topic)))]
 
     def _renewed(self, now: float, connection: Connection, answer: pb.Renewed) -> list[Action]:
-        if not isinstance(connection, Dialed):
+        if not isinstance(connection, DialedLink):
             return []
         sent_at = self._search.answered(now, connection.address, answer.request)
         if not answer.is_leader:
@@ -233,7 +233,7 @@
             self._members = (answer.members_term, answer.members_revision)
             self._homes.members(now, [EdgeIdentity(one.name, one.zone, one.address) for one in answer.zone_edges])
             self._search.set_peers(one.address for one in answer.zone_edges if one.name != self._edge.name)
-        for topic, position in told_positions(answer).items():
+        for topic, position in reported_positions(answer).items():
             self._homes.add(now, topic)
             self._told(now, topic, position, address)
         if answer.edges_total and answer.edges_total != self._edges_total:
@@ -247,13 +247,13 @@
         if position <= held:
             return
         patience = PATIENCE_S + PATIENCE_PER_EDGE_S * self._homes.zone_size()
-        if held == NOTHING and self._homes.state(topic) is FollowState.OWN:
+        if held == NO_POSITION and self._homes.state(topic) is SubscriptionState.LOCAL:
             patience = 0.0
         self._catch_up.told(topic, position, source, now + patience)
 
     def _configuration(self, now: float, connection: Connection, update: pb.ConfigUpdate) -> list[Action]:
         self._home_spoke(now, connection, CONFIG_TOPIC)
-        if self._store.take_configuration(update) is not Taken.NEWER:
+        if self._store.apply_configuration(update) is not UpdateResult.APPLIED:
             return []
         configuration = self._store.configuration()
         assert isinstance(configuration, Configuration)
@@ -265,17 +265,17 @@
         service = update.position.service
         topic = list_topic(service)
         self._home_spoke(now, connection, topic)
-        taken = self._store.take_list(update, now)
-        if taken is Taken.GAP:
-            return [Send(connection, pb.Distribution(fetch=pb.Fetch(topic=topic)))]
+        taken = self._store.apply_list(update, now)
+        if taken is UpdateResult.GAP:
+            return [SendMessage(connection, pb.Distribution(fetch=pb.Fetch(topic=topic)))]
         held = self._store.service_list(service)
-        if taken is not Taken.NEWER or held is None:
+        if taken is not UpdateResult.APPLIED or held is None:
             return []
         self._homes.add(now, topic)
         changed = ServersChanged(service, held.position, tuple(held.servers.values()))
         return [changed, *self._pass_on(now, topic)]
 
-    def _pass_on(self, now: float, topic: str) -> list[Send]:
+    def _pass_on(self, now: float, topic: str) -> list[SendMessage]:
         self._catch_up.held(topic, self._store.position(topic))
         return self._fan_out.publish(now, topic, self._fan_out.subscribers(topic))
 
@@ -291,27 +291,27 @@
         self._fan_out.subscribe(now, topic, name)
         handed_over = self._fan_out.spoke(now, name, connection, {topic: topic_position(subscribe)})
         news = self._fan_out.publish(now, topic, [name])
-        return [Send(connection, pb.Distribution(subscribed=answer)), *handed_over, *news]
+        return [SendMessage(connection, pb.Distribution(subscribed=answer)), *handed_over, *news]
 
     def _asked_here(self, connection: Connection, renew: pb.Renew) -> list[Action]:
         """Another edge of the zone has not found the core: the leader is named, where it answers here. This says
         nothing of any freshness: only core machines know that."""
-        if not self.attached or self._search.leader is None:
+        if not self.is_attached or self._search.leader is None:
             return []
         renewed = pb.Renewed(request=renew.request, leader=self._search.leader)
-        return [Send(connection, pb.Distribution(renewed=renewed))]
+        return [SendMessage(connection, pb.Distribution(renewed=renewed))]
 
     def _home_answered(self, now: float, connection: Connection, topic: str) -> list[Action]:
         self._home_spoke(now, connection, topic)
         return []
 
     def _home_spoke(self, now: float, connection: Connection, topic: str) -> None:
-        if isinstance(connection, Dialed):
+        if isinstance(connection, DialedLink):
             self._homes.answered(now, topic, connection.address)
 
     def _fetched_here(self, now: float, connection: Connection, topic: str) -> list[Action]:
         value = self._store.get(topic)
-        return [Send(connection, value.message(NOTHING, now))] if value is not None else []
+        return [SendMessage(connection, value.update_message(NO_POSITION, now))] if value is not None else []
 
     def _identity(self) -> pb.Edge:
         return pb.Edge(name=self._edge.name, zone=self._edge.zone, address=self._edge.address)
--- a/rosechute/distribution/values.py
+++ b/rosechute/distribution/values.py
@@ -14,7 +14,7 @@
 from rosechute.messages import distribution_pb2 as pb
 
 Position = tuple[int, int]
-NOTHING: Final[Position] = (0, 0)
+NO_POSITION: Final[Position] = (0, 0)
 
 CONFIG_TOPIC: Final = "config"
 LIST_PREFIX: Final = "list/"
@@ -74,11 +74,11 @@
         return (0, self.sequence)
 
     @staticmethod
-    def of(sequence: int, version: int, body: bytes) -> Configuration:
+    def from_body(sequence: int, version: int, body: bytes) -> Configuration:
         """From the body as the operator sent it; it is compressed here, once."""
         return Configuration(sequence, version, body, zlib.compress(body, COMPRESSION_LEVEL))
 
-    def message(self, held: Position, now: float) -> pb.Distribution:
+    def update_message(self, held: Position, now: float) -> pb.Distribution:
         """The update for somebody at the position `held`: always whole."""
         update = pb.ConfigUpdate(sequence=self.sequence, version=self.version, body=self.compressed)
         return pb.Distribution(config=update)
@@ -91,7 +91,7 @@
     service: str
     position: Position
     servers: dict[str, ListedServer]
-    base: Position = NOTHING
+    base: Position = NO_POSITION
     changed: tuple[ListedServer, ...] = ()
     removed: tuple[str, ...] = ()
     _encoded: dict[bool, tuple[float, pb.Distribution]] = field(default_factory=dict, compare=False)
@@ -100,9 +100,9 @@
     def topic(self) -> str:
         return list_topic(self.service)
 
-    def message(self, held: Position, now: float) -> pb.Distribution:
+    def update_message(self, held: Position, now: float) -> pb.Distribution:
         """The update for somebody at the position `held`: the changes where that is the base, else whole."""
-        delta = self.base != NOTHING and held == self.base and held[0] == self.position[0]
+        delta = self.base != NO_POSITION and held == self.base and held[0] == self.position[0]
         known = self._encoded.get(delta)
         if known is not None and known[0] == now:
             return known[1]
@@ -122,7 +122,7 @@
 Value = Configuration | ServiceList
 
 
-def advance(
+def next_service_list(
     old: ServiceList | None, service: str, position: Position, servers: Iterable[ListedServer], now: float
 ) -> ServiceList:
     """The list at `position`, with its changes against `old`; servers that are the same keep their old entry."""
@@ -137,11 +137,11 @@
         after[server.id] = server
         changed.append(server)
     removed = tuple(id for id in before if id not in after)
-    base = old.position if old is not None and old.position[0] == position[0] else NOTHING
+    base = old.position if old is not None and old.position[0] == position[0] else NO_POSITION
     return ServiceList(service, position, after, base, tuple(changed), removed)
 
 
-def same_servers(new: ServiceList) -> bool:
+def is_unchanged(new: ServiceList) -> bool:
     """Whether a list that `advance` made differs in nothing from the one before."""
     return not new.changed and not new.removed
 
@@ -151,7 +151,7 @@
     return pb.ListPosition(service=service, term=position[0], revision=position[1])
 
 
-def told_positions(message: pb.Renew | pb.Renewed) -> dict[str, Position]:
+def reported_positions(message: pb.Renew | pb.Renewed) -> dict[str, Position]:
     """By topic, the positions that a renewal or its answer tells."""
     positions = {list_topic(told.service): (told.term, told.revision) for told in message.lists}
     positions[CONFIG_TOPIC] = (0, message.config_sequence)
--- a/rosechute/processes/edge.py
+++ b/rosechute/processes/edge.py
@@ -139,7 +139,7 @@
         age = asyncio.get_running_loop().time() - self.confirmed_at()
         return {
             "leader": subscriber.leader,
-            "attached": subscriber.attached,
+            "attached": subscriber.is_attached,
             "edges_total": subscriber.edges_total,
             "confirmed_age_s": round(age, 3) if math.isfinite(age) else None,
             "topics": subscriber.positions(),
--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rosechute.configuration.process import ProcessSettings
-from rosechute.distribution.actions import Action, Connection, Dialed, Send
+from rosechute.distribution.actions import Action, Connection, DialedLink, SendMessage
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.messages import distribution_pb2 as pb
@@ -81,7 +81,7 @@
 
     def _received_dialed(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
         if kind is Kind.DISTRIBUTION:
-            self._handle(Dialed(connection.address), data)
+            self._handle(DialedLink(connection.address), data)
 
     def _handle(self, connection: Connection, data: bytes) -> None:
         try:
@@ -96,7 +96,7 @@
 
     def _dialed_closed(self, error: LinkError) -> None:
         logger.debug("link to {}: {}: {}", error.peer, error.step, error.reason)
-        self._carry(self.subscriber.connection_closed(self._loop.time(), Dialed(error.peer)))
+        self._carry(self.subscriber.connection_closed(self._loop.time(), DialedLink(error.peer)))
 
     def _accepted_closed(self, connection: LinkConnection) -> None:
         self._carry(self.subscriber.connection_closed(self._loop.time(), connection))
@@ -111,17 +111,17 @@
 
     def _carry(self, actions: Iterable[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self._send(action)
             else:
                 self._apply(action)
         self._log_leader()
-        if self.subscriber.attached:
+        if self.subscriber.is_attached:
             self.quota.follow(self.subscriber.leader_term)
         self._wake_at(max(self.subscriber.next_wake(), self._loop.time() + LEAST_SLEEP_S))
 
     def _log_leader(self) -> None:
-        followed = self.subscriber.leader if self.subscriber.attached else None
+        followed = self.subscriber.leader if self.subscriber.is_attached else None
         if followed == self._followed:
             return
         if followed is None:
@@ -130,11 +130,11 @@
             logger.info("leader {} followed", followed)
         self._followed = followed
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendMessage) -> None:
         data = action.message.SerializeToString()
         self.counts.add(BYTES_SENT, action.message.WhichOneof("body") or "", len(data))
         connection = action.connection
-        if isinstance(connection, Dialed):
+        if isinstance(connection, DialedLink):
             self._pool.send(connection.address, Kind.DISTRIBUTION, data)
         elif isinstance(connection, LinkConnection):
             connection.send(Kind.DISTRIBUTION, data)
--- a/rosechute/processes/edge_metrics.py
+++ b/rosechute/processes/edge_metrics.py
@@ -104,7 +104,7 @@
             "edges", "Living edges, as the leader told; 0 while unknown.", (), single(lambda: subscriber.edges_total)
         ),
         Family("leader_term", "Highest term of a leader that answered.", (), single(lambda: subscriber.leader_term)),
-        Family("leader_attached", "Whether the leader answers.", (), single(lambda: float(subscriber.attached))),
+        Family("leader_attached", "Whether the leader answers.", (), single(lambda: float(subscriber.is_attached))),
         Family(
             "config_version",
             "Version of the configuration in force; 0 for none.",
