--- a/tests/fleet/test_distribution_orders.py
+++ b/tests/fleet/test_distribution_orders.py
@@ -261,7 +261,7 @@
         self.publisher.leadership_lost(0.4)
         successor = Publisher(lambda at, request: None)
         successor.configuration_committed(0.4, 2, 2, b"[]")
-        successor.lease_gained(0.5, 2)
+        successor.leadership_gained(0.5, 2)
         self.publisher = successor
         sends = self.renew(0.6, "c3", 1)
         self.assertEqual(self.sequences(sends, "c3"), [])
