--- a/benchmarks/fleet_list.py
+++ b/benchmarks/fleet_list.py
@@ -19,8 +19,8 @@
 
 from benchmarks.fleet_size import SIZE, servers
 from benchmarks.hollow_list import LargeList
-from rosechute.control_plane.list_client import ListClient
-from rosechute.control_plane.list_reader import ListReader
+from rosechute.control_plane.endpoint_list_client import EndpointListClient
+from rosechute.control_plane.endpoint_list_reader import EndpointListReader
 from rosechute.distribution.values import ListedServer
 from rosechute.standin.fleet.platform import Instance
 
@@ -30,14 +30,16 @@
     platform = LargeList(rate)
     for one in servers(listed):
         platform.put(Instance(id=one.id, service=one.service, address=one.address, zone=one.zone, slots=64))
-    client = ListClient(await platform.start("127.0.0.1"))
+    client = EndpointListClient(await platform.start("127.0.0.1"))
     began, whole = time.monotonic(), []
 
     def deliver(found: Sequence[ListedServer]) -> None:
         assert len(found) == listed
         whole.append(time.monotonic() - began)
 
-    reader = ListReader(client.fetch, lambda: rate, lambda: 1, deliver, random.Random(1).random, time.monotonic)
+    reader = EndpointListReader(
+        client.fetch, lambda: rate, lambda: 1, deliver, random.Random(1).random, time.monotonic
+    )
     try:
         async with asyncio.timeout(seconds):
             await reader.run()
--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -17,7 +17,7 @@
 from benchmarks.fleet_size import configuration as body_of
 from rosechute.configuration.operator import parse
 from rosechute.configuration.process import Bounds
-from rosechute.control_plane.list_page import read_page
+from rosechute.control_plane.endpoint_list_page import decode_endpoint_list_page
 from rosechute.control_plane.quota_service import QuotaService
 from rosechute.coordination.memory import load, write_message
 from rosechute.coordination.views import State
@@ -196,7 +196,7 @@
     raw = msgspec.json.encode({"instances": instances, "next_token": "i-1"})
 
     def read() -> None:
-        for instance in read_page(raw, "platform").unwrap().instances:
+        for instance in decode_endpoint_list_page(raw, "platform").unwrap().instances:
             instance.listed(NOW)
 
     page.points[PAGE] = microseconds(read)
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -27,9 +27,9 @@
 from rosechute.storage.record_store import RecordStore
 from rosechute.storage.writer import StoreWriter
 
-from .core_report import CoreReport, core_report
-from .list_client import ListClient
-from .list_reader import ListReader
+from .core_report import CoreReport, build_core_report
+from .endpoint_list_client import EndpointListClient
+from .endpoint_list_reader import EndpointListReader
 from .operator_api import OperatorApi
 from .quota_service import QUOTA_TOKENS, QuotaService
 from .replica_runtime import TICK_S, ReplicaRuntime
@@ -58,9 +58,14 @@
         self._pool = LinkPool(self._received)
         self._server = LinkServer(settings.core_link_address, self._received, self._closed)
         self._api = OperatorApi(self, settings.listen.control, extend_api)
-        self._list_client = ListClient(settings.cloud_api.address)
-        self._reader = ListReader(
-            self._list_client.fetch, self._list_rate, self._held_term, self._take_list, self._draw, self._clock
+        self._endpoint_list_client = EndpointListClient(settings.cloud_api.address)
+        self._endpoint_list_reader = EndpointListReader(
+            self._endpoint_list_client.fetch,
+            self._list_calls_per_s,
+            self._leader_term,
+            self._publish_servers,
+            self._draw,
+            self._clock,
         )
         self._task: asyncio.Task[None] | None = None
         self._next_tick: asyncio.TimerHandle | None = None
@@ -82,7 +87,7 @@
         if self._writer is not None:
             self._writer.stop()
         await self._api.stop()
-        await self._list_client.close()
+        await self._endpoint_list_client.close()
         self._server.close()
         self._pool.close()
 
@@ -90,7 +95,7 @@
         """The settings file has changed. Addresses of this machine hold until the next start."""
         self._settings = settings
         self._quota.change_bounds(self._clock(), settings.bounds)
-        self._list_client.address = settings.cloud_api.address
+        self._endpoint_list_client.address = settings.cloud_api.address
         if self._runtime is not None:
             self._runtime.replica.update_seeds(_seeds(settings))
 
@@ -101,7 +106,7 @@
         now = self._clock()
         pending = self._writer.oldest_pending()
         waits_s = 0.0 if pending is None else now - pending
-        return core_report(self._runtime.replica, now, waits_s, self._publisher.edges_total(now))
+        return build_core_report(self._runtime.replica, now, waits_s, self._publisher.edges_total(now))
 
     def quota_counts(self) -> dict[str, float]:
         """Tokens of quotas that were asked for and issued here, by kind."""
@@ -113,11 +118,11 @@
 
     # What the operator's API asks
 
-    def submit(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
+    def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
         """Order a configuration."""
         if self._runtime is None:
             return _unsure()
-        return self._runtime.submit(base_version, version, body, digest)
+        return self._runtime.propose_write(base_version, version, body, digest)
 
     def read(self) -> asyncio.Future[Outcome]:
         """The newest acknowledged configuration."""
@@ -132,33 +137,33 @@
         sequence, version, body = configuration.sequence, configuration.version, configuration.body
         self._send_all(self._publisher.configuration_committed(now, sequence, version, body))
 
-    def lease_gained(self, term: int, holders: frozenset[str] | None = None) -> None:
-        """This machine leads from here on. Only `holders` may hold rate leases of earlier terms; None: not known."""
+    def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None = None) -> None:
+        """This machine leads from here on. Only `rate_lease_owners` may hold earlier rate leases."""
         now = self._clock()
-        told = "not known" if holders is None else f"{len(holders)} at most"
+        told = "not known" if rate_lease_owners is None else f"{len(rate_lease_owners)} at most"
         logger.info("leads with term {}, edges with rate leases: {}", term, told)
-        self._quota.lease_gained(now, term, holders)
+        self._quota.lease_gained(now, term, rate_lease_owners)
         self._send_all(self._publisher.leadership_gained(now, term))
-        self._reader.lease_gained()
+        self._endpoint_list_reader.leadership_gained()
 
-    def lease_lost(self) -> None:
+    def leadership_lost(self) -> None:
         """This machine leads no more."""
         if self._publisher.state is not PublisherState.LEADER:
             return
         logger.info("leads no more")
         self._send_all(self._publisher.leadership_lost(self._clock()))
 
-    def holders_noted(self, term: int, edges: frozenset[str]) -> None:
+    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
         """The names of the edges that may hold rate leases are synced."""
         self._quota.holders_noted(term, edges)
 
-    def _note_holders(self, now: float, runtime: ReplicaRuntime) -> None:
+    def _persist_rate_lease_owners(self, now: float, runtime: ReplicaRuntime) -> None:
         """Have the edges noted that may hold rate leases, where they have changed."""
         if self._publisher.state is not PublisherState.LEADER or not runtime.replica.is_leader(now):
             return
         edges = self._quota.holders_to_note(now)
         if edges is not None:
-            runtime.note_holders(self._publisher.term, edges)
+            runtime.persist_rate_lease_owners(self._publisher.term, edges)
 
     # Running
 
@@ -173,7 +178,7 @@
         self._runtime.start()
         logger.info("replica {} of {} records", replica.identity.id, len(saved))
         self._tick(self._runtime, self._clock())
-        await self._reader.run()
+        await self._endpoint_list_reader.run()
 
     async def _load(self) -> tuple[RecordStore, list[bytes]]:
         """Load the records in a thread; a disk that hangs doesn't hold up the loop."""
@@ -195,15 +200,15 @@
             await asyncio.sleep(HAND_OVER_POLL_S)
         await asyncio.sleep(FAREWELL_S)
 
-    def _list_rate(self) -> float:
+    def _list_calls_per_s(self) -> float:
         return self._settings.cloud_api.rate_per_s
 
-    def _held_term(self) -> int | None:
+    def _leader_term(self) -> int | None:
         """The term for which this machine holds the leader lease at this moment."""
         leads = self._runtime is not None and self._runtime.replica.is_leader(self._clock())
         return self._publisher.term if leads else None
 
-    def _take_list(self, servers: Sequence[ListedServer]) -> None:
+    def _publish_servers(self, servers: Sequence[ListedServer]) -> None:
         self._send_all(self._publisher.endpoint_list_read(self._clock(), servers))
 
     def _tick(self, runtime: ReplicaRuntime, due: float) -> None:
@@ -213,7 +218,7 @@
         if now - due > LATE_TICK_S:
             logger.warning("the loop stood still for {:.1f} s", now - due)
         runtime.tick()
-        self._note_holders(now, runtime)
+        self._persist_rate_lease_owners(now, runtime)
         self._send_all(self._publisher.tick(now))
 
     def _inform_publisher(self, now: float, replica: Replica) -> None:
@@ -222,7 +227,7 @@
         After a freeze a message may come before the replica has noticed that its lease has run out.
         """
         if self._publisher.state is PublisherState.LEADER and not replica.is_leader(now):
-            self.lease_lost()
+            self.leadership_lost()
         fresh = replica.freshness(now)
         if fresh is not None:
             self._publisher.update_freshness(now, *fresh)
--- a/rosechute/control_plane/core_report.py
+++ b/rosechute/control_plane/core_report.py
@@ -23,7 +23,7 @@
     edges: int  # living ones, as the leader knows them
 
 
-def core_report(replica: Replica, now: float, write_age_s: float, edges: int) -> CoreReport:
+def build_core_report(replica: Replica, now: float, write_age_s: float, edges: int) -> CoreReport:
     """The report of a replica and of what stands around it."""
     view, committed, fresh = replica.view, replica.committed, replica.freshness(now)
     names = {each.id: each.name for each in view.acceptors}
--- a/rosechute/control_plane/list_page.py
+++ b/rosechute/control_plane/endpoint_list_page.py
@@ -8,7 +8,7 @@
 READY = "ready"
 
 
-class ListProblem(msgspec.Struct, frozen=True):
+class EndpointListError(msgspec.Struct, frozen=True):
     """A reading of the list that failed: at which step, at which address, why."""
 
     step: str
@@ -53,9 +53,9 @@
 _DECODER = msgspec.json.Decoder(Page)
 
 
-def read_page(body: bytes, peer: str) -> Result[Page, ListProblem]:
+def decode_endpoint_list_page(body: bytes, peer: str) -> Result[Page, EndpointListError]:
     """Read a page."""
     try:
         return Success(_DECODER.decode(body))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Failure(ListProblem("decode a page of the list", peer, str(error)))
+        return Failure(EndpointListError("decode a page of the list", peer, str(error)))
--- a/rosechute/control_plane/operator_api.py
+++ b/rosechute/control_plane/operator_api.py
@@ -24,7 +24,7 @@
     Unsure,
 )
 
-from .orders import Chain, order_digest
+from .write_requests import ConfigurationStore, write_request_digest
 
 REPLACE_PATH = "/config/replace"
 READ_PATH = "/config/read"
@@ -49,10 +49,13 @@
     """Serves the control address of this machine."""
 
     def __init__(
-        self, chain: Chain, control_address: str, extend: Callable[[web.Application], None] | None = None
+        self,
+        configurations: ConfigurationStore,
+        control_address: str,
+        extend: Callable[[web.Application], None] | None = None,
     ) -> None:
         """`extend` adds what else is served at the same address."""
-        self._chain = chain
+        self._configurations = configurations
         self._control_address = control_address
         self._extend = extend
         self._runner: web.AppRunner | None = None
@@ -95,12 +98,14 @@
             return _error(400, ApiError(problem.reason, problem.place))
         version = parsed.unwrap().config_version
         left = ANSWER_WITHIN_S - (asyncio.get_running_loop().time() - began)
-        submitted = self._chain.submit(base_version, version, body, order_digest(base_version, body))
+        submitted = self._configurations.propose_write(
+            base_version, version, body, write_request_digest(base_version, body)
+        )
         return self._settled(await _within(submitted, max(left, SHORTEST_WAIT_S)), base_version, version)
 
     async def read(self, request: web.Request) -> web.Response:
         """`GET /config/read`: the newest acknowledged configuration, byte for byte as it was sent."""
-        outcome = await _within(self._chain.read(), ANSWER_WITHIN_S)
+        outcome = await _within(self._configurations.read(), ANSWER_WITHIN_S)
         if isinstance(outcome, Configuration):
             return web.Response(body=outcome.body, content_type="application/json")
         if isinstance(outcome, NoConfiguration):
--- a/rosechute/control_plane/replica_runtime.py
+++ b/rosechute/control_plane/replica_runtime.py
@@ -49,9 +49,9 @@
     """Who has to know what the replica has come to."""
 
     def committed(self, configuration: CommittedConfiguration) -> None: ...
-    def lease_gained(self, term: int, holders: frozenset[str] | None) -> None: ...
-    def lease_lost(self) -> None: ...
-    def holders_noted(self, term: int, edges: frozenset[str]) -> None: ...
+    def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None: ...
+    def leadership_lost(self) -> None: ...
+    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None: ...
 
 
 class ReplicaRuntime:
@@ -89,7 +89,7 @@
         """A message of another core machine."""
         self._act(self.replica.receive(self._clock(), message))
 
-    def submit(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
+    def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
         """Order a configuration."""
         request, answer = self._expect()
         self._act(self.replica.submit(self._clock(), Order(request, base_version, version, body, digest)))
@@ -101,7 +101,7 @@
         self._act(self.replica.read(self._clock(), request))
         return answer
 
-    def note_holders(self, term: int, edges: frozenset[str]) -> None:
+    def persist_rate_lease_owners(self, term: int, edges: frozenset[str]) -> None:
         """Note which edges may hold rate leases; the observer is told once that is synced."""
         self._act(self.replica.note_holders(self._clock(), term, edges))
 
@@ -129,11 +129,11 @@
                 case Committed(configuration):
                     self._observer.committed(configuration)
                 case LeaseGained(term, holders):
-                    self._observer.lease_gained(term, holders)
+                    self._observer.leadership_gained(term, holders)
                 case LeaseLost():
-                    self._observer.lease_lost()
+                    self._observer.leadership_lost()
                 case HoldersNoted(term, edges):
-                    self._observer.holders_noted(term, edges)
+                    self._observer.rate_lease_owners_persisted(term, edges)
 
     def _answer(self, request: int, outcome: Outcome) -> None:
         answer = self._waiting.get(request)
--- a/rosechute/control_plane/orders.py
+++ b/rosechute/control_plane/write_requests.py
@@ -9,16 +9,16 @@
 DIGEST_BYTES = 16
 
 
-class Chain(Protocol):
+class ConfigurationStore(Protocol):
     """Takes orders and answers reads; an answer may never come."""
 
-    def submit(self, base_version: int, version: int, body: bytes, digest: bytes) -> Awaitable[Outcome]:
+    def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> Awaitable[Outcome]:
         """Order a configuration that builds on `base_version`."""
 
     def read(self) -> Awaitable[Outcome]:
         """The newest acknowledged configuration."""
 
 
-def order_digest(base_version: int, body: bytes) -> bytes:
+def write_request_digest(base_version: int, body: bytes) -> bytes:
     """What makes two orders the same one: the version they build on, and every byte of the body."""
     return hashlib.blake2b(b"%d\n" % base_version + body, digest_size=DIGEST_BYTES).digest()
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -17,8 +17,8 @@
 
 from rosechute.configuration.process import Bounds, CloudApi, Listen, ProcessSettings
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.control_plane.list_page import Instance, ListProblem, Page
-from rosechute.control_plane.list_reader import ListReader
+from rosechute.control_plane.endpoint_list_page import EndpointListError, Instance, Page
+from rosechute.control_plane.endpoint_list_reader import EndpointListReader
 from rosechute.coordination.types import CommittedConfiguration, Identity
 from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.subscriber import Subscriber
@@ -158,9 +158,9 @@
     """A call to the platform that is under way."""
 
     def __init__(self) -> None:
-        self.result: Result[Page, ListProblem] = Failure(ListProblem("fetch", "", "no answer"))
+        self.result: Result[Page, EndpointListError] = Failure(EndpointListError("fetch", "", "no answer"))
 
-    def __await__(self) -> Generator[_Reply, None, Result[Page, ListProblem]]:
+    def __await__(self) -> Generator[_Reply, None, Result[Page, EndpointListError]]:
         yield self
         return self.result
 
@@ -195,7 +195,9 @@
         self.replica = ScriptedReplica(identity)
         stand_in: Any = SimpleNamespace(replica=self.replica)
         self._runtime = stand_in
-        self._reader = ListReader(self._fetch, self._list_rate, self._held_term, self._take_list, draw, self._clock)
+        self._endpoint_list_reader = EndpointListReader(
+            self._fetch, self._list_calls_per_s, self._leader_term, self._publish_servers, draw, self._clock
+        )
         self._reading: Coroutine[Any, Any, float] | None = None
 
     @property
@@ -222,7 +224,7 @@
     def notice_lease(self) -> None:
         """What the replica does first in every call: it notices that the lease has run out."""
         if not self.replica.is_leader(self._clock()):
-            self.lease_lost()
+            self.leadership_lost()
 
     def turn(self) -> None:
         """What a tick of the machine does."""
@@ -231,8 +233,8 @@
 
     def read_list(self) -> None:
         """Begin a reading, unless one is under way."""
-        if self._reading is None and self._held_term() is not None:
-            self._reading = self._reader.step()
+        if self._reading is None and self._leader_term() is not None:
+            self._reading = self._endpoint_list_reader.step()
             self._step(None)
 
     def _step(self, reply: _Reply | None) -> None:
@@ -255,7 +257,7 @@
 
         self._platform(self._process, number, answered)
 
-    async def _fetch(self, token: str | None) -> Result[Page, ListProblem]:
+    async def _fetch(self, token: str | None) -> Result[Page, EndpointListError]:
         self._calls = int(token or 0)
         return await _Reply()
 
--- a/tests/fleet/distribution_world.py
+++ b/tests/fleet/distribution_world.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from rosechute.configuration.process import Bounds
-from rosechute.control_plane.list_page import Instance
+from rosechute.control_plane.endpoint_list_page import Instance
 from rosechute.distribution.actions import (
     Action,
     ConfigurationChanged,
@@ -292,7 +292,7 @@
         self.term += 1
         core = machine.process.core
         core.replica.lease_until = until
-        core.lease_gained(self.term)
+        core.leadership_gained(self.term)
         core.read_list()
 
     def _tell_leader(self) -> None:
--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -51,14 +51,14 @@
             "test_coordination_snapshots",
             "test_coordination_random",
             "test_coordination_*",
-            "test_control_runtime",
+            "test_control_replica_runtime",
         ],
-        ["test_coordination_[!c]*", "test_control_runtime"],
+        ["test_coordination_[!c]*", "test_control_replica_runtime"],
     ),
     Area(
         "storage",
         ["rosechute/storage/*.py"],
-        ["test_planted_storage*", "test_storage_*", "test_processes_state", "test_control_runtime"],
+        ["test_planted_storage*", "test_storage_*", "test_processes_state", "test_control_replica_runtime"],
     ),
     Area(
         "distribution",
@@ -75,7 +75,7 @@
         "control",
         ["rosechute/control_plane/*.py"],
         ["test_planted_control*", "test_control_*", "test_quota_leases", "test_distribution_wallet", "test_quota_*"],
-        ["test_distribution_wallet", "test_quota_sum", "test_control_runtime"],
+        ["test_distribution_wallet", "test_quota_sum", "test_control_replica_runtime"],
     ),
     Area(
         "wallets",
--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from rosechute.control_plane.orders import order_digest
 from rosechute.control_plane.replica_runtime import Done, ReplicaRuntime
+from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import CommittedConfiguration, Configuration, Elsewhere, Outcome, ReplicaConfig
 from rosechute.messages.coordination_pb2 import CoreMessage
@@ -109,13 +109,13 @@
     def committed(self, configuration: CommittedConfiguration) -> None:
         self.committed_sequences.append(configuration.sequence)
 
-    def lease_gained(self, term: int, holders: frozenset[str] | None) -> None:
+    def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None:
         pass
 
-    def lease_lost(self) -> None:
+    def leadership_lost(self) -> None:
         pass
 
-    def holders_noted(self, term: int, edges: frozenset[str]) -> None:
+    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
         pass
 
 
@@ -197,11 +197,11 @@
     async def order(self, base_version: int, version: int, within_s: float, note: str = "") -> Any:
         """Send an order to one machine after the other until it has a clear answer."""
         body = f"{version} on {base_version} {note}".encode()
-        digest = order_digest(base_version, body)
+        digest = write_request_digest(base_version, body)
         end = self.now + within_s
         while self.now < end:
             machine = self.draw.choice(self.machines)
-            outcome = await self.call(machine, lambda to: to.submit(base_version, version, body, digest))
+            outcome = await self.call(machine, lambda to: to.propose_write(base_version, version, body, digest))
             if hasattr(outcome, "version") or hasattr(outcome, "current_version"):
                 return outcome
             await self.run_for(0.05)
--- a/tests/fleet/simulation/machine.py
+++ b/tests/fleet/simulation/machine.py
@@ -219,11 +219,11 @@
     def committed(self, configuration: CommittedConfiguration) -> None:
         self.world.on_committed(self, Committed(configuration))
 
-    def lease_gained(self, term: int, holders: frozenset[str] | None) -> None:
-        self.world.on_lease(self, LeaseGained(term, holders))
+    def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None:
+        self.world.on_lease(self, LeaseGained(term, rate_lease_owners))
 
-    def holders_noted(self, term: int, edges: frozenset[str]) -> None:
+    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
         pass
 
-    def lease_lost(self) -> None:
+    def leadership_lost(self) -> None:
         self.world.on_lease(self, LeaseLost())
--- a/tests/fleet/simulation/operators.py
+++ b/tests/fleet/simulation/operators.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from rosechute.control_plane.orders import order_digest
+from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination import Acknowledged, Configuration, Elsewhere, NoConfiguration, Order, Outcome, Stale
 from tests.fleet.simulation.world import Machine, World
 
@@ -14,7 +14,7 @@
 
 def order_of(base: int, version: int, body: bytes) -> Order:
     """The order that replaces `base` by this body."""
-    return Order(0, base, version, body, order_digest(base, body))
+    return Order(0, base, version, body, write_request_digest(base, body))
 
 
 class Operator:
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -104,12 +104,12 @@
 
     async def test_unsure_until_the_records_are_loaded(self) -> None:
         self.assertEqual(await self.machine.read(), Unsure())
-        self.assertEqual(await self.machine.submit(0, 1, b"", b""), Unsure())
+        self.assertEqual(await self.machine.propose_write(0, 1, b"", b""), Unsure())
         self.assertFalse(self.renew().config_known)
 
     async def test_a_leader_answers_as_one(self) -> None:
         self.run_replica()
-        self.machine.lease_gained(3)
+        self.machine.leadership_gained(3)
         renewed = self.renew()
         self.assertTrue(renewed.is_leader)
         self.assertEqual((renewed.config_sequence, renewed.config_age_ms), (1, 100))
@@ -123,7 +123,7 @@
 
     async def test_after_a_freeze_no_answer_as_leader_and_no_tokens(self) -> None:
         self.run_replica()
-        self.machine.lease_gained(3)
+        self.machine.leadership_gained(3)
         self.machine.committed(configuration(1))
         self.now += 5.0
         self.replica.leader = None  # the lease has run out, and the replica has not told yet
@@ -135,17 +135,17 @@
     async def test_a_list_is_told_only_under_the_lease(self) -> None:
         self.run_replica()
         server = ListedServer("i", "s", "10.0.1.1:1", "z", 8, True)
-        self.machine._take_list([server])
-        self.machine.lease_gained(3)
+        self.machine._publish_servers([server])
+        self.machine.leadership_gained(3)
         self.renew()
         self.assertEqual(self.told("list"), [])
-        self.machine._take_list([server])
+        self.machine._publish_servers([server])
         self.tell(fetch=pb.Fetch(topic="list/s"))
         self.assertEqual(self.told("list")[-1].servers[0].id, "i")
 
     async def test_tokens_by_the_newest_configuration(self) -> None:
         self.run_replica()
-        self.machine.lease_gained(3)
+        self.machine.leadership_gained(3)
         self.machine.committed(configuration(1))
         self.now += 1.0
         self.renew()
--- a/tests/fleet/test_control_list_reader.py
+++ b/tests/fleet/test_control_endpoint_list_reader.py
@@ -8,9 +8,9 @@
 from loguru import logger
 from returns.result import Failure, Result, Success
 
-from rosechute.control_plane import list_reader
-from rosechute.control_plane.list_page import Instance, ListProblem, Page, read_page
-from rosechute.control_plane.list_reader import INTERVAL_S, RETRY_S, ListReader
+from rosechute.control_plane import endpoint_list_reader
+from rosechute.control_plane.endpoint_list_page import EndpointListError, Instance, Page, decode_endpoint_list_page
+from rosechute.control_plane.endpoint_list_reader import INTERVAL_S, RETRY_S, EndpointListReader
 from rosechute.distribution.values import ListedServer
 
 RATE_PER_S = 40.0
@@ -37,13 +37,13 @@
         self.call_s = 0.0
         self.now = 100.0
 
-    async def fetch(self, token: str | None) -> Result[Page, ListProblem]:
+    async def fetch(self, token: str | None) -> Result[Page, EndpointListError]:
         self.calls += 1
         self.now += self.call_s
         if self.broken:
             raise ValueError("a fault of the program")
         if self.failing:
-            return Failure(ListProblem("fetch", "10.0.0.1:1", "status 429"))
+            return Failure(EndpointListError("fetch", "10.0.0.1:1", "status 429"))
         number = int(token or 0)
         following = str(number + 1) if number + 1 < self.pages else None
         return Success(Page((Instance(f"i-{number}", "s", f"10.0.0.{number}:1", cold_remaining_ms=500),), following))
@@ -54,15 +54,15 @@
         return 7 if self.calls < self.next_term_after_calls else 9
 
 
-class ListReaderTest(IsolatedAsyncioTestCase):
+class EndpointListReaderTest(IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.delivered: list[list[ListedServer]] = []
 
-    def reader(self, platform: FakePlatform, rate: float = RATE_PER_S) -> ListReader:
+    def reader(self, platform: FakePlatform, rate: float = RATE_PER_S) -> EndpointListReader:
         def deliver(servers: Sequence[ListedServer]) -> None:
             self.delivered.append(list(servers))
 
-        return ListReader(
+        return EndpointListReader(
             platform.fetch, lambda: rate, platform.held_term, deliver, lambda: 0.5, lambda: platform.now
         )
 
@@ -85,9 +85,9 @@
         await asyncio.sleep(0)
         self.assertEqual(platform.calls, 0)
         platform.lease_ends_after_calls = 10**9
-        with mock.patch.object(list_reader, "RETRY_S", 0.0):
+        with mock.patch.object(endpoint_list_reader, "RETRY_S", 0.0):
             platform.broken = True
-            reader.lease_gained()
+            reader.leadership_gained()
             while platform.calls < 3:
                 await asyncio.sleep(0)
             platform.broken = False
@@ -141,7 +141,7 @@
 
     async def test_a_platform_that_tells_no_rate_is_asked_seldom(self) -> None:
         wait = await self.reader(FakePlatform(), 0.0).step()
-        self.assertAlmostEqual(wait, 1 / list_reader.SLOWEST_RATE_PER_S)
+        self.assertAlmostEqual(wait, 1 / endpoint_list_reader.SLOWEST_RATE_PER_S)
 
     async def test_it_waits_for_each_lease_anew(self) -> None:
         """After a lease that was lost it does not look again and again for the next one."""
@@ -149,11 +149,11 @@
         platform.lease_ends_after_calls = 1
         reader = self.reader(platform)
         task = asyncio.create_task(reader.run())
-        reader.lease_gained()
-        with mock.patch.multiple(list_reader, INTERVAL_S=0.0, RATE_SHARE=1e9):
+        reader.leadership_gained()
+        with mock.patch.multiple(endpoint_list_reader, INTERVAL_S=0.0, RATE_SHARE=1e9):
             while platform.calls < 1:
                 await asyncio.sleep(0)
-            with mock.patch.object(reader, "_held_term", wraps=platform.held_term) as looked:
+            with mock.patch.object(reader, "_leader_term", wraps=platform.held_term) as looked:
                 for _ in range(50):
                     await asyncio.sleep(0)
         self.assertLessEqual(looked.call_count, 2)
@@ -165,11 +165,13 @@
         self.assertAlmostEqual(self.delivered[0][0].cold_until, platform.now + 0.5)
 
 
-class ListPageTest(TestCase):
+class EndpointListPageTest(TestCase):
     def test_an_entry_as_the_platform_tells_it(self) -> None:
         entry = {"service": "s", "address": "10.128.0.9:8080", "zone": "z", "config_version": "v1", "slots": 64}
         entry |= {"state": "draining", "cold_remaining_ms": 0, "stage": "dual", "models": [], "id": "i-7"}
-        page = read_page(json.dumps({"instances": [entry], "next_token": "p-50"}).encode(), "peer").unwrap()
+        page = decode_endpoint_list_page(
+            json.dumps({"instances": [entry], "next_token": "p-50"}).encode(), "peer"
+        ).unwrap()
         self.assertEqual(page.next_token, "p-50")
         listed = page.instances[0].listed(5.0)
         self.assertEqual(listed, ListedServer("i-7", "s", "10.128.0.9:8080", "z", 64, False, 5.0))
@@ -179,4 +181,4 @@
 
     def test_what_is_no_page(self) -> None:
         for data in (b"", b"{", b"[]", b'{"instances": [{}]}', b'{"instances": 3}', b"\xff"):
-            self.assertEqual(read_page(data, "10.0.0.1:1").failure().peer, "10.0.0.1:1")
+            self.assertEqual(decode_endpoint_list_page(data, "10.0.0.1:1").failure().peer, "10.0.0.1:1")
--- a/tests/fleet/test_control_runtime.py
+++ b/tests/fleet/test_control_replica_runtime.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from rosechute.control_plane import replica_runtime
-from rosechute.control_plane.core_report import core_report
+from rosechute.control_plane.core_report import build_core_report
 from rosechute.coordination.types import Acknowledged, Stale
 from rosechute.storage.layout import encode_slot
 
@@ -45,7 +45,7 @@
         reports = []
         for machine in core.machines:
             assert machine.runtime is not None
-            reports.append(core_report(machine.runtime.replica, core.now, 0.02, 0))
+            reports.append(build_core_report(machine.runtime.replica, core.now, 0.02, 0))
         leader = next(each for each in reports if each.leader)
         self.assertEqual(sum(each.leader for each in reports), 1)
         for each in reports:
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -17,7 +17,7 @@
 
 from rosechute.control_plane import quota, rate_leases
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.control_plane.list_reader import ListReader
+from rosechute.control_plane.endpoint_list_reader import EndpointListReader
 from rosechute.control_plane.quota_service import QuotaService
 from rosechute.data_plane.plane import DataPlane
 from rosechute.distribution import confirmation, publisher, store
@@ -34,7 +34,7 @@
 ORDERS = "tests.fleet.test_distribution_orders"
 DAYS = "tests.fleet.test_distribution_days"
 LEASES = "tests.fleet.test_quota_leases"
-READER = "tests.fleet.test_control_list_reader.ListReaderTest"
+READER = "tests.fleet.test_control_endpoint_list_reader.EndpointListReaderTest"
 CORE = "tests.fleet.test_control_core_machine.CoreMachineTest"
 TERMS = "tests.fleet.test_data_terms"
 
@@ -63,21 +63,21 @@
 
 
 def reading_of_another_term_counts() -> AbstractContextManager[Any]:
-    original = ListReader.__init__
+    original = EndpointListReader.__init__
 
-    def initialise(self: ListReader, fetch: Any, rate: Any, held_term: Any, *others: Any) -> None:
+    def initialise(self: EndpointListReader, fetch: Any, rate: Any, held_term: Any, *others: Any) -> None:
         original(self, fetch, rate, lambda: None if held_term() is None else 1, *others)
 
-    return mock.patch.object(ListReader, "__init__", initialise)
+    return mock.patch.object(EndpointListReader, "__init__", initialise)
 
 
 def reading_counts_without_the_lease() -> AbstractContextManager[Any]:
-    original = ListReader.__init__
+    original = EndpointListReader.__init__
 
-    def initialise(self: ListReader, fetch: Any, rate: Any, held_term: Any, *others: Any) -> None:
+    def initialise(self: EndpointListReader, fetch: Any, rate: Any, held_term: Any, *others: Any) -> None:
         original(self, fetch, rate, lambda: 1, *others)
 
-    return mock.patch.object(ListReader, "__init__", initialise)
+    return mock.patch.object(EndpointListReader, "__init__", initialise)
 
 
 def lists_of_earlier_terms_are_told() -> AbstractContextManager[Any]:
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.control_plane import list_reader, quota
+from rosechute.control_plane import endpoint_list_reader, quota
 from rosechute.distribution import catch_up, confirmation, home_subscriptions, membership, publisher, store, values
 from rosechute.distribution.store import UpdateResult
 from tests.fleet.distribution_checkers import Checkers
@@ -144,12 +144,12 @@
             self.found(play, "is behind")
 
     def test_a_reading_counts_for_a_later_term(self) -> None:
-        original = list_reader.ListReader.__init__
+        original = endpoint_list_reader.EndpointListReader.__init__
 
         def initialise(self: Any, fetch: Any, rate: Any, held_term: Any, *rest: Any) -> None:
             original(self, fetch, rate, lambda: None if held_term() is None else 1, *rest)
 
-        with mock.patch.object(list_reader.ListReader, "__init__", initialise):
+        with mock.patch.object(endpoint_list_reader.EndpointListReader, "__init__", initialise):
             self.found(reading_under_way_while_another_machine_leads, "an older reading")
 
     def test_a_machine_that_is_cut_off_says_that_it_is_fresh(self) -> None:
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -21,10 +21,10 @@
 from msgspec import structs
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control_plane import core_machine, list_client
+from rosechute.control_plane import core_machine, endpoint_list_client
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.control_plane.core_report import CoreReport, core_report
-from rosechute.control_plane.list_client import ListClient
+from rosechute.control_plane.core_report import CoreReport, build_core_report
+from rosechute.control_plane.endpoint_list_client import EndpointListClient
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER
 from rosechute.coordination.types import CommittedConfiguration, Identity, ReplicaConfig, Unsure
 from rosechute.distribution.actions import DialedLink, SendMessage
@@ -87,13 +87,13 @@
     async def start(self) -> CoreMachine:
         machine = CoreMachine(self.settings)
         machine._clock = asyncio.get_running_loop().time
-        machine._reader._clock = machine._clock
+        machine._endpoint_list_reader._clock = machine._clock
         await machine.start()
         return machine
 
     async def lead(self) -> CoreMachine:
         machine = await self.start()
-        await until(lambda: machine._held_term() is not None)
+        await until(lambda: machine._leader_term() is not None)
         return machine
 
     async def settled(self, machine: CoreMachine) -> CoreReport:
@@ -311,7 +311,7 @@
         return SimpleNamespace(**(known | fields))
 
     def test_everything_that_is_known(self) -> None:
-        found = core_report(self.replica(), 9.0, 0.125, 12)
+        found = build_core_report(self.replica(), 9.0, 0.125, 12)
         self.assertEqual((found.id, found.leader, found.leader_name, found.term), ("a", True, "core-b", 5))
         self.assertEqual((found.epoch, found.acceptors), (7, ["core-a", "core-b"]))
         self.assertEqual(found.chain, ["core-b", "core-a", "gone"])
@@ -320,7 +320,7 @@
 
     def test_nothing_is_known(self) -> None:
         nothing = {"committed": None, "leader_hint": lambda: None, "freshness": lambda now: None}
-        found = core_report(self.replica(**nothing), 8.0, 0.0, 0)
+        found = build_core_report(self.replica(**nothing), 8.0, 0.0, 0)
         self.assertEqual((found.leader, found.leader_name, found.config_age_ms), (False, "", None))
         self.assertEqual((found.config_sequence, found.config_version), (0, 0))
 
@@ -377,7 +377,9 @@
     def test_other_settings(self) -> None:
         other = structs.replace(SETTINGS, cloud_api=CloudApi(address="10.0.0.8:80", rate_per_s=7.0))
         self.machine.change_settings(other)
-        self.assertEqual((self.machine._list_rate(), self.machine._list_client.address), (7.0, "10.0.0.8:80"))
+        self.assertEqual(
+            (self.machine._list_calls_per_s(), self.machine._endpoint_list_client.address), (7.0, "10.0.0.8:80")
+        )
         self.load()
         self.machine.change_settings(SETTINGS)
         self.replica.update_seeds.assert_called_once_with(SEEDS)
@@ -385,8 +387,8 @@
     def test_nothing_is_reported_or_answered_before_the_records_are_loaded(self) -> None:
         async def scene() -> None:
             self.assertIsInstance(await self.machine.read(), Unsure)
-            self.assertIsInstance(await self.machine.submit(0, 1, b"", b""), Unsure)
-            self.assertIsNone(self.machine._held_term())
+            self.assertIsInstance(await self.machine.propose_write(0, 1, b"", b""), Unsure)
+            self.assertIsNone(self.machine._leader_term())
             self.machine._writer = mock.Mock()
             self.assertIsNone(self.machine.report())
             self.load()
@@ -406,15 +408,15 @@
 
     def test_the_term_is_held_while_the_lease_is(self) -> None:
         self.load()
-        self.assertEqual(self.machine._held_term(), 5)
+        self.assertEqual(self.machine._leader_term(), 5)
         self.machine._clock = lambda: 9.5
-        self.assertIsNone(self.machine._held_term())
+        self.assertIsNone(self.machine._leader_term())
 
     def test_the_end_of_a_lease_is_told_by_a_leader_only(self) -> None:
-        self.machine.lease_lost()
+        self.machine.leadership_lost()
         self.publisher.leadership_lost.assert_called_once_with(9.0)
         self.publisher.state = PublisherState.FOLLOWER
-        self.machine.lease_lost()
+        self.machine.leadership_lost()
         self.publisher.leadership_lost.assert_called_once_with(9.0)
 
     def test_a_message_after_a_freeze_finds_the_lease_ended(self) -> None:
@@ -524,18 +526,18 @@
         self.assertTrue(0.02 <= self.hand_over_s(0.0) < 0.2)
 
 
-class ListClientTest(SiteCase):
+class EndpointListClientTest(SiteCase):
     """Calls of the platform's list over loopback."""
 
     def serve(self, handler: Any) -> Any:
-        async def start() -> tuple[web.AppRunner, ListClient]:
+        async def start() -> tuple[web.AppRunner, EndpointListClient]:
             application = web.Application()
             application.router.add_get("/instances", handler)
             runner = web.AppRunner(application)
             await runner.setup()
             site = web.TCPSite(runner, "127.0.0.1", 0)
             await site.start()
-            return runner, ListClient(f"127.0.0.1:{runner.addresses[0][1]}")
+            return runner, EndpointListClient(f"127.0.0.1:{runner.addresses[0][1]}")
 
         return start()
 
@@ -571,7 +573,7 @@
             runner, client = await self.serve(instances)
             await client.fetch(None)
             connector: Any = client._opened().connector
-            self.assertEqual((connector.limit, connector._keepalive_timeout), (1, list_client.KEEP_OPEN_S))
+            self.assertEqual((connector.limit, connector._keepalive_timeout), (1, endpoint_list_client.KEEP_OPEN_S))
             self.assertFalse(transports[0].is_closing())
             await client.close()
             await until(transports[0].is_closing)
@@ -601,7 +603,7 @@
             began = asyncio.get_running_loop().time()
             self.assertIn("no answer within", (await client.fetch(None)).failure().reason)
             self.assertLess(asyncio.get_running_loop().time() - began, 1.5)
-            self.assertGreater(list_client.CALL_TIMEOUT_S, 0.3)
+            self.assertGreater(endpoint_list_client.CALL_TIMEOUT_S, 0.3)
             await client.close()
             await runner.shutdown()
 
@@ -609,7 +611,7 @@
 
     def test_nobody_listens(self) -> None:
         async def scene() -> None:
-            client = ListClient(f"127.0.0.1:{free_ports(1)[0]}")
+            client = EndpointListClient(f"127.0.0.1:{free_ports(1)[0]}")
             self.assertTrue((await client.fetch(None)).failure().reason)
             await client.close()
 
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -16,7 +16,6 @@
 from rosechute.configuration.process import Bounds
 from rosechute.control_plane import operator_api, quota, rate_leases
 from rosechute.control_plane.operator_api import OperatorApi
-from rosechute.control_plane.orders import order_digest
 from rosechute.control_plane.quota import LIFETIME_S, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
 from rosechute.control_plane.quota_service import QuotaService
 from rosechute.control_plane.rate_leases import (
@@ -34,6 +33,7 @@
     fair_level,
 )
 from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES, ReplicaRuntime
+from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination import types as core
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
@@ -598,7 +598,7 @@
         assert self.outcome is not None
         return self.outcome
 
-    def submit(self, *order: Any) -> Any:
+    def propose_write(self, *order: Any) -> Any:
         self.asked.append(order)
         return self._answer()
 
@@ -633,7 +633,7 @@
 
     def test_acknowledged(self) -> None:
         self.assertEqual(self.told(self.replace(core.Acknowledged(7))), (200, {"config_version": 7}))
-        self.assertEqual(self.chain.asked, [(6, 7, self.BODY, order_digest(6, self.BODY))])
+        self.assertEqual(self.chain.asked, [(6, 7, self.BODY, write_request_digest(6, self.BODY))])
 
     def test_refused(self) -> None:
         status, body = self.told(self.replace(core.Stale(9)))
@@ -695,10 +695,15 @@
         self.assertTrue(body["error"])
 
     def test_same_order_by_base_and_bytes(self) -> None:
-        digests = {order_digest(1, b"a"), order_digest(2, b"a"), order_digest(1, b"a "), order_digest(1, b"b")}
+        digests = {
+            write_request_digest(1, b"a"),
+            write_request_digest(2, b"a"),
+            write_request_digest(1, b"a "),
+            write_request_digest(1, b"b"),
+        }
         self.assertEqual(len(digests), 4)
-        self.assertEqual(order_digest(1, b"a"), order_digest(1, b"a"))
-        self.assertEqual(len(order_digest(1, b"a")), 16)
+        self.assertEqual(write_request_digest(1, b"a"), write_request_digest(1, b"a"))
+        self.assertEqual(len(write_request_digest(1, b"a")), 16)
 
     def test_stops_unstarted(self) -> None:
         asyncio.run(OperatorApi(StoppedChain(None), "10.0.0.1:8367").stop())
@@ -738,9 +743,9 @@
         )
         observer = SimpleNamespace(
             committed=lambda value: self.observed.append(value),
-            lease_gained=lambda term, holders: self.observed.append((term, holders)),
-            lease_lost=lambda: self.observed.append("lost"),
-            holders_noted=lambda term, edges: self.observed.append(("noted", term, edges)),
+            leadership_gained=lambda term, owners: self.observed.append((term, owners)),
+            leadership_lost=lambda: self.observed.append("lost"),
+            rate_lease_owners_persisted=lambda term, edges: self.observed.append(("noted", term, edges)),
         )
         untyped: Any = replica
         self.runtime = ReplicaRuntime(
@@ -777,7 +782,7 @@
         self.assertEqual(self.observed, told)
 
     def test_names_to_note_go_to_the_replica(self) -> None:
-        self.runtime.note_holders(3, frozenset("b"))
+        self.runtime.persist_rate_lease_owners(3, frozenset("b"))
         self.assertEqual(self.calls[-1], ("note", 3, frozenset("b")))
 
     def test_records_are_appended_and_told_once_synced(self) -> None:
@@ -816,7 +821,7 @@
 
     def test_answers_reach_their_callers(self) -> None:
         async def scene() -> None:
-            first = self.runtime.submit(1, 2, b"body", b"digest")
+            first = self.runtime.propose_write(1, 2, b"body", b"digest")
             second = self.runtime.read()
             (_, order), (_, request) = self.calls
             told = (order.base_version, order.version, order.body, order.digest)
