--- a/benchmarks/fleet_slopes_events.py
+++ b/benchmarks/fleet_slopes_events.py
@@ -57,7 +57,7 @@
 class AllowAll:
     """Every quota allows."""
 
-    def spend(self, tenant: str, tokens: int, decided: Any) -> None:
+    def acquire(self, tenant: str, tokens: int, decided: Any) -> None:
         """Allow."""
         decided(True, 0.0)
 
--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -97,7 +97,7 @@
         "return None",
     ),
     "no-quota-prediction": _line(
-        f"{ROUTING}/quota_wallet.py", "        if expected_at - now > WAIT_S:", "        if False:"
+        f"{ROUTING}/token_cache.py", "        if expected_at - now > WAIT_S:", "        if False:"
     ),
     "no-quota-priority": _line(
         "rosechute/data_plane/plane.py",
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -133,7 +133,7 @@
     def committed(self, configuration: CommittedConfiguration) -> None:
         """A newer configuration is known to stay."""
         now = self._clock()
-        self._quota.committed(now, configuration.body)
+        self._quota.configuration_committed(now, configuration.body)
         sequence, version, body = configuration.sequence, configuration.version, configuration.body
         self._send_all(self._publisher.configuration_committed(now, sequence, version, body))
 
@@ -142,7 +142,7 @@
         now = self._clock()
         told = "not known" if rate_lease_owners is None else f"{len(rate_lease_owners)} at most"
         logger.info("leads with term {}, edges with rate leases: {}", term, told)
-        self._quota.lease_gained(now, term, rate_lease_owners)
+        self._quota.leadership_gained(now, term, rate_lease_owners)
         self._send_all(self._publisher.leadership_gained(now, term))
         self._endpoint_list_reader.leadership_gained()
 
@@ -155,13 +155,13 @@
 
     def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
         """The names of the edges that may hold rate leases are synced."""
-        self._quota.holders_noted(term, edges)
+        self._quota.rate_lease_owners_persisted(term, edges)
 
     def _persist_rate_lease_owners(self, now: float, runtime: ReplicaRuntime) -> None:
         """Have the edges noted that may hold rate leases, where they have changed."""
         if self._publisher.state is not PublisherState.LEADER or not runtime.replica.is_leader(now):
             return
-        edges = self._quota.holders_to_note(now)
+        edges = self._quota.rate_lease_owners_to_persist(now)
         if edges is not None:
             runtime.persist_rate_lease_owners(self._publisher.term, edges)
 
--- a/rosechute/control_plane/quota.py
+++ b/rosechute/control_plane/quota_allocator.py
@@ -23,24 +23,24 @@
 
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport, milliseconds
 
-from .lease_holders import LeaseHolders
-from .rate_leases import LEAST_BARE_S, Holder, LeaseTotals, RateLeases
+from .rate_lease_owners import RateLeaseOwnerTracker
+from .rate_leases import MIN_NO_LEASE_S, LeaseBudget, LeaseOwner, RateLeases
 
-LIFETIME_S = 0.4
+TOKEN_LIFETIME_S = 0.4
 EMERGENCY_SHARE = 0.06  # of what the rules allow beyond rate x window + burst: what new leaders issue in a window
-KEPT_SHARE = 0.9  # of the same: outstanding tokens, stores of leases, a larger bucket
+RETAINED_SHARE = 0.9  # of the same: outstanding tokens, stores of leases, a larger bucket
 OUTSTANDING_SHARE = 0.35  # of the kept share, or more: outstanding tokens
 LEASED_SHARE = 0.65  # of the rate, at most
-LONGEST_STORE_S = 4.0  # of the rate: the stores hold no more
-DEPOSIT_FROM = 0.15  # of the capacity: what the bucket holds beyond goes to the stores of the leases
-SHORTEST_LIFETIME_S = 0.2
+MAX_LEASE_DEPTH_S = 4.0  # of the rate: the stores hold no more
+DEPOSIT_RESERVE_SHARE = 0.15  # of the capacity: what the bucket holds beyond goes to the stores of the leases
+MIN_TOKEN_LIFETIME_S = 0.2
 OUTSTANDING_LIFETIMES = 1.25  # of the rate: room for tokens that are issued and not spent
-SMALLEST_CAPACITY_S = 0.5  # of the rate: a bucket without a burst has to hold something
-RESERVED_S = 0.5  # how long a demand that could not be met is kept
-ASKED_S = 1.0  # how long an edge counts as one that asks for a tenant
-SHORTEST_RETRY_S = 0.05
-LONGEST_RETRY_S = 5.0
-AHEAD_SHARE = 0.5  # of an edge's even part of the bucket: what is issued beyond what is of use now
+MIN_CAPACITY_S = 0.5  # of the rate: a bucket without a burst has to hold something
+RESERVATION_S = 0.5  # how long a demand that could not be met is kept
+ACTIVE_REQUESTER_S = 1.0  # how long an edge counts as one that asks for a tenant
+MIN_RETRY_S = 0.05
+MAX_RETRY_S = 5.0
+PREFETCH_SHARE = 0.5  # of an edge's even part of the bucket: what is issued beyond what is of use now
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class TokenDemand:
     """Tokens that an edge asks for; fewer than `least` are of no use now."""
 
     tenant: str
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Issued:
+class TokenGrant:
     """Tokens issued: 0, or at least the least. Where fewer than wanted, when to ask again."""
 
     tenant: str
@@ -99,7 +99,7 @@
     most_capacity: float = 0.0
     reserve: float = 0.0  # what stores may hold; the bucket's, as far as no lease has it
     most_outstanding: float = 0.0
-    lifetime_s: float = LIFETIME_S
+    lifetime_s: float = TOKEN_LIFETIME_S
     level: float = 0.0
     filled_at: float = 0.0
     outstanding: float = 0.0
@@ -171,7 +171,7 @@
         self.issues.append((now + self.lifetime_s, tokens))
 
 
-class QuotaIssuer:
+class QuotaAllocator:
     """The buckets of one core machine; of use only while it holds the leader lease."""
 
     def __init__(self, bounds: QuotaBounds) -> None:
@@ -180,10 +180,10 @@
         self._buckets: dict[str, _Bucket] = {}
         self._lease_since = 0.0
         self._late_from = self._known_from = 0.0
-        self._newest_reports: dict[Holder, int] = {}
-        self._holders = LeaseHolders(0.0, None)
+        self._newest_reports: dict[LeaseOwner, int] = {}
+        self._holders = RateLeaseOwnerTracker(0.0, None)
 
-    def lease_gained(
+    def leadership_gained(
         self, now: float, late_from: float, known_from: float, holders: frozenset[str] | None = None
     ) -> None:
         """Begin with empty buckets. Rate leases of earlier leaders have fallen to their late rate at `late_from`, and
@@ -191,21 +191,21 @@
         self._lease_since, self._late_from, self._known_from = now, late_from, known_from
         self._buckets = {}
         self._newest_reports = {}
-        self._holders = LeaseHolders(now, holders)
+        self._holders = RateLeaseOwnerTracker(now, holders)
         self._look_whether_all_known(now)
 
     def all_leases_known(self, now: float) -> bool:
         """Whether all rate leases that may run are known."""
         return now >= self._known_from
 
-    def holders_to_note(self, now: float) -> frozenset[str] | None:
+    def rate_lease_owners_to_persist(self, now: float) -> frozenset[str] | None:
         """Names of edges that are to be noted on the disk of this machine now, before any other may be granted a
         lease; None for nothing."""
         if now >= self._known_from:
             self._holders.complete()
         return self._holders.to_note(now)
 
-    def holders_noted(self, edges: frozenset[str]) -> None:
+    def rate_lease_owners_persisted(self, edges: frozenset[str]) -> None:
         """These names are synced."""
         self._holders.noted(edges)
 
@@ -224,11 +224,11 @@
         self._bounds = bounds
         self.configure(now, self._limits)
 
-    def issue(self, now: float, edge: str, wanted: Sequence[Wanted]) -> list[Issued]:
+    def issue(self, now: float, edge: str, wanted: Sequence[TokenDemand]) -> list[TokenGrant]:
         """Answer an edge's demand, tenant by tenant."""
         return [self._issue(now, edge, want) for want in wanted]
 
-    def renew(self, now: float, holder: Holder, number: int, reports: Sequence[LeaseReport]) -> list[LeaseGrant]:
+    def renew(self, now: float, holder: LeaseOwner, number: int, reports: Sequence[LeaseReport]) -> list[LeaseGrant]:
         """Answer an edge's report of what it holds, of this term. Reports that were overtaken tell nothing."""
         if number <= self._newest_reports.get(holder, 0):
             return []
@@ -252,9 +252,9 @@
             for bucket in self._buckets.values():
                 bucket.all_leases_known(now)
 
-    def _renew(self, now: float, holder: Holder, report: LeaseReport, limit: TenantLimit) -> LeaseGrant:
+    def _renew(self, now: float, holder: LeaseOwner, report: LeaseReport, limit: TenantLimit) -> LeaseGrant:
         bucket = self._bucket(now, report.tenant, limit)
-        if report.bare_s > LEAST_BARE_S:
+        if report.bare_s > MIN_NO_LEASE_S:
             bucket.no_leases_run(now)
         grant = bucket.leases.report(now, holder, report)
         bucket.clip()
@@ -263,25 +263,25 @@
             bucket.take(now, deposit)
         return replace(grant, deposit=deposit, deposit_s=bucket.lifetime_s)
 
-    def _issue(self, now: float, edge: str, want: Wanted) -> Issued:
+    def _issue(self, now: float, edge: str, want: TokenDemand) -> TokenGrant:
         if want.tenant not in self._limits:
-            return Issued(want.tenant, 0, 0, milliseconds(SHORTEST_RETRY_S))
+            return TokenGrant(want.tenant, 0, 0, milliseconds(MIN_RETRY_S))
         limit = self._limits[want.tenant]
         if limit is None:
-            return Issued(want.tenant, want.tokens, milliseconds(LIFETIME_S), 0)
+            return TokenGrant(want.tenant, want.tokens, milliseconds(TOKEN_LIFETIME_S), 0)
         bucket = self._bucket(now, want.tenant, limit)
-        bucket.asked[edge] = now + ASKED_S
+        bucket.asked[edge] = now + ACTIVE_REQUESTER_S
         tokens = _decided(bucket, edge, want)
         if tokens:
             bucket.take(now, tokens)
         self._remember(bucket, now, edge, want, tokens)
         retry_s = 0.0 if tokens >= want.tokens else _retry_s(bucket, edge, max(1, want.least))
-        return Issued(want.tenant, tokens, milliseconds(bucket.lifetime_s), milliseconds(retry_s))
+        return TokenGrant(want.tenant, tokens, milliseconds(bucket.lifetime_s), milliseconds(retry_s))
 
     def _bucket(self, now: float, tenant: str, limit: TenantLimit) -> _Bucket:
         bucket = self._buckets.get(tenant)
         if bucket is None:
-            leases = RateLeases(LeaseTotals(0.0, 0.0), self._known_from)
+            leases = RateLeases(LeaseBudget(0.0, 0.0), self._known_from)
             bucket = self._buckets[tenant] = _Bucket(
                 leases, self._late_from, self._known_from, filled_at=self._lease_since
             )
@@ -289,30 +289,30 @@
         bucket.advance(now)
         return bucket
 
-    def _remember(self, bucket: _Bucket, now: float, edge: str, want: Wanted, tokens: int) -> None:
+    def _remember(self, bucket: _Bucket, now: float, edge: str, want: TokenDemand, tokens: int) -> None:
         demand = bucket.demands.get(edge)
         if tokens:
             if demand is not None and tokens >= demand.tokens:
                 del bucket.demands[edge]
         elif demand is None and want.least <= min(bucket.capacity, bucket.most_outstanding):
-            bucket.demands[edge] = _Demand(want.least, now + RESERVED_S)
+            bucket.demands[edge] = _Demand(want.least, now + RESERVATION_S)
 
     def _resize(self, bucket: _Bucket, limit: TenantLimit) -> None:
         bounds, rate = self._bounds, limit.rate_per_s
         allowance = bounds.overshoot * (rate * bounds.window_s + limit.burst)
         allowance += bounds.slack if limit.slack_counts else 0.0
-        kept = KEPT_SHARE * allowance
+        kept = RETAINED_SHARE * allowance
         total = limit.burst + kept  # capacity, outstanding tokens and stores together never exceed this
-        outstanding = max(OUTSTANDING_LIFETIMES * LIFETIME_S * rate, OUTSTANDING_SHARE * kept)
+        outstanding = max(OUTSTANDING_LIFETIMES * TOKEN_LIFETIME_S * rate, OUTSTANDING_SHARE * kept)
         bucket.rate = rate
         bucket.emergency_rate = EMERGENCY_SHARE * allowance / bounds.window_s
         bucket.most_outstanding = min(outstanding, total / 2.0)
-        bucket.least_capacity = min(max(limit.burst, SMALLEST_CAPACITY_S * rate), total - bucket.most_outstanding)
+        bucket.least_capacity = min(max(limit.burst, MIN_CAPACITY_S * rate), total - bucket.most_outstanding)
         bucket.most_capacity = bucket.least_capacity + limit.burst
         # Tokens of a leader that has just ended may be outstanding beside those that its successor fills in.
-        beside = max(0.0, LIFETIME_S * rate - limit.burst)
+        beside = max(0.0, TOKEN_LIFETIME_S * rate - limit.burst)
         bucket.reserve = max(0.0, total - bucket.most_outstanding - bucket.least_capacity - beside)
-        bucket.leases.resize(LeaseTotals(LEASED_SHARE * rate, min(bucket.reserve, LONGEST_STORE_S * rate)))
+        bucket.leases.resize(LeaseBudget(LEASED_SHARE * rate, min(bucket.reserve, MAX_LEASE_DEPTH_S * rate)))
         bucket.lifetime_s = _lifetime_s(bucket.most_outstanding, limit.rate_per_s)
         bucket.clip()
 
@@ -320,25 +320,27 @@
 def _lifetime_s(most_outstanding: float, rate: float) -> float:
     """Short enough for the full rate to pass in spite of the bound on outstanding tokens."""
     if rate <= 0:
-        return LIFETIME_S
-    return min(LIFETIME_S, max(SHORTEST_LIFETIME_S, most_outstanding / (OUTSTANDING_LIFETIMES * rate)))
+        return TOKEN_LIFETIME_S
+    return min(TOKEN_LIFETIME_S, max(MIN_TOKEN_LIFETIME_S, most_outstanding / (OUTSTANDING_LIFETIMES * rate)))
 
 
 def _deposit(bucket: _Bucket, now: float, missing: float) -> int:
     """What goes to an edge's store: where the bucket holds well more than it needs, and nobody waits."""
     if bucket.demands or now < bucket.known_from:
         return 0
-    spare = min(bucket.level - DEPOSIT_FROM * bucket.capacity, bucket.most_outstanding / 2.0 - bucket.outstanding)
+    spare = min(
+        bucket.level - DEPOSIT_RESERVE_SHARE * bucket.capacity, bucket.most_outstanding / 2.0 - bucket.outstanding
+    )
     return int(max(0.0, min(missing, spare / max(1, bucket.leases.active(now)))))
 
 
-def _decided(bucket: _Bucket, edge: str, want: Wanted) -> int:
+def _decided(bucket: _Bucket, edge: str, want: TokenDemand) -> int:
     """How many tokens to issue: none, or the least and more while the bucket holds well more."""
     least = max(1, want.least)
     room = min(bucket.level - bucket.reserved_before(edge), bucket.most_outstanding - bucket.outstanding)
     if room < least or want.tokens <= 0:
         return 0
-    ahead = AHEAD_SHARE * room / max(1, len(bucket.asked))
+    ahead = PREFETCH_SHARE * room / max(1, len(bucket.asked))
     return int(max(least, min(want.tokens, ahead)))
 
 
@@ -346,5 +348,5 @@
     """When the bucket will hold so many tokens beyond what is kept for older demands."""
     missing = least + bucket.reserved_before(edge) - bucket.level
     rate = bucket.fill_rate()
-    wait = missing / rate if rate > 0 else LONGEST_RETRY_S
-    return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, wait))
+    wait = missing / rate if rate > 0 else MAX_RETRY_S
+    return min(MAX_RETRY_S, max(MIN_RETRY_S, wait))
--- a/rosechute/control_plane/quota_service.py
+++ b/rosechute/control_plane/quota_service.py
@@ -10,8 +10,8 @@
 from rosechute.routing.counts import Counts
 from rosechute.routing.lease_exchange import LeaseReport
 
-from .quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
-from .rate_leases import FULL_REACH_S, REACH_S, Holder
+from .quota_allocator import QuotaAllocator, QuotaBounds, TenantLimit, TokenDemand
+from .rate_leases import FULL_RATE_EXPIRY_S, LEASE_EXPIRY_S, LeaseOwner
 
 QUOTA_TOKENS = "quota_tokens"  # the event that is counted
 
@@ -20,34 +20,34 @@
     """The issuer of one core machine, under the newest configuration."""
 
     def __init__(self, bounds: Bounds) -> None:
-        self._issuer = QuotaIssuer(_bounds(bounds))
+        self._issuer = QuotaAllocator(_bounds(bounds))
         self._term = 0
         self.counts = Counts()
 
-    def committed(self, now: float, body: bytes) -> None:
+    def configuration_committed(self, now: float, body: bytes) -> None:
         """A newer configuration is in force."""
         parsed = parse(body)
         if not isinstance(parsed, Failure):
             self._issuer.configure(now, _limits(parsed.unwrap()))
 
-    def lease_gained(self, now: float, term: int, holders: frozenset[str] | None = None) -> None:
+    def leadership_gained(self, now: float, term: int, holders: frozenset[str] | None = None) -> None:
         """This machine leads from here on, for a term that is higher than every one before. Only `holders` may hold
         rate leases of earlier terms, where that is known."""
         self._term = term
-        self._issuer.lease_gained(now, now + FULL_REACH_S, now + REACH_S, holders)
+        self._issuer.leadership_gained(now, now + FULL_RATE_EXPIRY_S, now + LEASE_EXPIRY_S, holders)
 
     def all_leases_known(self, now: float) -> bool:
         """Whether all rate leases that may run are known."""
         return self._issuer.all_leases_known(now)
 
-    def holders_to_note(self, now: float) -> frozenset[str] | None:
+    def rate_lease_owners_to_persist(self, now: float) -> frozenset[str] | None:
         """Names of edges that are to be noted on the disk for this term, asked for while this machine leads."""
-        return self._issuer.holders_to_note(now)
+        return self._issuer.rate_lease_owners_to_persist(now)
 
-    def holders_noted(self, term: int, edges: frozenset[str]) -> None:
+    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
         """These names are synced for a term."""
         if term == self._term:
-            self._issuer.holders_noted(edges)
+            self._issuer.rate_lease_owners_persisted(edges)
 
     def change_bounds(self, now: float, bounds: Bounds) -> None:
         """The settings name other bounds."""
@@ -66,12 +66,12 @@
         if request.term != self._term:
             return
         reports = [LeaseReport.of(held) for held in request.held]
-        for grant in self._issuer.renew(now, Holder(request.edge, request.boot), request.request, reports):
+        for grant in self._issuer.renew(now, LeaseOwner(request.edge, request.boot), request.request, reports):
             self.counts.add(QUOTA_TOKENS, "deposited", grant.deposit)
             issue.granted.append(grant.message())
 
     def _issue(self, now: float, request: pb.QuotaRequest) -> pb.QuotaIssue:
-        wanted = [Wanted(each.tenant, each.tokens, each.least) for each in request.wanted]
+        wanted = [TokenDemand(each.tenant, each.tokens, each.least) for each in request.wanted]
         self.counts.add(QUOTA_TOKENS, "asked", sum(each.tokens for each in wanted))
         issue = pb.QuotaIssue(request=request.request)
         for issued in self._issuer.issue(now, request.edge, wanted):
--- a/rosechute/control_plane/lease_holders.py
+++ b/rosechute/control_plane/rate_lease_owners.py
@@ -12,12 +12,12 @@
 
 from __future__ import annotations
 
-from rosechute.control_plane.rate_leases import REACH_S
+from rosechute.control_plane.rate_leases import LEASE_EXPIRY_S
 
-TIDY_S = 10.0  # how often a note is made anew only to leave names out
+PRUNE_INTERVAL_S = 10.0  # how often a note is made anew only to leave names out
 
 
-class LeaseHolders:
+class RateLeaseOwnerTracker:
     """The names of one term of this machine."""
 
     def __init__(self, now: float, earlier: frozenset[str] | None) -> None:
@@ -61,8 +61,10 @@
         """The names to be written to the disk now; None for nothing. `noted` tells that they are synced."""
         if not self._complete or self._pending is not None:
             return None
-        live = {edge for edge, at in self._answered.items() if now - at <= REACH_S or edge in (self._unheard or ())}
-        tidy = len(live) < len(self._answered) and now - self._written_at > TIDY_S
+        live = {
+            edge for edge, at in self._answered.items() if now - at <= LEASE_EXPIRY_S or edge in (self._unheard or ())
+        }
+        tidy = len(live) < len(self._answered) and now - self._written_at > PRUNE_INTERVAL_S
         if self._noted is not None and not self._wanted and not tidy:
             return None
         self._answered = {edge: at for edge, at in self._answered.items() if edge in live}
--- a/rosechute/data_plane/plane.py
+++ b/rosechute/data_plane/plane.py
@@ -220,7 +220,7 @@
         if admitted.tenant is None or not admitted.cost:
             request.on_quota_decision(True, 0.0)
         else:
-            self._quota.spend(admitted.tenant.name, admitted.cost, request.on_quota_decision, admitted.priority)
+            self._quota.acquire(admitted.tenant.name, admitted.cost, request.on_quota_decision, admitted.priority)
 
     def dispatch(self, request: ClientRequest) -> None:
         """Hand it to the router."""
--- a/rosechute/data_plane/ports.py
+++ b/rosechute/data_plane/ports.py
@@ -9,7 +9,7 @@
 class QuotaTokens(Protocol):
     """Tokens of a tenant's quota, issued by the leader and held by this edge until they expire."""
 
-    def spend(self, tenant: str, tokens: int, decided: Callable[[bool, float], None], priority: int) -> None:
+    def acquire(self, tenant: str, tokens: int, decided: Callable[[bool, float], None], priority: int) -> None:
         """Take so many tokens of a limited tenant; where they are short, the most urgent request has them first.
         `decided(allowed, retry_after_s)` is called exactly once, possibly before this returns, or after an exchange
         with the leader (bounded; on silence it is refused)."""
--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -90,7 +90,7 @@
             logger.warning("message from {}: {}", connection, error)
             return
         if message.HasField("quota_issue"):
-            self.quota.issued(message.quota_issue)
+            self.quota.on_tokens_issued(message.quota_issue)
             return
         self._carry(self.subscriber.receive(self._loop.time(), connection, message))
 
@@ -117,7 +117,7 @@
                 self._apply(action)
         self._log_leader()
         if self.subscriber.is_attached:
-            self.quota.follow(self.subscriber.leader_term)
+            self.quota.on_leader_known(self.subscriber.leader_term)
         self._wake_at(max(self.subscriber.next_wake(), self._loop.time() + LEAST_SLEEP_S))
 
     def _log_leader(self) -> None:
--- a/rosechute/processes/quota_client.py
+++ b/rosechute/processes/quota_client.py
@@ -10,7 +10,7 @@
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.routing.counts import Counts
 from rosechute.routing.lease_exchange import LeaseGrant
-from rosechute.routing.quota_wallet import Decided, Decision, Issue, QuotaWallet
+from rosechute.routing.token_cache import Decision, OnDecision, TokenCache, TokenIssue
 
 LEAST_SLEEP_S = 0.001
 QUOTA_DECISIONS = "quota_decisions"  # the event that is counted
@@ -36,15 +36,15 @@
         self._boot = boot
         self._send = send
         self._leaderless_since = leaderless_since
-        self._wallet = QuotaWallet()
+        self._cache = TokenCache()
         self.counts = Counts()
         self._requests = itertools.count(1)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = math.inf
 
-    def spend(self, tenant: str, tokens: int, decided: Decided, priority: int = 0) -> None:
+    def acquire(self, tenant: str, tokens: int, decided: OnDecision, priority: int = 0) -> None:
         """Take so many tokens of a limited tenant, or wait a moment for them."""
-        decisions = self._wallet.spend(self._loop.time(), tenant, tokens, decided, priority)
+        decisions = self._cache.acquire(self._loop.time(), tenant, tokens, decided, priority)
         if decisions:
             self._tell(decisions)
         else:
@@ -53,25 +53,25 @@
             now = self._loop.time()
             self._wake_at(self._due(now, self._leaderless_s(now)))
 
-    def issued(self, issue: pb.QuotaIssue) -> None:
+    def on_tokens_issued(self, issue: pb.QuotaIssue) -> None:
         """The leader's answer has come."""
         issues = [
-            Issue(each.tenant, each.tokens, each.lifetime_ms / 1000.0, each.retry_after_ms / 1000.0)
+            TokenIssue(each.tenant, each.tokens, each.lifetime_ms / 1000.0, each.retry_after_ms / 1000.0)
             for each in issue.issued
         ]
         grants = [LeaseGrant.of(each) for each in issue.granted]
         now = self._loop.time()
-        self._tell(self._wallet.issued(now, issue.request, issues))
+        self._tell(self._cache.on_tokens_issued(now, issue.request, issues))
         if issue.term:
-            self._tell(self._wallet.granted(now, issue.request, issue.term, grants))
-        if self._wallet.waits() or issue.term:
+            self._tell(self._cache.on_leases_granted(now, issue.request, issue.term, grants))
+        if self._cache.has_waiting() or issue.term:
             self._wake()
 
-    def follow(self, term: int) -> None:
+    def on_leader_known(self, term: int) -> None:
         """The leader of this term is known."""
-        if term > self._wallet.term:
+        if term > self._cache.term:
             now = self._loop.time()
-            self._wallet.follow(now, term)
+            self._cache.on_leader_known(now, term)
             self._wake_at(now)
 
     def close(self) -> None:
@@ -97,7 +97,7 @@
             self._timer = None
         now = self._loop.time()
         leaderless_s = self._leaderless_s(now)
-        self._tell(self._wallet.tick(now, leaderless_s))
+        self._tell(self._cache.tick(now, leaderless_s))
         if leaderless_s is None:
             self._ask(now)
             self._report(now)
@@ -110,23 +110,21 @@
 
     def _due(self, now: float, leaderless_s: float | None) -> float:
         """When something is to be done next; infinity for nothing."""
-        report_at = max(self._wallet.report_due(now), now + (0.0 if leaderless_s is None else SEEK_S))
-        return max(min(self._wallet.next_due(leaderless_s), report_at), now + LEAST_SLEEP_S)
+        report_at = max(self._cache.next_report_at(now), now + (0.0 if leaderless_s is None else SEEK_S))
+        return max(min(self._cache.next_action_at(leaderless_s), report_at), now + LEAST_SLEEP_S)
 
     def _report(self, now: float) -> None:
         request = next(self._requests)
-        reports = self._wallet.report(now, request)
-        if not self._wallet.reports_with(request):
+        reports = self._cache.next_lease_reports(now, request)
+        if not self._cache.is_newest_report(request):
             return
         held = [report.message() for report in reports]
-        message = pb.QuotaRequest(
-            request=request, edge=self._name, boot=self._boot, term=self._wallet.term, held=held
-        )
+        message = pb.QuotaRequest(request=request, edge=self._name, boot=self._boot, term=self._cache.term, held=held)
         self._send(pb.Distribution(quota_request=message))
 
     def _ask(self, now: float) -> None:
         request = next(self._requests)
-        asks = self._wallet.ask(now, request)
+        asks = self._cache.next_token_requests(now, request)
         if not asks:
             return
         wanted = [pb.QuotaAmount(tenant=ask.tenant, tokens=ask.tokens, least=ask.least) for ask in asks]
@@ -135,4 +133,4 @@
     def _tell(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
             self.counts.add(QUOTA_DECISIONS, "allowed" if decision.allowed else "refused")
-            decision.decided(decision.allowed, decision.retry_after_s)
+            decision.on_decision(decision.allowed, decision.retry_after_s)
--- a/rosechute/routing/quota_wallet.py
+++ b/rosechute/routing/token_cache.py
@@ -20,42 +20,44 @@
 from .lease_exchange import LeaseGrant, LeaseReport
 from .rate_lease import RateLease
 
-WAIT_S = 0.25  # a request waits no longer for tokens of a bucket that fills
-WAIT_SILENT_S = 0.12  # where the leader does not answer; longer where its answers take long
-WAIT_CROWDED_S = 0.6  # but no longer
-ROUNDS_WAITED = 3.0  # times that answers take at present
-ROUND_WEIGHT = 0.2  # of the newest answer in the mean time that answers take
-WAIT_LEADERLESS_S = 0.04  # where no leader is known
+MAX_WAIT_S = 0.25  # a request waits no longer for tokens of a bucket that fills
+SILENT_LEADER_WAIT_S = 0.12  # where the leader does not answer; longer where its answers take long
+MAX_SLOW_LINK_WAIT_S = 0.6  # but no longer
+ROUND_TRIPS_WAITED = 3.0  # times that answers take at present
+ROUND_TRIP_WEIGHT = 0.2  # of the newest answer in the mean time that answers take
+NO_LEADER_WAIT_S = 0.04  # where no leader is known
 ACCRUAL_WAIT_S = 0.2  # the same, where its lease will cover the request by then
-ANSWER_S = 0.08  # an ask without an answer for so long is lost; longer where answers take long
-LEADERLESS_S = 2.0  # a new leader is there after so long
-RETRY_LEAST_S = 0.3  # when to come back where the leader does not answer, at the earliest
-COVERED_LEAST_S = 0.05  # the same, where its lease will cover the request
-PASSED_OVER_SHARE = 0.1  # of the tokens that are spent while less urgent requests wait, for these
-OWED_REQUESTS = 2.0  # requests, of the size of the largest one that waits, that are owed to them at the most
-AHEAD_S = 0.2  # of the present demand is asked for ahead
-AHEAD_REQUESTS = 3.0  # but only where that is several requests: tokens that are not spent are lost to the tenant
+RESPONSE_TIMEOUT_S = 0.08  # an ask without an answer for so long is lost; longer where answers take long
+ELECTION_S = 2.0  # a new leader is there after so long
+MIN_RETRY_AFTER_S = 0.3  # when to come back where the leader does not answer, at the earliest
+MIN_LEASE_RETRY_AFTER_S = 0.05  # the same, where its lease will cover the request
+LOW_PRIORITY_SHARE = 0.1  # of the tokens that are spent while less urgent requests wait, for these
+MAX_DEFICIT_REQUESTS = 2.0  # requests, of the size of the largest one that waits, that are owed to them at the most
+PREFETCH_S = 0.2  # of the present demand is asked for ahead
+MIN_PREFETCH_REQUESTS = (
+    3.0  # but only where that is several requests: tokens that are not spent are lost to the tenant
+)
 DEMAND_SPAN_S = 1.0  # over which the demand is measured
 LEASE_DEMAND_SPAN_S = 8.0  # the same, for what is to be leased
-DEMANDED_S = 4.0  # after its last request a tenant is reported for so long
-REPORT_S = 0.45  # between two reports
-REPORT_LOST_S = 0.9  # a report without an answer for so long is lost
+REPORT_AFTER_DEMAND_S = 4.0  # after its last request a tenant is reported for so long
+REPORT_INTERVAL_S = 0.45  # between two reports
+REPORT_TIMEOUT_S = 0.9  # a report without an answer for so long is lost
 
-Decided = Callable[[bool, float], None]
+OnDecision = Callable[[bool, float], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
     """Tell a request whether it may be sent, and when to come back where it may not."""
 
-    decided: Decided
+    on_decision: OnDecision
     allowed: bool
     retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Ask the leader for tokens; fewer than `least` are of no use now."""
+class TokenRequest:
+    """TokenRequest the leader for tokens; fewer than `least` are of no use now."""
 
     tenant: str
     tokens: int
@@ -63,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Issue:
+class TokenIssue:
     """The leader's answer for one tenant. Where fewer than wanted were issued, when to ask again."""
 
     tenant: str
@@ -76,7 +78,7 @@
 class _Waiting:
     tokens: int
     since: float
-    decided: Decided
+    on_decision: OnDecision
     priority: int
     number: int
 
@@ -101,7 +103,7 @@
     def __iter__(self) -> Iterator[_Waiting]:
         return iter(self._by_rank)
 
-    def add(self, tokens: int, since: float, decided: Decided, priority: int) -> None:
+    def add(self, tokens: int, since: float, decided: OnDecision, priority: int) -> None:
         """One more."""
         waiting = _Waiting(tokens, since, decided, priority, next(self._numbers))
         insort(self._by_rank, waiting, key=lambda each: each.rank)
@@ -133,8 +135,8 @@
     def spent(self, tokens: int, priority: int) -> None:
         """So many tokens have gone to a request of this priority."""
         if self._by_rank and self._by_rank[-1].priority > priority:
-            most = OWED_REQUESTS * max(waiting.tokens for waiting in self._by_rank)
-            self._owed = min(most, self._owed + PASSED_OVER_SHARE * tokens)
+            most = MAX_DEFICIT_REQUESTS * max(waiting.tokens for waiting in self._by_rank)
+            self._owed = min(most, self._owed + LOW_PRIORITY_SHARE * tokens)
 
     def take(self, waiting: _Waiting) -> None:
         """It waits no more, as it has its tokens."""
@@ -200,29 +202,29 @@
     def ahead(self, now: float) -> int:
         """Tokens to ask for beyond those that requests wait for."""
         demand = self.demand * math.exp(-(now - self.demand_at) / DEMAND_SPAN_S)
-        ahead = demand * AHEAD_S
-        return int(ahead) if ahead >= AHEAD_REQUESTS * self.request_mean else 0
+        ahead = demand * PREFETCH_S
+        return int(ahead) if ahead >= MIN_PREFETCH_REQUESTS * self.request_mean else 0
 
     def gives_up_at(self, leaderless_s: float | None, patience_s: float) -> float:
         """When the first request that waits is refused; `patience_s` is how long silence of a leader is borne."""
         first = self.waiting.oldest()
         if leaderless_s is None and self.heard_at >= first.since:
-            return first.since + max(WAIT_S, patience_s)
+            return first.since + max(MAX_WAIT_S, patience_s)
         if self.covers_at(first.tokens) <= first.since + ACCRUAL_WAIT_S:
             return first.since + ACCRUAL_WAIT_S
-        return first.since + (patience_s if leaderless_s is None else WAIT_LEADERLESS_S)
+        return first.since + (patience_s if leaderless_s is None else NO_LEADER_WAIT_S)
 
     def retry_s(self, now: float, tokens: int, leaderless_s: float | None) -> float:
         """When to come back with a refused request: its lease will cover it, or the leader has tokens or is there."""
         expected_s = self.dry_until - now
         if expected_s <= 0.0 or leaderless_s is not None:
-            expected_s = max(RETRY_LEAST_S, LEADERLESS_S - (leaderless_s or 0.0))
-        return min(expected_s, max(COVERED_LEAST_S, self.covers_at(tokens) - now))
+            expected_s = max(MIN_RETRY_AFTER_S, ELECTION_S - (leaderless_s or 0.0))
+        return min(expected_s, max(MIN_LEASE_RETRY_AFTER_S, self.covers_at(tokens) - now))
 
     def reported(self, now: float) -> bool:
         """Whether the leader is to know of this tenant."""
         self.lease.advance(now)
-        return self.lease.rate > 0.0 or now < self.demand_at + DEMANDED_S
+        return self.lease.rate > 0.0 or now < self.demand_at + REPORT_AFTER_DEMAND_S
 
     def report(self, now: float, name: str) -> LeaseReport:
         """What is held and demanded."""
@@ -240,11 +242,11 @@
             waiting = self.waiting.first()
             self.waiting.take(waiting)
             self.take(waiting.tokens)
-            decisions.append(Decision(waiting.decided, True, 0.0))
+            decisions.append(Decision(waiting.on_decision, True, 0.0))
         return decisions
 
 
-class QuotaWallet:
+class TokenCache:
     """Tokens of all tenants at one edge."""
 
     def __init__(self) -> None:
@@ -258,7 +260,7 @@
         self.term = 0  # of the leader that answered a report last, or is followed since
         self._introduced = True  # whether that leader has answered a report
 
-    def spend(self, now: float, tenant: str, tokens: int, decided: Decided, priority: int = 0) -> list[Decision]:
+    def acquire(self, now: float, tenant: str, tokens: int, decided: OnDecision, priority: int = 0) -> list[Decision]:
         """A request wants to be sent. Where its tenant's tokens are short, the most urgent ones have theirs first; 0
         is the highest priority."""
         state = self._tenants.get(tenant)
@@ -272,16 +274,16 @@
             return [Decision(decided, True, 0.0)]
         refused_until = state.dry_until if tokens >= state.least else -math.inf
         expected_at = min(refused_until, state.covers_at(ahead + tokens))
-        if expected_at - now > WAIT_S:
+        if expected_at - now > MAX_WAIT_S:
             return [Decision(decided, False, expected_at - now)]
         state.waiting.add(tokens, now, decided, priority)
         return []
 
-    def ask(self, now: float, request: int) -> list[Ask]:
+    def next_token_requests(self, now: float, request: int) -> list[TokenRequest]:
         """What to ask the leader for now, under this request number; nothing where nobody waits."""
-        asks: list[Ask] = []
+        asks: list[TokenRequest] = []
         for name, state in self._tenants.items():
-            if not state.waiting or now < state.asked_at + self._crowded_s(ANSWER_S):
+            if not state.waiting or now < state.asked_at + self._crowded_s(RESPONSE_TIMEOUT_S):
                 continue
             first = state.waiting.first().tokens
             if now < state.dry_until and first >= state.least:
@@ -290,17 +292,17 @@
             least = max(1, first - held)
             wanted = sum(waiting.tokens for waiting in state.waiting) - held + state.ahead(now)
             state.asked_at, state.least = now, first
-            asks.append(Ask(name, max(least, wanted), least))
+            asks.append(TokenRequest(name, max(least, wanted), least))
         if asks:
             self._asks[request] = now
         return asks
 
-    def issued(self, now: float, request: int, issues: list[Issue]) -> list[Decision]:
+    def on_tokens_issued(self, now: float, request: int, issues: list[TokenIssue]) -> list[Decision]:
         """The leader's answer to an ask."""
         sent_at = self._asks.pop(request, None)
         if sent_at is None:
             return []
-        self._round_s += ROUND_WEIGHT * (now - sent_at - self._round_s)
+        self._round_s += ROUND_TRIP_WEIGHT * (now - sent_at - self._round_s)
         decisions: list[Decision] = []
         for issue in issues:
             state = self._tenants.get(issue.tenant)
@@ -308,37 +310,37 @@
                 decisions += self._issued(now, sent_at, state, issue)
         return decisions
 
-    def follow(self, now: float, term: int) -> None:
+    def on_leader_known(self, now: float, term: int) -> None:
         """A leader of this term is followed. It may wait for a report of every edge, also of one without leases."""
         if term > self.term:
             self.term = term
             self._introduced = False
             self._report_due = now
 
-    def report(self, now: float, request: int) -> list[LeaseReport]:
+    def next_lease_reports(self, now: float, request: int) -> list[LeaseReport]:
         """What to report to the leader now, under this request number, higher than all before; `reports_with` tells
         whether to report at all."""
         if now < self._report_due:
             return []
         reports = [state.report(now, name) for name, state in self._tenants.items() if self._reported(now, state)]
         if reports or not self._introduced:
-            self._report, self._reported_at, self._report_due = request, now, now + REPORT_LOST_S
+            self._report, self._reported_at, self._report_due = request, now, now + REPORT_TIMEOUT_S
         return reports
 
     def _reported(self, now: float, state: _Tenant) -> bool:
         """Whether a report tells of a tenant; the first one to a leader also of the word of an earlier one."""
         return state.reported(now) or (not self._introduced and now < state.lease.bare_until)
 
-    def reports_with(self, request: int) -> bool:
+    def is_newest_report(self, request: int) -> bool:
         """Whether there is a report under this number, be it an empty one."""
         return request == self._report
 
-    def granted(self, now: float, request: int, term: int, grants: list[LeaseGrant]) -> list[Decision]:
+    def on_leases_granted(self, now: float, request: int, term: int, grants: list[LeaseGrant]) -> list[Decision]:
         """The leader's answer to a report. One of another term than the report's makes a new report due."""
         if request != self._report:
             return []
         self._report = 0
-        self._report_due = self._reported_at + REPORT_S if term == self.term else now
+        self._report_due = self._reported_at + REPORT_INTERVAL_S if term == self.term else now
         self._introduced = term == self.term
         self.term = term
         decisions: list[Decision] = []
@@ -356,47 +358,47 @@
         decisions: list[Decision] = []
         for state in self._tenants.values():
             decisions += state.serve(now)
-            while state.waiting and now >= state.gives_up_at(leaderless_s, self._crowded_s(WAIT_SILENT_S)):
+            while state.waiting and now >= state.gives_up_at(leaderless_s, self._crowded_s(SILENT_LEADER_WAIT_S)):
                 waiting = state.waiting.oldest()
                 state.waiting.drop(waiting)
                 retry_s = state.retry_s(now, waiting.tokens, leaderless_s)
-                decisions.append(Decision(waiting.decided, False, retry_s))
+                decisions.append(Decision(waiting.on_decision, False, retry_s))
                 decisions += state.serve(now)
         for number in [number for number, sent in self._asks.items() if now - sent > 2.0]:
             del self._asks[number]
         return decisions
 
-    def waits(self) -> bool:
+    def has_waiting(self) -> bool:
         """Whether any request waits."""
         return any(state.waiting for state in self._tenants.values())
 
-    def next_due(self, leaderless_s: float | None) -> float:
+    def next_action_at(self, leaderless_s: float | None) -> float:
         """When `tick` or `ask` has something to do; infinity where nobody waits."""
         due = math.inf
         for state in self._tenants.values():
             if state.waiting:
-                due = min(due, state.gives_up_at(leaderless_s, self._crowded_s(WAIT_SILENT_S)))
+                due = min(due, state.gives_up_at(leaderless_s, self._crowded_s(SILENT_LEADER_WAIT_S)))
                 due = min(due, state.covers_at(state.waiting.first().tokens))
                 if leaderless_s is None:
-                    due = min(due, max(state.asked_at + self._crowded_s(ANSWER_S), state.dry_until))
+                    due = min(due, max(state.asked_at + self._crowded_s(RESPONSE_TIMEOUT_S), state.dry_until))
         return due
 
     def _crowded_s(self, least_s: float) -> float:
         """A time to wait for an answer: longer over a crowded link, where answers take long."""
-        return min(max(least_s, ROUNDS_WAITED * self._round_s), WAIT_CROWDED_S)
+        return min(max(least_s, ROUND_TRIPS_WAITED * self._round_s), MAX_SLOW_LINK_WAIT_S)
 
-    def report_due(self, now: float) -> float:
+    def next_report_at(self, now: float) -> float:
         """When `report` has something to tell; infinity where nothing is demanded or held."""
         if not self._introduced or any(state.reported(now) for state in self._tenants.values()):
             return self._report_due
         return math.inf
 
-    def held(self, now: float, tenant: str) -> int:
+    def available_tokens(self, now: float, tenant: str) -> int:
         """Tokens held for a tenant."""
         state = self._tenants.get(tenant)
         return 0 if state is None else state.total(now)
 
-    def _issued(self, now: float, sent_at: float, state: _Tenant, issue: Issue) -> list[Decision]:
+    def _issued(self, now: float, sent_at: float, state: _Tenant, issue: TokenIssue) -> list[Decision]:
         state.asked_at = -math.inf
         state.heard_at = now
         void_at = sent_at + issue.lifetime_s
@@ -419,8 +421,8 @@
     for waiting in state.waiting:
         covered_at = state.covers_at(ahead + waiting.tokens)
         expected_at = min(state.dry_until if waiting.tokens >= state.least else now, covered_at)
-        if expected_at > waiting.since + WAIT_S:
-            decisions.append(Decision(waiting.decided, False, expected_at - now))
+        if expected_at > waiting.since + MAX_WAIT_S:
+            decisions.append(Decision(waiting.on_decision, False, expected_at - now))
         else:
             kept.append(waiting)
             ahead += waiting.tokens
--- a/tests/fleet/data_site.py
+++ b/tests/fleet/data_site.py
@@ -281,7 +281,7 @@
         self.spent: list[tuple[str, int]] = []
         self.held: list[Callable[[bool, float], None]] | None = None  # decisions that a test holds back
 
-    def spend(self, tenant: str, tokens: int, decided: Callable[[bool, float], None], priority: int) -> None:
+    def acquire(self, tenant: str, tokens: int, decided: Callable[[bool, float], None], priority: int) -> None:
         self.spent.append((tenant, tokens))
         if self.held is not None:
             self.held.append(decided)
--- a/tests/fleet/distribution_day_world.py
+++ b/tests/fleet/distribution_day_world.py
@@ -222,7 +222,7 @@
 
         quota = process.quota
         assert quota is not None
-        process.run(lambda: quota.spend(TENANT, tokens, decided))
+        process.run(lambda: quota.acquire(TENANT, tokens, decided))
 
     def quota_excess(self) -> float:
         """By how many tokens any window exceeds the rule; none where it is not above 0."""
--- a/tests/fleet/quota_world.py
+++ b/tests/fleet/quota_world.py
@@ -146,7 +146,7 @@
         self.leader = leader
         self.leaderless_since = self.world.events.now if leader is None else None
         if leader is not None:
-            follow = self.client.follow
+            follow = self.client.on_leader_known
             self.loop.run(Handle(lambda: follow(self.world.term)))
 
     def send(self, message: pb.Distribution) -> None:
@@ -163,7 +163,7 @@
         """An answer for the process that asked."""
         client = self.client
         if loop is self.loop:
-            loop.run(Handle(lambda: client.issued(issue)))
+            loop.run(Handle(lambda: client.on_tokens_issued(issue)))
 
     def request(self, tokens: int) -> None:
         """A request of a client."""
@@ -177,7 +177,7 @@
             else:
                 counted.refused.append((came, events.now - came, retry_after_s))
 
-        self.loop.run(Handle(lambda: client.spend(TENANT, tokens, decided, tokens % PRIORITIES)))
+        self.loop.run(Handle(lambda: client.acquire(TENANT, tokens, decided, tokens % PRIORITIES)))
 
 
 class World:
@@ -220,7 +220,7 @@
         body = {"config_version": self.versions, "routes": [], "services": [], "tenants": [tenant]}
         self._body = json.dumps(body).encode()
         for core in self.cores:
-            core.committed(self.events.now, self._body)
+            core.configuration_committed(self.events.now, self._body)
 
     def lead(self, core: int, overlap_s: float = 0.0) -> None:
         """A new term begins; who led before believes in it for the overlap."""
@@ -230,7 +230,7 @@
         holders = self.holders_known(core)
         self.term += 1
         self.leading[core] = 1e9
-        self.cores[core].lease_gained(now, self.term, holders)
+        self.cores[core].leadership_gained(now, self.term, holders)
         self.note(core, self.term)
         for edge in self.edges:
             self.events.at(now + self.draw.uniform(0.0, 0.4), lambda edge=edge: self.learn(edge, core))  # type: ignore[misc]
@@ -245,7 +245,7 @@
         if self.term != term or self.leading.get(core, 0.0) <= self.events.now:
             return
         service = self.cores[core]
-        edges = service.holders_to_note(self.events.now)
+        edges = service.rate_lease_owners_to_persist(self.events.now)
         if edges is not None:
             synced_at = self.events.now + self.draw.uniform(*SYNC_S)
             self.events.at(synced_at, partial(self.sync, core, service, term, edges))
@@ -255,7 +255,7 @@
         """A note is synced; where the machine has lost power meanwhile, it may be on its disk or not."""
         if self.cores[core] is service:
             self.notes[core] = (term, edges)
-            service.holders_noted(term, edges)
+            service.rate_lease_owners_persisted(term, edges)
         elif self.notes[core][0] <= term and self.draw.random() < 0.5:
             self.notes[core] = (term, edges)
 
@@ -264,7 +264,7 @@
         self.leading = {}
         for core in range(CORES):
             self.cores[core] = self._service(self.bounds)
-            self.cores[core].committed(self.events.now, self._body)
+            self.cores[core].configuration_committed(self.events.now, self._body)
         for edge in self.edges if edges else ():
             edge.restart()
         for edge in self.edges:
--- a/tests/fleet/test_control_quota.py
+++ b/tests/fleet/test_control_quota_allocator.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from unittest import TestCase
 
-from rosechute.control_plane.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota_allocator import QuotaAllocator, QuotaBounds, TenantLimit, TokenDemand
 
 TENANT = "a"
 STEP_S = 0.05
@@ -19,10 +19,10 @@
     sizes: tuple[int, ...]
     spent: list[tuple[float, int]] = field(default_factory=list)
 
-    def ask(self, now: float, issuer: QuotaIssuer) -> None:
+    def ask(self, now: float, issuer: QuotaAllocator) -> None:
         edge = f"edge-{self.draw.randrange(self.edges)}"
         least = self.draw.choice(self.sizes)
-        issued = issuer.issue(now, edge, [Wanted(TENANT, least * self.draw.randint(1, 8), least)])[0]
+        issued = issuer.issue(now, edge, [TokenDemand(TENANT, least * self.draw.randint(1, 8), least)])[0]
         if issued.tokens:
             life = issued.lifetime_ms / 1000.0
             self.spent.append((now + self.draw.choice((0.0, life * self.draw.random(), life)), issued.tokens))
@@ -100,27 +100,27 @@
                 spender.ask(step * STEP_S, issuer)
         self.assertGreater(spender.most_in_a_window(8), allowed(bounds, limit))
 
-    def leader(self, bounds: QuotaBounds, limit: TenantLimit, now: float) -> QuotaIssuer:
-        issuer = QuotaIssuer(bounds)
-        issuer.lease_gained(now, now, now)  # no leases run
+    def leader(self, bounds: QuotaBounds, limit: TenantLimit, now: float) -> QuotaAllocator:
+        issuer = QuotaAllocator(bounds)
+        issuer.leadership_gained(now, now, now)  # no leases run
         issuer.configure(now, {TENANT: limit})
         return issuer
 
 
 class QuotaTurnsTest(TestCase):
     def setUp(self) -> None:
-        self.issuer = QuotaIssuer(QuotaBounds(8, 0.1, 110_000))
-        self.issuer.lease_gained(0.0, 0.0, 0.0)
+        self.issuer = QuotaAllocator(QuotaBounds(8, 0.1, 110_000))
+        self.issuer.leadership_gained(0.0, 0.0, 0.0)
         self.issuer.configure(0.0, {TENANT: TenantLimit(10_000, 10_000), "free": None})
 
     def issue(self, now: float, edge: str, tokens: int, least: int) -> int:
-        return self.issuer.issue(now, edge, [Wanted(TENANT, tokens, least)])[0].tokens
+        return self.issuer.issue(now, edge, [TokenDemand(TENANT, tokens, least)])[0].tokens
 
     def test_without_a_limit_all_is_issued(self) -> None:
-        self.assertEqual(self.issuer.issue(0.0, "e", [Wanted("free", 10**9, 1)])[0].tokens, 10**9)
+        self.assertEqual(self.issuer.issue(0.0, "e", [TokenDemand("free", 10**9, 1)])[0].tokens, 10**9)
 
     def test_of_an_unknown_tenant_nothing_is_issued(self) -> None:
-        issued = self.issuer.issue(0.0, "e", [Wanted("nobody", 5, 1)])[0]
+        issued = self.issuer.issue(0.0, "e", [TokenDemand("nobody", 5, 1)])[0]
         self.assertEqual(issued.tokens, 0)
         self.assertGreater(issued.retry_after_ms, 0)
 
@@ -129,7 +129,7 @@
         self.assertGreaterEqual(self.issue(0.3, "e", 5_000, 2_000), 2_000)
 
     def test_when_to_ask_again_is_when_the_bucket_holds_enough(self) -> None:
-        issued = self.issuer.issue(0.1, "e", [Wanted(TENANT, 5_000, 2_000)])[0]
+        issued = self.issuer.issue(0.1, "e", [TokenDemand(TENANT, 5_000, 2_000)])[0]
         self.assertEqual(issued.retry_after_ms, 100)
         self.assertEqual(self.issue(0.1 + issued.retry_after_ms / 1000.0, "e", 2_000, 2_000), 2_000)
 
--- a/tests/fleet/test_control_lease_holders.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -5,9 +5,9 @@
 
 import unittest
 
-from rosechute.control_plane.lease_holders import TIDY_S, LeaseHolders
-from rosechute.control_plane.quota import QuotaBounds, QuotaIssuer, TenantLimit, Wanted
-from rosechute.control_plane.rate_leases import FULL_REACH_S, REACH_S, Holder
+from rosechute.control_plane.quota_allocator import QuotaAllocator, QuotaBounds, TenantLimit, TokenDemand
+from rosechute.control_plane.rate_lease_owners import PRUNE_INTERVAL_S, RateLeaseOwnerTracker
+from rosechute.control_plane.rate_leases import FULL_RATE_EXPIRY_S, LEASE_EXPIRY_S, LeaseOwner
 from rosechute.coordination.memory import Memory, RateLeaseHolders, load
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseReport
@@ -29,7 +29,7 @@
     """Earlier leases may run anywhere: all are granted until the first note, which names everybody granted."""
 
     def setUp(self) -> None:
-        self.holders = LeaseHolders(GAIN, None)
+        self.holders = RateLeaseOwnerTracker(GAIN, None)
 
     def test_everybody_is_granted_and_nothing_noted(self) -> None:
         self.assertTrue(self.holders.may_grant(GAIN, A))
@@ -39,20 +39,20 @@
     def test_the_first_note_names_who_was_granted(self) -> None:
         self.holders.may_grant(GAIN, A)
         self.holders.complete()
-        self.assertEqual(self.holders.to_note(GAIN + REACH_S), names(A))
+        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S), names(A))
 
     def test_a_lease_that_has_run_out_is_not_named(self) -> None:
         self.holders.may_grant(GAIN, A)
         self.holders.may_grant(GAIN + 1.0, B)
         self.holders.complete()
-        self.assertEqual(self.holders.to_note(GAIN + REACH_S + 0.5), names(B))
+        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S + 0.5), names(B))
 
 
 class NotedNamesTest(unittest.TestCase):
     """From the first note on, nobody is granted anything who is not in every note that may be on the disk."""
 
     def setUp(self) -> None:
-        self.holders = LeaseHolders(GAIN, names(A))
+        self.holders = RateLeaseOwnerTracker(GAIN, names(A))
 
     def test_earlier_edges_may_be_granted_before_the_first_note(self) -> None:
         self.assertTrue(self.holders.may_grant(GAIN, A))
@@ -82,23 +82,23 @@
     def test_who_leaves_the_next_note_is_not_granted(self) -> None:
         self.holders.heard(A)
         self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.holders.may_grant(GAIN + REACH_S + 1.0, B)
-        self.assertEqual(self.holders.to_note(GAIN + REACH_S + 1.0), names(B))
-        self.assertFalse(self.holders.may_grant(GAIN + REACH_S + 1.0, A))
+        self.holders.may_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
+        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S + 1.0), names(B))
+        self.assertFalse(self.holders.may_grant(GAIN + LEASE_EXPIRY_S + 1.0, A))
 
     def test_an_edge_that_was_not_heard_stays_named(self) -> None:
         self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.holders.may_grant(GAIN + REACH_S + 1.0, B)
-        self.assertEqual(self.holders.to_note(GAIN + REACH_S + 1.0), names(A, B))
+        self.holders.may_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
+        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S + 1.0), names(A, B))
 
     def test_edges_that_are_gone_are_left_out_in_time(self) -> None:
         self.holders.heard(A)
         self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.assertIsNone(self.holders.to_note(GAIN + TIDY_S))
-        self.assertEqual(self.holders.to_note(GAIN + TIDY_S + 0.1), names())
+        self.assertIsNone(self.holders.to_note(GAIN + PRUNE_INTERVAL_S))
+        self.assertEqual(self.holders.to_note(GAIN + PRUNE_INTERVAL_S + 0.1), names())
 
     def test_all_are_heard_once_each_has_reported(self) -> None:
-        holders = LeaseHolders(GAIN, names(A, B))
+        holders = RateLeaseOwnerTracker(GAIN, names(A, B))
         holders.heard(A)
         self.assertFalse(holders.all_heard)
         holders.heard(C)
@@ -107,10 +107,10 @@
         self.assertTrue(holders.all_heard)
 
     def test_nothing_to_be_heard_is_known_at_once(self) -> None:
-        self.assertTrue(LeaseHolders(GAIN, names()).all_heard)
+        self.assertTrue(RateLeaseOwnerTracker(GAIN, names()).all_heard)
 
     def test_a_report_that_is_not_taken_in_leaves_it_unknown(self) -> None:
-        holders = LeaseHolders(GAIN, names(A))
+        holders = RateLeaseOwnerTracker(GAIN, names(A))
         holders.unknown()
         holders.heard(A)
         self.assertFalse(holders.all_heard)
@@ -120,23 +120,23 @@
     """The issuer of a leader that was told who may hold leases of earlier terms."""
 
     def setUp(self) -> None:
-        self.issuer = QuotaIssuer(QuotaBounds(8.0, 0.1, 110_000.0))
+        self.issuer = QuotaAllocator(QuotaBounds(8.0, 0.1, 110_000.0))
         self.issuer.configure(GAIN, {"t": LIMIT, "free": None})
         self.number = 0
 
     def gain(self, holders: frozenset[str] | None) -> None:
-        self.issuer.lease_gained(GAIN, GAIN + FULL_REACH_S, GAIN + REACH_S, holders)
-        self.issuer.holders_to_note(GAIN)
+        self.issuer.leadership_gained(GAIN, GAIN + FULL_RATE_EXPIRY_S, GAIN + LEASE_EXPIRY_S, holders)
+        self.issuer.rate_lease_owners_to_persist(GAIN)
 
     def renew(self, now: float, edge: str, *reports: LeaseReport) -> float:
         """The rate granted."""
         self.number += 1
-        grants = self.issuer.renew(now, Holder(edge, 1), self.number, reports)
+        grants = self.issuer.renew(now, LeaseOwner(edge, 1), self.number, reports)
         return sum(grant.rate for grant in grants)
 
     def issued_by(self, now: float) -> int:
         """Tokens that can be had one second after the gain."""
-        (issued,) = self.issuer.issue(now, C, [Wanted("t", 100_000, 1)])
+        (issued,) = self.issuer.issue(now, C, [TokenDemand("t", 100_000, 1)])
         return issued.tokens
 
     def test_the_whole_rate_once_all_have_reported(self) -> None:
@@ -180,17 +180,17 @@
         self.gain(names(A))
         self.renew(GAIN + 0.1, A, report())
         self.assertEqual(self.renew(GAIN + 0.2, B, report()), 0.0)
-        self.issuer.holders_noted(names(A))
-        noted = self.issuer.holders_to_note(GAIN + 0.3)
+        self.issuer.rate_lease_owners_persisted(names(A))
+        noted = self.issuer.rate_lease_owners_to_persist(GAIN + 0.3)
         self.assertEqual(noted, names(A, B))
-        self.issuer.holders_noted(noted or names())
+        self.issuer.rate_lease_owners_persisted(noted or names())
         self.assertGreater(self.renew(GAIN + 0.7, B, report()), 0.0)
 
     def test_names_are_noted_when_earlier_leases_have_run_out(self) -> None:
         self.gain(None)
         self.renew(GAIN + 1.0, A, report())
-        self.assertIsNone(self.issuer.holders_to_note(GAIN + REACH_S - 0.1))
-        self.assertEqual(self.issuer.holders_to_note(GAIN + REACH_S), names(A))
+        self.assertIsNone(self.issuer.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S - 0.1))
+        self.assertEqual(self.issuer.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S), names(A))
 
 
 class DiskTest(unittest.TestCase):
--- a/tests/fleet/test_distribution_days.py
+++ b/tests/fleet/test_distribution_days.py
@@ -124,7 +124,7 @@
         self.assertGreater(served, 0.0)
         for machine in aside:
             self.assertGreater(world.confirmed_age(machine), PAST_LEASES_S)  # keys are refused there by now
-            self.assertEqual(machine.process.quota._wallet.held(machine.process.local_now(), "t"), 0)  # type: ignore[union-attr]
+            self.assertEqual(machine.process.quota._cache.available_tokens(machine.process.local_now(), "t"), 0)  # type: ignore[union-attr]
         self.use(world, LONG_CUT_S - 8.0)
         self.assert_kept(world)
 
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -15,7 +15,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.control_plane import quota, rate_leases
+from rosechute.control_plane import quota_allocator, rate_leases
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.endpoint_list_reader import EndpointListReader
 from rosechute.control_plane.quota_service import QuotaService
@@ -26,14 +26,14 @@
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.store import TopicStore, UpdateResult
 from rosechute.routing import rate_lease
-from rosechute.routing.quota_wallet import QuotaWallet
+from rosechute.routing.token_cache import TokenCache
 from tests.fleet.distribution_world import setUpModule, tearDownModule  # noqa: F401
 
 Plant = Callable[[], AbstractContextManager[Any]]
 
 ORDERS = "tests.fleet.test_distribution_orders"
 DAYS = "tests.fleet.test_distribution_days"
-LEASES = "tests.fleet.test_quota_leases"
+LEASES = "tests.fleet.test_quota_rate_leases"
 READER = "tests.fleet.test_control_endpoint_list_reader.EndpointListReaderTest"
 CORE = "tests.fleet.test_control_core_machine.CoreMachineTest"
 TERMS = "tests.fleet.test_data_plane_protocol"
@@ -173,21 +173,21 @@
 
 
 def tokens_live_from_when_they_came() -> AbstractContextManager[Any]:
-    original = QuotaWallet._issued
+    original = TokenCache._issued
 
     def issued(self: Any, now: float, sent_at: float, state: Any, issue: Any) -> Any:
         return original(self, now, now, state, issue)
 
-    return mock.patch.object(QuotaWallet, "_issued", issued)
+    return mock.patch.object(TokenCache, "_issued", issued)
 
 
 def any_answer_grants() -> AbstractContextManager[Any]:
-    original = QuotaWallet.granted
+    original = TokenCache.on_leases_granted
 
     def granted(self: Any, now: float, request: int, term: int, grants: Any) -> Any:
         return original(self, now, self._report, term, grants)
 
-    return mock.patch.object(QuotaWallet, "granted", granted)
+    return mock.patch.object(TokenCache, "on_leases_granted", granted)
 
 
 def reports_of_any_term_are_taken() -> AbstractContextManager[Any]:
@@ -201,35 +201,35 @@
 
 
 def overtaken_reports_are_taken() -> AbstractContextManager[Any]:
-    original = quota.QuotaIssuer.renew
+    original = quota_allocator.QuotaAllocator.renew
 
     def renew(self: Any, now: float, holder: Any, number: int, reports: Any) -> Any:
         self._newest_reports.clear()
         return original(self, now, holder, number, reports)
 
-    return mock.patch.object(quota.QuotaIssuer, "renew", renew)
+    return mock.patch.object(quota_allocator.QuotaAllocator, "renew", renew)
 
 
 def a_restarted_edge_is_the_same_holder() -> AbstractContextManager[Any]:
     original = rate_leases.RateLeases.report
 
     def report(self: Any, now: float, holder: Any, told: Any) -> Any:
-        return original(self, now, rate_leases.Holder(holder.edge, 0), told)
+        return original(self, now, rate_leases.LeaseOwner(holder.edge, 0), told)
 
     return mock.patch.object(rate_leases.RateLeases, "report", report)
 
 
 def a_new_leader_takes_it_that_nothing_is_leased() -> AbstractContextManager[Any]:
-    original = quota.QuotaIssuer.lease_gained
+    original = quota_allocator.QuotaAllocator.leadership_gained
 
     def gained(self: Any, now: float, late_from: float, known_from: float) -> None:
         original(self, now, now, now)
 
-    return mock.patch.object(quota.QuotaIssuer, "lease_gained", gained)
+    return mock.patch.object(quota_allocator.QuotaAllocator, "leadership_gained", gained)
 
 
 def a_new_leader_starts_with_full_buckets() -> AbstractContextManager[Any]:
-    original = quota.QuotaIssuer._bucket
+    original = quota_allocator.QuotaAllocator._bucket
 
     def bucket(self: Any, now: float, tenant: str, limit: Any) -> Any:
         known = tenant in self._buckets
@@ -238,7 +238,7 @@
             found.level = found.capacity
         return found
 
-    return mock.patch.object(quota.QuotaIssuer, "_bucket", bucket)
+    return mock.patch.object(quota_allocator.QuotaAllocator, "_bucket", bucket)
 
 
 def a_rate_lease_never_ends() -> AbstractContextManager[Any]:
@@ -299,7 +299,7 @@
     (the_edge_forgets_its_lease, f"{TERMS}.Keys.test_a_request_that_waited_is_not_sent_once_the_lease_has_ended"),
     (
         tokens_live_from_when_they_came,
-        "tests.fleet.test_distribution_wallet.WalletTest.test_tokens_are_void_a_lifetime_after_the_ask",
+        "tests.fleet.test_distribution_token_cache.WalletTest.test_tokens_are_void_a_lifetime_after_the_ask",
     ),
     (any_answer_grants, f"{LEASES}.ReportTest.test_only_the_answer_to_the_newest_report_counts"),
     (reports_of_any_term_are_taken, f"{LEASES}.ReportTest.test_a_report_of_another_term_is_told_the_term_only"),
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.control_plane import endpoint_list_reader, quota
+from rosechute.control_plane import endpoint_list_reader, quota_allocator
 from rosechute.distribution import catch_up, confirmation, home_subscriptions, membership, publisher, store, values
 from rosechute.distribution.store import UpdateResult
 from tests.fleet.distribution_checkers import Checkers
@@ -162,15 +162,17 @@
                 self.found_on_some_day("a request was run with a revoked key", play_day)
 
     def test_a_new_leader_begins_with_full_buckets(self) -> None:
-        original = quota.QuotaIssuer._bucket
+        original = quota_allocator.QuotaAllocator._bucket
 
-        def bucket(self: quota.QuotaIssuer, now: float, tenant: str, limit: quota.TenantLimit) -> quota._Bucket:
+        def bucket(
+            self: quota_allocator.QuotaAllocator, now: float, tenant: str, limit: quota_allocator.TenantLimit
+        ) -> quota_allocator._Bucket:
             known = tenant in self._buckets
             found = original(self, now, tenant, limit)
             found.level = found.level if known else found.capacity
             return found
 
-        with mock.patch.object(quota.QuotaIssuer, "_bucket", bucket):
+        with mock.patch.object(quota_allocator.QuotaAllocator, "_bucket", bucket):
             self.assertGreater(leaders_in_turn(41).quota_excess(), 0.0)
 
     def test_a_machine_that_leads_no_more_answers_on(self) -> None:
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -14,23 +14,23 @@
 from returns.result import Failure, Success
 
 from rosechute.configuration.process import Bounds
-from rosechute.control_plane import operator_api, quota, rate_leases
+from rosechute.control_plane import operator_api, quota_allocator, rate_leases
 from rosechute.control_plane.operator_api import OperatorApi
-from rosechute.control_plane.quota import LIFETIME_S, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota_allocator import TOKEN_LIFETIME_S, QuotaBounds, QuotaAllocator, TenantLimit, TokenDemand
 from rosechute.control_plane.quota_service import QuotaService
 from rosechute.control_plane.rate_leases import (
-    ACTIVE_S,
-    BARE_S,
-    DRIFT,
-    FULL_REACH_S,
-    FULL_S,
-    LATE_SHARE,
-    LEASE_S,
-    REACH_S,
-    Holder,
-    LeaseTotals,
+    ACTIVE_EDGE_S,
+    CLOCK_DRIFT,
+    FULL_RATE_EXPIRY_S,
+    FULL_RATE_S,
+    LATE_RATE_SHARE,
+    LEASE_DURATION_S,
+    LEASE_EXPIRY_S,
+    NO_LEASE_S,
+    LeaseBudget,
+    LeaseOwner,
     RateLeases,
-    fair_level,
+    max_min_fair_level,
 )
 from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES, ReplicaRuntime
 from rosechute.control_plane.write_requests import write_request_digest
@@ -42,8 +42,8 @@
 
 from .data_site import VirtualLoop
 
-A, B = Holder("a", 1), Holder("b", 1)
-TOTALS = LeaseTotals(900.0, 3000.0)
+A, B = LeaseOwner("a", 1), LeaseOwner("b", 1)
+TOTALS = LeaseBudget(900.0, 3000.0)
 
 
 def setUpModule() -> None:
@@ -54,7 +54,9 @@
     logger.enable("rosechute.control_plane")
 
 
-def report(demand: float = 900.0, held: LeaseGrant | None = None, remaining_s: float = LEASE_S, **more: Any) -> Any:
+def report(
+    demand: float = 900.0, held: LeaseGrant | None = None, remaining_s: float = LEASE_DURATION_S, **more: Any
+) -> Any:
     rate, depth = (held.rate, held.depth) if held is not None else (0.0, 0.0)
     return LeaseReport("t", rate, depth, remaining_s if held else 0.0, more.pop("stored", 0.0), demand, 10.0, **more)
 
@@ -63,22 +65,22 @@
     """Times and shares that others are reckoned from."""
 
     def test_what_the_rules_allow_is_shared_out_once(self) -> None:
-        self.assertLessEqual(quota.EMERGENCY_SHARE + quota.KEPT_SHARE, 1.0)
-        self.assertGreater(quota.EMERGENCY_SHARE, 0.0)
-        self.assertLess(quota.LEASED_SHARE, 1.0)
+        self.assertLessEqual(quota_allocator.EMERGENCY_SHARE + quota_allocator.RETAINED_SHARE, 1.0)
+        self.assertGreater(quota_allocator.EMERGENCY_SHARE, 0.0)
+        self.assertLess(quota_allocator.LEASED_SHARE, 1.0)
 
     def test_a_new_leader_waits_for_longer_than_a_lease_runs(self) -> None:
-        self.assertGreaterEqual(REACH_S, LEASE_S * 1.005)
-        self.assertGreaterEqual(FULL_REACH_S, FULL_S * 1.005)
-        self.assertLess(FULL_S, LEASE_S)
-        self.assertLessEqual(BARE_S, REACH_S)
-        self.assertGreater(BARE_S, 10 * 0.1)
+        self.assertGreaterEqual(LEASE_EXPIRY_S, LEASE_DURATION_S * 1.005)
+        self.assertGreaterEqual(FULL_RATE_EXPIRY_S, FULL_RATE_S * 1.005)
+        self.assertLess(FULL_RATE_S, LEASE_DURATION_S)
+        self.assertLessEqual(NO_LEASE_S, LEASE_EXPIRY_S)
+        self.assertGreater(NO_LEASE_S, 10 * 0.1)
 
     def test_lifetimes(self) -> None:
-        self.assertLess(quota.SHORTEST_LIFETIME_S, LIFETIME_S)
-        self.assertGreater(quota.SHORTEST_LIFETIME_S, 0.1)
-        self.assertGreater(quota.ASKED_S, LIFETIME_S)
-        self.assertGreater(quota.LONGEST_STORE_S, 1.0)
+        self.assertLess(quota_allocator.MIN_TOKEN_LIFETIME_S, TOKEN_LIFETIME_S)
+        self.assertGreater(quota_allocator.MIN_TOKEN_LIFETIME_S, 0.1)
+        self.assertGreater(quota_allocator.ACTIVE_REQUESTER_S, TOKEN_LIFETIME_S)
+        self.assertGreater(quota_allocator.MAX_LEASE_DEPTH_S, 1.0)
 
     def test_an_answer_comes_before_the_operator_moves_on(self) -> None:
         self.assertLess(operator_api.ANSWER_WITHIN_S, 1.0)
@@ -91,18 +93,18 @@
     """The bucket: it begins empty, never holds more than its capacity, and counts what is outstanding."""
 
     def setUp(self) -> None:
-        self.issuer = QuotaIssuer(QuotaBounds(8.0, 0.1, 0.0))
+        self.issuer = QuotaAllocator(QuotaBounds(8.0, 0.1, 0.0))
         self.lead(0.0)
         self.configure(0.0, TenantLimit(1000.0, 1000.0))
 
     def lead(self, now: float, late_from: float = 0.0, known_from: float = 0.0) -> None:
-        self.issuer.lease_gained(now, late_from, known_from)
+        self.issuer.leadership_gained(now, late_from, known_from)
 
     def configure(self, now: float, limit: TenantLimit | None) -> None:
         self.issuer.configure(now, {"t": limit})
 
     def issue(self, now: float, tokens: int = 10, least: int = 0, edge: str = "e") -> Any:
-        return self.issuer.issue(now, edge, [Wanted("t", tokens, least or tokens)])[0]
+        return self.issuer.issue(now, edge, [TokenDemand("t", tokens, least or tokens)])[0]
 
     def all_of(self, now: float, size: int = 10) -> int:
         """All that the bucket gives at a moment."""
@@ -229,11 +231,11 @@
         bucket = self.bucket(0.003)
         bucket.asked = dict.fromkeys("abcd", 1.0)
         self.assertAlmostEqual(bucket.level, 3.0)
-        self.assertEqual(self.issuer.issue(0.003, "e", [Wanted("t", 10, 0)])[0].tokens, 1)
+        self.assertEqual(self.issuer.issue(0.003, "e", [TokenDemand("t", 10, 0)])[0].tokens, 1)
 
     def test_when_to_ask_again_for_a_single_token(self) -> None:
         self.configure(0.0, TenantLimit(2.0, 10.0))
-        issued = self.issuer.issue(0.0, "e", [Wanted("t", 10, 0)])[0]
+        issued = self.issuer.issue(0.0, "e", [TokenDemand("t", 10, 0)])[0]
         self.assertEqual((issued.tokens, 400 <= issued.retry_after_ms <= 500), (0, True))
 
     def limited(self, overshoot: float, rate: float, burst: float) -> Any:
@@ -249,7 +251,7 @@
 
     def test_the_reserve_leaves_room_for_tokens_of_the_leader_before(self) -> None:
         bucket = self.limited(0.5, 1000.0, 100.0)
-        beside = LIFETIME_S * 1000.0 - 100.0
+        beside = TOKEN_LIFETIME_S * 1000.0 - 100.0
         total = 100.0 + 0.9 * 0.5 * 8100.0
         self.assertAlmostEqual(bucket.reserve, total - bucket.most_outstanding - bucket.least_capacity - beside)
 
@@ -261,8 +263,8 @@
     def test_lifetimes_follow_from_the_bound_on_outstanding_tokens(self) -> None:
         bucket = self.limited(0.1, 1000.0, 100.0)
         self.assertAlmostEqual(bucket.lifetime_s, bucket.most_outstanding / 1250.0)
-        self.assertTrue(quota.SHORTEST_LIFETIME_S < bucket.lifetime_s < LIFETIME_S)
-        self.assertEqual(self.limited(0.01, 1000.0, 10.0).lifetime_s, quota.SHORTEST_LIFETIME_S)
+        self.assertTrue(quota_allocator.MIN_TOKEN_LIFETIME_S < bucket.lifetime_s < TOKEN_LIFETIME_S)
+        self.assertEqual(self.limited(0.01, 1000.0, 10.0).lifetime_s, quota_allocator.MIN_TOKEN_LIFETIME_S)
 
     # Leases beside the bucket
 
@@ -283,9 +285,11 @@
         for holder in (A, B):
             self.issuer.renew(10.0, holder, 1, [report(2000.0, stored=1e6)])
         bucket = self.bucket(10.0)
-        spare = min(bucket.level - quota.DEPOSIT_FROM * bucket.capacity, bucket.most_outstanding / 2.0)
+        spare = min(
+            bucket.level - quota_allocator.DEPOSIT_RESERVE_SHARE * bucket.capacity, bucket.most_outstanding / 2.0
+        )
         self.assertGreater(spare, 100.0)
-        self.assertEqual(quota._deposit(bucket, 10.0, 1e6), int(spare / 2))
+        self.assertEqual(quota_allocator._deposit(bucket, 10.0, 1e6), int(spare / 2))
 
     def test_the_bucket_fills_with_what_is_not_leased(self) -> None:
         (grant,) = self.issuer.renew(0.0, A, 1, [report(2000.0)])
@@ -302,8 +306,8 @@
     def test_leases_that_ran_out_give_their_rate_back(self) -> None:
         (grant,) = self.issuer.renew(0.0, A, 1, [report(2000.0)])
         self.assertGreater(grant.rate, 0.0)
-        self.bucket(REACH_S + 0.01)
-        self.assertEqual(self.bucket(REACH_S + 0.02).fill_rate(), 1000.0)
+        self.bucket(LEASE_EXPIRY_S + 0.01)
+        self.assertEqual(self.bucket(LEASE_EXPIRY_S + 0.02).fill_rate(), 1000.0)
 
     def test_a_deposit_is_taken_from_the_bucket(self) -> None:
         bucket = self.bucket(10.0)
@@ -319,7 +323,7 @@
         self.assertEqual(full.deposit, 0)
         self.setUp()
         bucket = self.bucket(10.0)
-        bucket.demands["x"] = quota._Demand(5, 11.0)
+        bucket.demands["x"] = quota_allocator._Demand(5, 11.0)
         (grant,) = self.issuer.renew(10.0, A, 1, [report(2000.0)])
         self.assertEqual(grant.deposit, 0)
 
@@ -393,11 +397,18 @@
     def test_a_grant(self) -> None:
         grant = self.leases.report(0.0, A, report(300.0))
         self.assertEqual((grant.tenant, grant.rate, grant.depth), ("t", 450.0, 3000.0))
-        self.assertEqual((grant.full_s, grant.late_share, grant.lifetime_s), (FULL_S, LATE_SHARE, LEASE_S))
+        self.assertEqual(
+            (grant.full_s, grant.late_share, grant.lifetime_s), (FULL_RATE_S, LATE_RATE_SHARE, LEASE_DURATION_S)
+        )
 
     def test_reckoned_until_it_has_run_out_by_the_leaders_clock(self) -> None:
         self.leases.report(0.0, A, report(600.0))
-        expected = ((FULL_REACH_S - 0.01, 900.0), (FULL_REACH_S, 450.0), (REACH_S - 0.01, 450.0), (REACH_S, 0.0))
+        expected = (
+            (FULL_RATE_EXPIRY_S - 0.01, 900.0),
+            (FULL_RATE_EXPIRY_S, 450.0),
+            (LEASE_EXPIRY_S - 0.01, 450.0),
+            (LEASE_EXPIRY_S, 0.0),
+        )
         for now, rate in expected:
             self.leases.expire(now)
             self.assertEqual(self.leases.rate, rate, now)
@@ -419,22 +430,22 @@
         self.assertLessEqual(self.leases.depth, TOTALS.depth)
 
     def test_the_remaining_time_counts_with_the_drift_of_clocks(self) -> None:
-        new = RateLeases(TOTALS, known_from=REACH_S)
+        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
         held = LeaseGrant("t", 100.0, 500.0, 3.0, 0.5, 5.0)
         new.report(0.0, A, report(0.0, held, 4.0))
-        new._holders[A].until = 4.0 * (1 + DRIFT)
+        new._holders[A].until = 4.0 * (1 + CLOCK_DRIFT)
         new.expire(4.0)
         self.assertGreater(new.rate, 0.0)
 
     def test_adopted_until(self) -> None:
-        new = RateLeases(TOTALS, known_from=REACH_S)
+        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
         new._take(1.0, A, report(0.0, LeaseGrant("t", 100.0, 500.0, 3.0, 0.5, 5.0), 2.0))
         held = new._holders[A]
         self.assertEqual((held.rate, held.granted, held.depth), (100.0, 100.0, 500.0))
-        self.assertAlmostEqual(held.until, 1.0 + 2.0 * (1 + DRIFT))
+        self.assertAlmostEqual(held.until, 1.0 + 2.0 * (1 + CLOCK_DRIFT))
 
     def test_what_was_leased_before_and_is_not_reported_stays_unknown(self) -> None:
-        new = RateLeases(TOTALS, known_from=REACH_S)
+        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
         self.assertEqual((new.unknown(False), new.unknown(True)), (900.0, 450.0))
         new.report(0.0, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
         self.assertEqual(new.unknown(False), 600.0)
@@ -444,12 +455,12 @@
         self.assertEqual(new.unknown(False), 0.0)
 
     def test_a_new_leader_leases_only_what_was_reported(self) -> None:
-        new = RateLeases(TOTALS, known_from=REACH_S)
+        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
         self.assertEqual(new.report(0.0, A, report(900.0)).rate, 0.0)
         new.report(0.1, B, report(900.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
         self.assertLessEqual(new.rate, 300.0)
         self.assertLessEqual(new.depth, 500.0)
-        self.assertGreater(new.report(REACH_S, A, report(900.0)).rate, 300.0)
+        self.assertGreater(new.report(LEASE_EXPIRY_S, A, report(900.0)).rate, 300.0)
 
     def test_what_has_run_out_is_nothing(self) -> None:
         held = rate_leases._Reckoned(rate=5.0, granted=5.0, depth=7.0, until=1.0)
@@ -458,9 +469,9 @@
 
     def test_a_report_late_in_its_time_tells_the_late_rate(self) -> None:
         grant = self.leases.report(0.0, A, report(600.0))
-        self.leases._take(FULL_REACH_S + 0.1, A, report(0.0, grant, REACH_S - FULL_REACH_S - 0.2))
-        self.assertEqual(self.leases.rate, LATE_SHARE * grant.rate)
-        self.leases._take(FULL_REACH_S + 0.2, A, report(0.0, grant, 0.0))
+        self.leases._take(FULL_RATE_EXPIRY_S + 0.1, A, report(0.0, grant, LEASE_EXPIRY_S - FULL_RATE_EXPIRY_S - 0.2))
+        self.assertEqual(self.leases.rate, LATE_RATE_SHARE * grant.rate)
+        self.leases._take(FULL_RATE_EXPIRY_S + 0.2, A, report(0.0, grant, 0.0))
         self.assertEqual(self.leases.rate, 0.0, "it says that it holds nothing more")
 
     def test_claims_of_a_holder_that_nobody_knows(self) -> None:
@@ -474,9 +485,9 @@
 
     def test_edges_that_are_silent_do_not_count_for_the_shares(self) -> None:
         self.leases._take(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 2000.0, 1400.0))
-        self.leases._take(ACTIVE_S, B, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 200.0))
-        self.assertTrue(self.leases._useful(ACTIVE_S))
-        self.assertEqual(self.leases._fair_rate(ACTIVE_S, B, 900.0), 150.0)
+        self.leases._take(ACTIVE_EDGE_S, B, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 200.0))
+        self.assertTrue(self.leases._useful(ACTIVE_EDGE_S))
+        self.assertEqual(self.leases._fair_rate(ACTIVE_EDGE_S, B, 900.0), 150.0)
 
     def test_no_word_that_nothing_is_leased_while_something_is(self) -> None:
         grant = self.leases.report(0.0, A, report(600.0))
@@ -485,26 +496,26 @@
 
     def test_idle_edges_are_forgotten(self) -> None:
         self.leases.report(0.0, A, report(0.0))
-        self.assertEqual(self.leases.active(ACTIVE_S - 0.01), 1)
-        self.assertEqual(self.leases.active(ACTIVE_S), 0)
-        self.leases.expire(REACH_S + 0.1)
+        self.assertEqual(self.leases.active(ACTIVE_EDGE_S - 0.01), 1)
+        self.assertEqual(self.leases.active(ACTIVE_EDGE_S), 0)
+        self.leases.expire(LEASE_EXPIRY_S + 0.1)
         self.assertEqual(self.leases._holders, {})
 
     def test_holders_are_kept_while_their_lease_runs(self) -> None:
         self.leases.report(0.0, A, report(600.0))
-        self.leases.expire(REACH_S - 0.1)
+        self.leases.expire(LEASE_EXPIRY_S - 0.1)
         self.assertIn(A, self.leases._holders)
 
     def test_a_lowered_total_binds_new_grants(self) -> None:
         self.leases.report(0.0, A, report(600.0))
-        self.leases.resize(LeaseTotals(90.0, 300.0))
+        self.leases.resize(LeaseBudget(90.0, 300.0))
         grant = self.leases.report(0.1, A, report(600.0, LeaseGrant("t", 900.0, 3000.0, 3.0, 0.5, 5.0)))
         self.assertLessEqual((grant.rate, grant.depth), (90.0, 300.0))
 
     def test_nothing_is_leased_where_stores_are_too_small(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
         grant = self.leases.report(0.0, A, large)
-        self.assertEqual((grant.rate, grant.depth, grant.bare_s), (0.0, 0.0, BARE_S))
+        self.assertEqual((grant.rate, grant.depth, grant.bare_s), (0.0, 0.0, NO_LEASE_S))
 
     def test_no_word_that_nothing_is_leased_while_it_was_of_use_lately(self) -> None:
         self.leases.report(0.0, A, report(0.0))
@@ -514,21 +525,21 @@
 
     def test_a_word_is_kept_until_its_end(self) -> None:
         self.leases.report(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0))
-        for now in (0.5, BARE_S - 0.01):
+        for now in (0.5, NO_LEASE_S - 0.01):
             self.assertEqual(self.leases.report(now, A, report(900.0)).rate, 0.0)
-        self.assertGreater(self.leases.report(BARE_S, A, report(900.0)).rate, 0.0)
+        self.assertGreater(self.leases.report(NO_LEASE_S, A, report(900.0)).rate, 0.0)
 
     def test_a_new_leader_gives_no_word_before_it_knows(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
-        new = RateLeases(TOTALS, known_from=REACH_S)
+        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
         self.assertEqual(new.report(0.0, A, large).bare_s, 0.0)
         new.none_run()
-        self.assertEqual(new.report(0.1, A, large).bare_s, BARE_S)
+        self.assertEqual(new.report(0.1, A, large).bare_s, NO_LEASE_S)
 
     def test_fair_shares(self) -> None:
-        self.assertEqual(fair_level([], 9.0), 0.0)
-        self.assertEqual(fair_level([10.0, 50.0, 100.0], 90.0), 40.0)
-        self.assertEqual(fair_level([10.0, 20.0], 90.0), 20.0)
+        self.assertEqual(max_min_fair_level([], 9.0), 0.0)
+        self.assertEqual(max_min_fair_level([10.0, 50.0, 100.0], 90.0), 40.0)
+        self.assertEqual(max_min_fair_level([10.0, 20.0], 90.0), 20.0)
         for each in (A, B):
             self.leases.report(0.0, each, report(2000.0))
         first = self.leases.report(0.1, A, report(2000.0, LeaseGrant("t", 0.0, 0.0, 3.0, 0.5, 5.0)))
@@ -544,7 +555,7 @@
 
     def commit(self, *tenants: dict[str, Any]) -> None:
         body = {"config_version": 1, "routes": [], "services": [], "tenants": tenants}
-        self.service.committed(0.0, json.dumps(body).encode())
+        self.service.configuration_committed(0.0, json.dumps(body).encode())
 
     def test_slack_counts_tokens_where_any_tenant_counts_tokens(self) -> None:
         requests = {"name": "r", "api_keys": ["r"], "rate_per_s": 10, "burst": 10}
@@ -559,7 +570,7 @@
 
     def test_a_configuration_that_cannot_be_read_changes_nothing(self) -> None:
         self.commit({"name": "f", "api_keys": ["f"]})
-        self.service.committed(0.0, b"{")
+        self.service.configuration_committed(0.0, b"{")
         self.assertEqual(self.service._issuer._limits, {"f": None})
 
     def test_bounds_of_the_settings(self) -> None:
@@ -567,14 +578,14 @@
         self.assertEqual(self.service._issuer._bounds, QuotaBounds(4.0, 0.2, 3.0))
 
     def test_a_new_term_waits_for_the_leases_of_the_one_before(self) -> None:
-        self.service.lease_gained(10.0, 4)
+        self.service.leadership_gained(10.0, 4)
         issuer = self.service._issuer
-        self.assertEqual(issuer._late_from, 10.0 + FULL_REACH_S)
-        self.assertEqual(issuer._known_from, 10.0 + REACH_S)
+        self.assertEqual(issuer._late_from, 10.0 + FULL_RATE_EXPIRY_S)
+        self.assertEqual(issuer._known_from, 10.0 + LEASE_EXPIRY_S)
 
     def test_an_answer_names_its_request_and_term(self) -> None:
         self.commit({"name": "f", "api_keys": ["f"]})
-        self.service.lease_gained(0.0, 4)
+        self.service.leadership_gained(0.0, 4)
         wanted = [pb.QuotaAmount(tenant="f", tokens=7, least=3)]
         issue = self.service.answer(0.0, pb.QuotaRequest(request=9, edge="e", wanted=wanted))
         (issued,) = issue.issued
--- a/tests/fleet/test_planted_wallets.py
+++ b/tests/fleet/test_planted_token_cache.py
@@ -6,21 +6,21 @@
 import unittest
 from typing import Any
 
-from rosechute.routing import quota_wallet
+from rosechute.routing import token_cache
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
-from rosechute.routing.quota_wallet import (
-    ANSWER_S,
-    DEMANDED_S,
-    REPORT_LOST_S,
-    REPORT_S,
-    WAIT_CROWDED_S,
-    WAIT_LEADERLESS_S,
-    WAIT_S,
-    WAIT_SILENT_S,
-    Issue,
-    QuotaWallet,
-)
 from rosechute.routing.rate_lease import RateLease
+from rosechute.routing.token_cache import (
+    MAX_SLOW_LINK_WAIT_S,
+    MAX_WAIT_S,
+    NO_LEADER_WAIT_S,
+    REPORT_AFTER_DEMAND_S,
+    REPORT_INTERVAL_S,
+    REPORT_TIMEOUT_S,
+    RESPONSE_TIMEOUT_S,
+    SILENT_LEADER_WAIT_S,
+    TokenCache,
+    TokenIssue,
+)
 
 
 def grant(rate: float = 100.0, depth: float = 1000.0, **more: Any) -> LeaseGrant:
@@ -119,54 +119,54 @@
     """Requests take tokens in their order; those that can't have them in time are told so."""
 
     def setUp(self) -> None:
-        self.wallet = QuotaWallet()
+        self.cache = TokenCache()
         self.told: list[tuple[str, bool, float]] = []
         self.requests = 0
 
-    def carry_out(self, decisions: list[quota_wallet.Decision]) -> None:
+    def carry_out(self, decisions: list[token_cache.Decision]) -> None:
         for each in decisions:
-            each.decided(each.allowed, each.retry_after_s)
+            each.on_decision(each.allowed, each.retry_after_s)
 
     def spend(self, now: float, name: str, tokens: int, tenant: str = "t") -> None:
         def decided(allowed: bool, retry_s: float) -> None:
             self.told.append((name, allowed, round(retry_s, 6)))
 
-        self.carry_out(self.wallet.spend(now, tenant, tokens, decided))
+        self.carry_out(self.cache.acquire(now, tenant, tokens, decided))
 
-    def ask(self, now: float) -> list[quota_wallet.Ask]:
+    def ask(self, now: float) -> list[token_cache.TokenRequest]:
         self.requests += 1
-        return self.wallet.ask(now, self.requests)
+        return self.cache.next_token_requests(now, self.requests)
 
     def issue(self, now: float, tokens: int, retry_s: float = 0.0, lifetime_s: float = 0.4, number: int = 0) -> None:
-        issues = [Issue("t", tokens, lifetime_s, retry_s)]
-        self.carry_out(self.wallet.issued(now, number or self.requests, issues))
+        issues = [TokenIssue("t", tokens, lifetime_s, retry_s)]
+        self.carry_out(self.cache.on_tokens_issued(now, number or self.requests, issues))
 
     def tick(self, now: float, leaderless_s: float | None = None) -> None:
-        self.carry_out(self.wallet.tick(now, leaderless_s))
+        self.carry_out(self.cache.tick(now, leaderless_s))
 
     def lease(self, now: float, **more: Any) -> None:
         """A lease that is held from now on."""
-        self.wallet.report(now, 1000)
-        self.carry_out(self.wallet.granted(now, 1000, self.wallet.term, [grant(**more)]))
+        self.cache.next_lease_reports(now, 1000)
+        self.carry_out(self.cache.on_leases_granted(now, 1000, self.cache.term, [grant(**more)]))
 
     def names(self) -> list[str]:
         return [name for name, allowed, _ in self.told if allowed]
 
     def test_waits_for_what_is_asked(self) -> None:
         self.spend(0.0, "a", 5)
-        self.assertEqual((self.told, self.wallet.waits()), ([], True))
+        self.assertEqual((self.told, self.cache.has_waiting()), ([], True))
         (ask,) = self.ask(0.0)
         self.assertEqual((ask.tenant, ask.tokens, ask.least), ("t", 5, 5))
         self.issue(0.01, 5)
-        self.assertEqual((self.told, self.wallet.waits()), ([("a", True, 0.0)], False))
-        self.assertEqual(self.wallet.held(0.01, "t"), 0)
+        self.assertEqual((self.told, self.cache.has_waiting()), ([("a", True, 0.0)], False))
+        self.assertEqual(self.cache.available_tokens(0.01, "t"), 0)
 
     def test_tokens_are_spent_once(self) -> None:
         self.spend(0.0, "a", 5)
         self.ask(0.0)
         self.issue(0.01, 12)
         self.spend(0.02, "b", 5)
-        self.assertEqual(self.wallet.held(0.02, "t"), 2)
+        self.assertEqual(self.cache.available_tokens(0.02, "t"), 2)
         self.spend(0.03, "c", 5)
         self.assertEqual(self.names(), ["a", "b"])
 
@@ -174,13 +174,13 @@
         self.spend(0.0, "a", 5)
         self.ask(0.0)
         self.issue(0.2, 10)
-        self.assertEqual((self.wallet.held(0.39, "t"), self.wallet.held(0.4, "t")), (5, 0))
+        self.assertEqual((self.cache.available_tokens(0.39, "t"), self.cache.available_tokens(0.4, "t")), (5, 0))
 
     def test_tokens_that_come_after_their_life(self) -> None:
         self.spend(0.0, "a", 5)
         self.ask(0.0)
         self.issue(0.4, 10)
-        self.assertEqual((self.wallet.held(0.4, "t"), self.names()), (0, []))
+        self.assertEqual((self.cache.available_tokens(0.4, "t"), self.names()), (0, []))
 
     def test_oldest_tokens_first(self) -> None:
         self.spend(0.0, "a", 5)
@@ -190,7 +190,7 @@
         self.ask(0.06)
         self.issue(0.07, 9)
         self.assertEqual(self.names(), ["a", "x"])
-        self.assertEqual(self.wallet.held(0.41, "t"), 6)
+        self.assertEqual(self.cache.available_tokens(0.41, "t"), 6)
 
     def test_in_their_order(self) -> None:
         self.spend(0.0, "large", 50)
@@ -206,7 +206,7 @@
         self.ask(0.0)
         self.spend(0.01, "b", 5)
         self.assertEqual(self.ask(0.01), [])
-        (again,) = self.ask(ANSWER_S)
+        (again,) = self.ask(RESPONSE_TIMEOUT_S)
         self.assertEqual((again.tokens >= 10, again.least), (True, 5))
 
     def test_a_new_ask_after_an_answer(self) -> None:
@@ -236,11 +236,11 @@
     def test_asks_ahead_where_that_is_several_requests(self) -> None:
         for step in range(200):
             self.spend(step / 100, f"r{step}", 1)
-        self.wallet.tick(2.0, None)
-        self.assertGreater(self.wallet._tenants["t"].ahead(2.0), 10)
-        self.assertEqual(self.wallet._tenants["t"].ahead(6.0), 0)
-        slow = QuotaWallet()
-        slow.spend(0.0, "t", 100, lambda *_: None)
+        self.cache.tick(2.0, None)
+        self.assertGreater(self.cache._tenants["t"].ahead(2.0), 10)
+        self.assertEqual(self.cache._tenants["t"].ahead(6.0), 0)
+        slow = TokenCache()
+        slow.acquire(0.0, "t", 100, lambda *_: None)
         self.assertEqual(slow._tenants["t"].ahead(0.0), 0)
 
     def test_refused_at_once_where_the_leader_has_none_in_time(self) -> None:
@@ -259,22 +259,22 @@
         self.issue(0.01, 0, retry_s=0.1)
         self.tick(0.24)
         self.assertEqual(self.told, [])
-        self.tick(WAIT_S)
+        self.tick(MAX_WAIT_S)
         self.assertEqual([allowed for _, allowed, _ in self.told], [False])
 
     def test_given_up_where_the_leader_is_silent(self) -> None:
         self.spend(0.0, "a", 5)
         self.ask(0.0)
-        self.tick(WAIT_SILENT_S - 0.001)
+        self.tick(SILENT_LEADER_WAIT_S - 0.001)
         self.assertEqual(self.told, [])
-        self.tick(WAIT_SILENT_S)
+        self.tick(SILENT_LEADER_WAIT_S)
         self.assertEqual(self.told, [("a", False, 2.0)])
 
     def test_given_up_soon_where_there_is_no_leader(self) -> None:
         self.spend(0.0, "a", 5)
-        self.tick(WAIT_LEADERLESS_S - 0.001, 1.8)
+        self.tick(NO_LEADER_WAIT_S - 0.001, 1.8)
         self.assertEqual(self.told, [])
-        self.tick(WAIT_LEADERLESS_S, 1.8)
+        self.tick(NO_LEADER_WAIT_S, 1.8)
         self.assertEqual(self.told, [("a", False, 0.3)])
         self.spend(1.0, "b", 5)
         self.tick(1.1, 0.5)
@@ -299,12 +299,12 @@
         self.ask(1.0)
         self.issue(1.01, 8)
         self.assertEqual(self.names(), ["a"])
-        self.assertEqual(self.wallet.held(1.01, "t"), 4)
+        self.assertEqual(self.cache.available_tokens(1.01, "t"), 4)
 
     def test_waits_for_what_the_lease_brings_soon(self) -> None:
         self.lease_held_with(0)
         self.spend(1.0, "a", 18)
-        self.assertAlmostEqual(self.wallet.next_due(0.1), 1.18)
+        self.assertAlmostEqual(self.cache.next_action_at(0.1), 1.18)
         self.tick(1.17, 0.1)
         self.assertEqual(self.told, [])
         self.tick(1.19, 0.1)
@@ -313,15 +313,15 @@
     def test_when_to_come_back_where_the_lease_will_cover(self) -> None:
         self.lease_held_with(0)
         self.spend(1.0, "a", 100)
-        self.tick(1.0 + WAIT_LEADERLESS_S, 0.1)
+        self.tick(1.0 + NO_LEADER_WAIT_S, 0.1)
         self.assertEqual(self.told, [("a", False, 0.96)])
 
     def test_a_grant_serves_those_that_wait(self) -> None:
         self.spend(0.0, "a", 5)
         self.lease(0.05, deposit=9, deposit_s=0.4)
-        told = self.wallet.granted(0.1, 1000, 0, [grant()])
+        told = self.cache.on_leases_granted(0.1, 1000, 0, [grant()])
         self.assertEqual(told, [], "the report was answered")
-        self.assertEqual((self.names(), self.wallet.held(0.05, "t")), (["a"], 4))
+        self.assertEqual((self.names(), self.cache.available_tokens(0.05, "t")), (["a"], 4))
 
     def test_tenants_by_themselves(self) -> None:
         self.spend(0.0, "a", 5)
@@ -330,7 +330,7 @@
         self.assertEqual([each.tenant for each in asks], ["t", "u"])
         self.issue(0.01, 5)
         self.assertEqual(self.names(), ["a"])
-        self.assertEqual(self.wallet.held(0.0, "nobody"), 0)
+        self.assertEqual(self.cache.available_tokens(0.0, "nobody"), 0)
 
     def test_answers_to_nothing_that_was_asked(self) -> None:
         self.spend(0.0, "a", 5)
@@ -339,15 +339,15 @@
         self.assertEqual(self.told, [])
         self.issue(0.01, 5)
         self.issue(0.02, 5, number=self.requests)
-        self.assertEqual(self.wallet.held(0.02, "t"), 0, "an answer counts once")
+        self.assertEqual(self.cache.available_tokens(0.02, "t"), 0, "an answer counts once")
 
     def test_asks_that_were_never_answered_are_forgotten(self) -> None:
         self.spend(0.0, "a", 5)
         self.ask(0.0)
         self.tick(2.0)
-        self.assertEqual(len(self.wallet._asks), 1)
+        self.assertEqual(len(self.cache._asks), 1)
         self.tick(2.01)
-        self.assertEqual(self.wallet._asks, {})
+        self.assertEqual(self.cache._asks, {})
 
     def test_patience_follows_the_time_that_answers_take(self) -> None:
         now = 0.0
@@ -356,7 +356,7 @@
             self.ask(now)
             self.issue(now + 0.15, 5)
             now += 1.0
-        self.assertAlmostEqual(self.wallet._crowded_s(ANSWER_S), 0.45, delta=0.01)
+        self.assertAlmostEqual(self.cache._crowded_s(RESPONSE_TIMEOUT_S), 0.45, delta=0.01)
         self.told.clear()
         self.spend(now, "b", 5)
         self.ask(now)
@@ -364,15 +364,15 @@
         self.assertEqual(self.told, [])
         self.tick(now + 0.46)
         self.assertEqual(len(self.told), 1)
-        self.wallet._round_s = 9.0
-        self.assertEqual(self.wallet._crowded_s(ANSWER_S), WAIT_CROWDED_S)
+        self.cache._round_s = 9.0
+        self.assertEqual(self.cache._crowded_s(RESPONSE_TIMEOUT_S), MAX_SLOW_LINK_WAIT_S)
 
     def test_patience_with_a_leader_that_has_answered(self) -> None:
-        self.wallet._round_s = 0.15
+        self.cache._round_s = 0.15
         self.spend(0.0, "a", 5)
         self.ask(0.0)
         self.issue(0.01, 0, retry_s=0.1)
-        self.wallet._round_s = 0.15
+        self.cache._round_s = 0.15
         self.tick(0.44)
         self.assertEqual(self.told, [])
         self.tick(0.46)
@@ -408,7 +408,7 @@
         self.spend(1.0, "b", 10)
         self.ask(1.0)
         self.issue(1.2, 10, lifetime_s=0.1)
-        self.assertEqual((self.names(), self.wallet.held(1.2, "t")), (["a"], 3))
+        self.assertEqual((self.names(), self.cache.available_tokens(1.2, "t")), (["a"], 3))
 
     def test_something_is_asked_for_where_the_lease_covers_meanwhile(self) -> None:
         self.lease_held_with(0)
@@ -419,108 +419,108 @@
 
     def test_an_ask_that_asks_for_nothing_is_not_remembered(self) -> None:
         self.ask(0.0)
-        self.assertEqual(self.wallet._asks, {})
+        self.assertEqual(self.cache._asks, {})
 
     def test_when_something_is_due(self) -> None:
-        self.assertEqual(self.wallet.next_due(None), math.inf)
+        self.assertEqual(self.cache.next_action_at(None), math.inf)
         self.spend(0.0, "a", 5)
-        self.assertEqual(self.wallet.next_due(None), -math.inf, "to be asked for")
-        self.assertEqual(self.wallet.next_due(0.1), WAIT_LEADERLESS_S)
+        self.assertEqual(self.cache.next_action_at(None), -math.inf, "to be asked for")
+        self.assertEqual(self.cache.next_action_at(0.1), NO_LEADER_WAIT_S)
         self.ask(0.0)
-        self.assertEqual(self.wallet.next_due(None), ANSWER_S)
+        self.assertEqual(self.cache.next_action_at(None), RESPONSE_TIMEOUT_S)
         self.issue(0.01, 0, retry_s=0.2)
-        self.assertAlmostEqual(self.wallet.next_due(None), 0.21)
+        self.assertAlmostEqual(self.cache.next_action_at(None), 0.21)
 
     # Reports
 
     def test_reported_while_there_is_demand_or_a_lease(self) -> None:
-        self.assertEqual(self.wallet.report_due(0.0), math.inf)
+        self.assertEqual(self.cache.next_report_at(0.0), math.inf)
         self.spend(0.0, "a", 8)
-        (told,) = self.wallet.report(0.0, 7)
+        (told,) = self.cache.next_lease_reports(0.0, 7)
         self.assertEqual((told.tenant, told.demand, told.request_mean), ("t", 1.0, 8.0))
-        self.assertEqual(self.wallet.report_due(DEMANDED_S - 0.01), REPORT_LOST_S)
-        self.assertEqual(self.wallet.report_due(DEMANDED_S), math.inf)
+        self.assertEqual(self.cache.next_report_at(REPORT_AFTER_DEMAND_S - 0.01), REPORT_TIMEOUT_S)
+        self.assertEqual(self.cache.next_report_at(REPORT_AFTER_DEMAND_S), math.inf)
         self.lease(2.0)
-        self.assertLess(self.wallet.report_due(6.9), math.inf)
-        self.assertEqual(self.wallet.report_due(7.0), math.inf)
+        self.assertLess(self.cache.next_report_at(6.9), math.inf)
+        self.assertEqual(self.cache.next_report_at(7.0), math.inf)
 
     def test_a_report_of_nothing_is_none(self) -> None:
-        self.assertEqual(self.wallet.report(0.0, 7), [])
+        self.assertEqual(self.cache.next_lease_reports(0.0, 7), [])
         self.spend(0.1, "a", 8)
-        self.assertEqual(len(self.wallet.report(0.1, 8)), 1)
+        self.assertEqual(len(self.cache.next_lease_reports(0.1, 8)), 1)
 
     def test_tenants_without_demand_are_not_reported(self) -> None:
         self.spend(0.0, "a", 8, "u")
-        self.spend(DEMANDED_S, "b", 8)
-        self.assertEqual([each.tenant for each in self.wallet.report(DEMANDED_S, 7)], ["t"])
+        self.spend(REPORT_AFTER_DEMAND_S, "b", 8)
+        self.assertEqual([each.tenant for each in self.cache.next_lease_reports(REPORT_AFTER_DEMAND_S, 7)], ["t"])
 
     def test_demand_fades(self) -> None:
         self.spend(0.0, "a", 8)
-        (told,) = self.wallet.report(3.0, 7)
+        (told,) = self.cache.next_lease_reports(3.0, 7)
         self.assertAlmostEqual(told.demand, math.exp(-3.0 / 8.0))
         self.spend(3.0, "b", 16)
-        (told,) = self.wallet.report(4.0, 8)
+        (told,) = self.cache.next_lease_reports(4.0, 8)
         self.assertAlmostEqual(told.demand, (math.exp(-3.0 / 8.0) + 2.0) * math.exp(-1.0 / 8.0))
         self.assertAlmostEqual(told.request_mean, 8.8)
 
     def test_reports_are_spaced(self) -> None:
         self.spend(0.0, "a", 8)
-        self.wallet.report(0.0, 7)
-        self.assertEqual(self.wallet.report(REPORT_LOST_S - 0.01, 8), [])
-        self.assertEqual(len(self.wallet.report(REPORT_LOST_S, 9)), 1)
-        self.wallet.granted(1.0, 9, 0, [])
-        self.assertEqual(self.wallet.report_due(1.0), REPORT_LOST_S + REPORT_S)
+        self.cache.next_lease_reports(0.0, 7)
+        self.assertEqual(self.cache.next_lease_reports(REPORT_TIMEOUT_S - 0.01, 8), [])
+        self.assertEqual(len(self.cache.next_lease_reports(REPORT_TIMEOUT_S, 9)), 1)
+        self.cache.on_leases_granted(1.0, 9, 0, [])
+        self.assertEqual(self.cache.next_report_at(1.0), REPORT_TIMEOUT_S + REPORT_INTERVAL_S)
 
     def test_only_the_answer_to_the_newest_report_counts_and_once(self) -> None:
         self.spend(0.0, "a", 8)
-        self.wallet.report(0.0, 7)
-        self.wallet.report(1.0, 8)
-        self.wallet.granted(1.1, 7, 0, [grant(deposit=5, deposit_s=9.0)])
-        self.assertEqual(self.wallet.held(1.1, "t"), 0)
+        self.cache.next_lease_reports(0.0, 7)
+        self.cache.next_lease_reports(1.0, 8)
+        self.cache.on_leases_granted(1.1, 7, 0, [grant(deposit=5, deposit_s=9.0)])
+        self.assertEqual(self.cache.available_tokens(1.1, "t"), 0)
         for _ in range(2):
-            self.wallet.granted(1.1, 8, 0, [grant(deposit=5, deposit_s=9.0)])
-        self.assertEqual(self.wallet.held(1.1, "t"), 5)
-        lease = self.wallet._tenants["t"].lease
+            self.cache.on_leases_granted(1.1, 8, 0, [grant(deposit=5, deposit_s=9.0)])
+        self.assertEqual(self.cache.available_tokens(1.1, "t"), 5)
+        lease = self.cache._tenants["t"].lease
         self.assertEqual(lease.until, 6.0, "from when the report was sent")
 
     def test_another_term_is_reported_to_at_once(self) -> None:
         self.spend(0.0, "a", 8)
-        self.wallet.report(0.0, 7)
-        self.wallet.granted(0.1, 7, 4, [])
-        self.assertEqual((self.wallet.term, self.wallet.report_due(0.1)), (4, 0.1))
-        self.wallet.report(0.1, 8)
-        self.wallet.granted(0.2, 8, 4, [])
-        self.assertEqual(self.wallet.report_due(0.2), 0.1 + REPORT_S)
+        self.cache.next_lease_reports(0.0, 7)
+        self.cache.on_leases_granted(0.1, 7, 4, [])
+        self.assertEqual((self.cache.term, self.cache.next_report_at(0.1)), (4, 0.1))
+        self.cache.next_lease_reports(0.1, 8)
+        self.cache.on_leases_granted(0.2, 8, 4, [])
+        self.assertEqual(self.cache.next_report_at(0.2), 0.1 + REPORT_INTERVAL_S)
 
     def test_grants_for_tenants_that_are_not_known_here(self) -> None:
         self.spend(0.0, "a", 8)
-        self.wallet.report(0.0, 7)
+        self.cache.next_lease_reports(0.0, 7)
         told = LeaseGrant("u", 1.0, 1.0, 3.0, 0.5, 5.0)
-        self.assertEqual(self.wallet.granted(0.1, 7, 0, [told]), [])
+        self.assertEqual(self.cache.on_leases_granted(0.1, 7, 0, [told]), [])
         self.ask(0.1)
-        self.assertEqual(self.wallet.issued(0.1, self.requests, [Issue("u", 5, 0.4, 0.0)]), [])
+        self.assertEqual(self.cache.on_tokens_issued(0.1, self.requests, [TokenIssue("u", 5, 0.4, 0.0)]), [])
 
 
 class TimesTest(unittest.TestCase):
     """The times fit together."""
 
     def test_an_ask_is_answered_and_repeated_before_its_request_gives_up(self) -> None:
-        self.assertLess(ANSWER_S, WAIT_SILENT_S)
-        self.assertGreater(ANSWER_S, 0.05)
-        self.assertLess(WAIT_SILENT_S, WAIT_S)
-        self.assertLess(WAIT_S, WAIT_CROWDED_S)
-        self.assertLess(WAIT_LEADERLESS_S, quota_wallet.ACCRUAL_WAIT_S)
-        self.assertGreater(WAIT_LEADERLESS_S, 0.02)
+        self.assertLess(RESPONSE_TIMEOUT_S, SILENT_LEADER_WAIT_S)
+        self.assertGreater(RESPONSE_TIMEOUT_S, 0.05)
+        self.assertLess(SILENT_LEADER_WAIT_S, MAX_WAIT_S)
+        self.assertLess(MAX_WAIT_S, MAX_SLOW_LINK_WAIT_S)
+        self.assertLess(NO_LEADER_WAIT_S, token_cache.ACCRUAL_WAIT_S)
+        self.assertGreater(NO_LEADER_WAIT_S, 0.02)
 
     def test_reports(self) -> None:
-        self.assertLess(REPORT_S, REPORT_LOST_S)
-        self.assertGreater(REPORT_S, 0.2)
-        self.assertGreater(DEMANDED_S, REPORT_LOST_S)
-        self.assertGreater(quota_wallet.LEASE_DEMAND_SPAN_S, quota_wallet.DEMAND_SPAN_S)
-        self.assertGreater(quota_wallet.DEMAND_SPAN_S, 0.5)
-        self.assertGreater(quota_wallet.AHEAD_S, 0.1)
+        self.assertLess(REPORT_INTERVAL_S, REPORT_TIMEOUT_S)
+        self.assertGreater(REPORT_INTERVAL_S, 0.2)
+        self.assertGreater(REPORT_AFTER_DEMAND_S, REPORT_TIMEOUT_S)
+        self.assertGreater(token_cache.LEASE_DEMAND_SPAN_S, token_cache.DEMAND_SPAN_S)
+        self.assertGreater(token_cache.DEMAND_SPAN_S, 0.5)
+        self.assertGreater(token_cache.PREFETCH_S, 0.1)
 
     def test_when_to_come_back(self) -> None:
-        self.assertGreater(quota_wallet.RETRY_LEAST_S, 0.2)
-        self.assertGreater(quota_wallet.COVERED_LEAST_S, 0.02)
-        self.assertGreater(quota_wallet.LEADERLESS_S, 1.0)
+        self.assertGreater(token_cache.MIN_RETRY_AFTER_S, 0.2)
+        self.assertGreater(token_cache.MIN_LEASE_RETRY_AFTER_S, 0.02)
+        self.assertGreater(token_cache.ELECTION_S, 1.0)
--- a/tests/fleet/test_quota_priority.py
+++ b/tests/fleet/test_quota_priority.py
@@ -5,7 +5,14 @@
 import random
 import unittest
 
-from rosechute.routing.quota_wallet import PASSED_OVER_SHARE, WAIT_S, Ask, Decision, Issue, QuotaWallet
+from rosechute.routing.token_cache import (
+    LOW_PRIORITY_SHARE,
+    MAX_WAIT_S,
+    Decision,
+    TokenCache,
+    TokenIssue,
+    TokenRequest,
+)
 
 URGENT, USUAL, LAST = 0, 1, 2
 
@@ -14,27 +21,27 @@
     """One edge; the leader's answers are given by hand."""
 
     def setUp(self) -> None:
-        self.wallet = QuotaWallet()
+        self.cache = TokenCache()
         self.served: list[str] = []
         self.refused: list[str] = []
         self.number = 0
 
     def carry_out(self, decisions: list[Decision]) -> None:
         for each in decisions:
-            each.decided(each.allowed, each.retry_after_s)
+            each.on_decision(each.allowed, each.retry_after_s)
 
     def spend(self, now: float, name: str, tokens: int, priority: int) -> None:
         def decided(allowed: bool, retry_s: float) -> None:
             (self.served if allowed else self.refused).append(name)
 
-        self.carry_out(self.wallet.spend(now, "t", tokens, decided, priority))
+        self.carry_out(self.cache.acquire(now, "t", tokens, decided, priority))
 
-    def ask(self, now: float) -> list[Ask]:
+    def ask(self, now: float) -> list[TokenRequest]:
         self.number += 1
-        return self.wallet.ask(now, self.number)
+        return self.cache.next_token_requests(now, self.number)
 
     def issue(self, now: float, tokens: int) -> None:
-        self.carry_out(self.wallet.issued(now, self.number, [Issue("t", tokens, 0.4, 0.0)]))
+        self.carry_out(self.cache.on_tokens_issued(now, self.number, [TokenIssue("t", tokens, 0.4, 0.0)]))
 
     def test_the_most_urgent_first_then_the_first_come(self) -> None:
         for name, priority in (("a", LAST), ("b", USUAL), ("c", URGENT), ("d", URGENT)):
@@ -63,13 +70,13 @@
             self.spend(0.0, name, 100, priority)
         self.ask(0.0)
         self.issue(0.001, 0)
-        self.carry_out(self.wallet.tick(WAIT_S + 0.01, None))
+        self.carry_out(self.cache.tick(MAX_WAIT_S + 0.01, None))
         self.assertEqual(sorted(self.refused), ["last", "urgent"])
 
     def test_what_would_come_too_late_behind_more_urgent_ones_is_refused_at_once(self) -> None:
         self.spend(0.0, "urgent", 500, URGENT)
         self.ask(0.0)
-        self.carry_out(self.wallet.issued(0.001, self.number, [Issue("t", 0, 0.4, 5.0)]))
+        self.carry_out(self.cache.on_tokens_issued(0.001, self.number, [TokenIssue("t", 0, 0.4, 5.0)]))
         self.assertEqual(self.refused, ["urgent"])
         self.spend(0.002, "last", 500, LAST)
         self.assertEqual(self.refused, ["urgent", "last"])
@@ -84,7 +91,7 @@
             def decided(allowed: bool, retry_s: float) -> None:
                 served[priority] += tokens * allowed
 
-            self.carry_out(self.wallet.spend(now, "t", tokens, decided, priority))
+            self.carry_out(self.cache.acquire(now, "t", tokens, decided, priority))
 
         for _ in range(3_000):
             now += 0.01
@@ -92,9 +99,9 @@
             arrive(LAST, draw.choice((100, 300)))
             if self.ask(now):
                 self.issue(now, 100)
-            self.carry_out(self.wallet.tick(now, None))
+            self.carry_out(self.cache.tick(now, None))
         self.assertGreater(served[URGENT], 4 * served[LAST])
-        self.assertGreater(served[LAST], 0.5 * PASSED_OVER_SHARE * served[URGENT])
+        self.assertGreater(served[LAST], 0.5 * LOW_PRIORITY_SHARE * served[URGENT])
 
     def test_plenty_is_spent_in_the_order_of_coming(self) -> None:
         self.spend(0.0, "a", 10, LAST)
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_rate_leases.py
@@ -8,15 +8,30 @@
 import unittest
 
 from rosechute.configuration.process import Bounds
-from rosechute.control_plane.quota import EMERGENCY_SHARE, LEASED_SHARE, QuotaBounds, QuotaIssuer, TenantLimit, Wanted
+from rosechute.control_plane.quota_allocator import (
+    EMERGENCY_SHARE,
+    LEASED_SHARE,
+    QuotaAllocator,
+    QuotaBounds,
+    TenantLimit,
+    TokenDemand,
+)
 from rosechute.control_plane.quota_service import QuotaService
-from rosechute.control_plane.rate_leases import BARE_S, LEASE_S, REACH_S, Holder, LeaseTotals, RateLeases, fair_level
+from rosechute.control_plane.rate_leases import (
+    LEASE_DURATION_S,
+    LEASE_EXPIRY_S,
+    NO_LEASE_S,
+    LeaseBudget,
+    LeaseOwner,
+    RateLeases,
+    max_min_fair_level,
+)
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
-from rosechute.routing.quota_wallet import QuotaWallet
 from rosechute.routing.rate_lease import RateLease
+from rosechute.routing.token_cache import TokenCache
 
-TOTALS = LeaseTotals(900.0, 3000.0)
+TOTALS = LeaseBudget(900.0, 3000.0)
 # Issued in a second by a new leader that knows of no leases: rate 1,000 tokens/s, burst 1,000, overshoot 0.1.
 CAUTIOUS_TOKENS = (1.0 - LEASED_SHARE) * 1000.0 + EMERGENCY_SHARE * 0.1 * (8.0 * 1000.0 + 1000.0) / 8.0
 
@@ -25,7 +40,7 @@
     return LeaseGrant("t", rate, depth, 3.0, 0.5, 5.0, deposit, 0.4, 0.0)
 
 
-def report(demand: float, held: LeaseGrant | None = None, remaining_s: float = LEASE_S) -> LeaseReport:
+def report(demand: float, held: LeaseGrant | None = None, remaining_s: float = LEASE_DURATION_S) -> LeaseReport:
     rate, depth = (held.rate, held.depth) if held is not None else (0.0, 0.0)
     return LeaseReport("t", rate, depth, remaining_s if rate else 0.0, 0.0, demand, 10.0)
 
@@ -90,7 +105,7 @@
 class LeaderLeasesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.leases = RateLeases(TOTALS, known_from=0.0)
-        self.a, self.b = Holder("a", 1), Holder("b", 1)
+        self.a, self.b = LeaseOwner("a", 1), LeaseOwner("b", 1)
 
     def test_what_moves_is_granted_after_the_other_has_confirmed(self) -> None:
         first = self.leases.report(0.0, self.a, report(900.0))
@@ -109,37 +124,37 @@
             grant = self.leases.report(step * 0.45, self.b, report(900.0))
             self.assertLessEqual(grant.depth, TOTALS.depth)
         self.assertLess(grant.rate, 0.55 * TOTALS.rate)
-        self.assertGreater(self.leases.report(REACH_S + 0.1, self.b, report(900.0)).rate, 850.0)
+        self.assertGreater(self.leases.report(LEASE_EXPIRY_S + 0.1, self.b, report(900.0)).rate, 850.0)
 
     def test_a_restarted_edge_is_another_holder(self) -> None:
         self.leases.report(0.0, self.a, report(900.0))
-        self.assertLess(self.leases.report(0.1, Holder("a", 2), report(900.0)).rate, 50.0)
+        self.assertLess(self.leases.report(0.1, LeaseOwner("a", 2), report(900.0)).rate, 50.0)
 
     def test_sums_hold_whatever_is_lost(self) -> None:
         for seed in range(60):
             draw = random.Random(seed)
             leases = RateLeases(TOTALS, known_from=0.0)
-            held: dict[Holder, tuple[LeaseGrant, float]] = {}
+            held: dict[LeaseOwner, tuple[LeaseGrant, float]] = {}
             now = 0.0
             for _ in range(200):
                 now += draw.expovariate(8.0)
-                holder = Holder(draw.choice("abcdef"), draw.randrange(2))
+                holder = LeaseOwner(draw.choice("abcdef"), draw.randrange(2))
                 before = held.get(holder)
                 left = 0.0 if before is None else before[1] - now
                 lease = before[0] if before is not None and left > 0 else None
                 grant = leases.report(now, holder, report(draw.choice((0.0, 50.0, 400.0, 2000.0)), lease, left))
                 if draw.random() < 0.7:
-                    held[holder] = (grant, now + LEASE_S)
+                    held[holder] = (grant, now + LEASE_DURATION_S)
                 running = [lease for lease, until in held.values() if until > now]
                 self.assertLessEqual(sum(each.depth for each in running), TOTALS.depth + 1e-6)
-                full = [lease for lease, until in held.values() if until - LEASE_S + lease.full_s > now]
+                full = [lease for lease, until in held.values() if until - LEASE_DURATION_S + lease.full_s > now]
                 late = sum(each.rate for each in running) - sum(each.rate for each in full)
                 rate = sum(each.rate for each in full) + late * grant.late_share
                 self.assertLessEqual(rate, TOTALS.rate + 1e-6)
 
     def test_a_new_leader_renews_what_is_reported_and_grants_no_more(self) -> None:
         old = self.leases.report(0.0, self.a, report(900.0))
-        new = RateLeases(TOTALS, known_from=REACH_S)
+        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
         self.assertEqual(new.report(0.1, self.b, report(900.0)).rate, 0.0)
         renewed = new.report(0.2, self.a, report(900.0, old, 4.0))
         self.assertGreater(renewed.rate, 0.4 * old.rate)
@@ -150,31 +165,31 @@
     def test_nothing_is_leased_where_a_store_is_too_small(self) -> None:
         huge = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0)
         grant = self.leases.report(0.0, self.a, huge)
-        self.assertEqual((grant.rate, grant.bare_s), (0.0, BARE_S))
+        self.assertEqual((grant.rate, grant.bare_s), (0.0, NO_LEASE_S))
 
     def test_a_word_that_nothing_is_leased_is_kept(self) -> None:
         self.leases.report(0.0, self.a, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0))
         for step in range(1, 11):
             grant = self.leases.report(step * 0.45, self.a, report(900.0))
             self.assertEqual((grant.rate, grant.bare_s), (0.0, 0.0))
-        self.assertGreater(self.leases.report(BARE_S, self.a, report(900.0)).rate, 0.0)
+        self.assertGreater(self.leases.report(NO_LEASE_S, self.a, report(900.0)).rate, 0.0)
 
     def test_no_word_while_leases_may_run(self) -> None:
         self.assertEqual(RateLeases(TOTALS, 5.0).report(0.0, self.a, report(0.0)).bare_s, 0.0)
 
     def test_the_level_of_equal_parts(self) -> None:
-        self.assertEqual(fair_level([10.0, 50.0, 100.0], 90.0), 40.0)
-        self.assertEqual(fair_level([10.0, 20.0], 90.0), 20.0)
+        self.assertEqual(max_min_fair_level([10.0, 50.0, 100.0], 90.0), 40.0)
+        self.assertEqual(max_min_fair_level([10.0, 20.0], 90.0), 20.0)
 
 
 class NewLeaderTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.issuer = QuotaIssuer(QuotaBounds(8.0, 0.1, 0.0))
-        self.issuer.lease_gained(0.0, 3.0, 5.0)
+        self.issuer = QuotaAllocator(QuotaBounds(8.0, 0.1, 0.0))
+        self.issuer.leadership_gained(0.0, 3.0, 5.0)
         self.issuer.configure(0.0, {"t": TenantLimit(1000.0, 1000.0)})
 
     def issued(self, now: float) -> int:
-        return sum(self.issuer.issue(now, "e", [Wanted("t", 10, 10)])[0].tokens for _ in range(200))
+        return sum(self.issuer.issue(now, "e", [TokenDemand("t", 10, 10)])[0].tokens for _ in range(200))
 
     def test_until_leases_are_known_only_the_part_that_is_never_leased(self) -> None:
         self.assertLessEqual(self.issued(1.0), CAUTIOUS_TOKENS + 10)
@@ -182,26 +197,26 @@
 
     def test_a_word_of_the_leader_before_opens_the_bucket(self) -> None:
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=2.0)
-        self.issuer.renew(0.0, Holder("e", 1), 1, [told])
+        self.issuer.renew(0.0, LeaseOwner("e", 1), 1, [told])
         self.assertGreater(self.issued(0.5), 300)
 
     def test_the_word_is_passed_on_through_changes_of_leader(self) -> None:
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=2.0)
-        grant = self.issuer.renew(0.0, Holder("e", 1), 1, [told])[0]
-        self.assertEqual((grant.rate, grant.bare_s), (0.0, BARE_S))
-        self.issuer.lease_gained(2.0, 5.0, 7.0)
+        grant = self.issuer.renew(0.0, LeaseOwner("e", 1), 1, [told])[0]
+        self.assertEqual((grant.rate, grant.bare_s), (0.0, NO_LEASE_S))
+        self.issuer.leadership_gained(2.0, 5.0, 7.0)
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=3.0)
-        self.issuer.renew(2.0, Holder("e", 1), 2, [told])
+        self.issuer.renew(2.0, LeaseOwner("e", 1), 2, [told])
         self.assertGreater(self.issued(2.5), 300)
 
     def test_a_word_that_has_run_out_does_not(self) -> None:
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=0.05)
-        self.issuer.renew(0.0, Holder("e", 1), 1, [told])
+        self.issuer.renew(0.0, LeaseOwner("e", 1), 1, [told])
         self.assertLessEqual(self.issued(1.0), CAUTIOUS_TOKENS + 10)
 
     def test_a_report_that_was_overtaken_tells_nothing(self) -> None:
-        self.assertEqual(len(self.issuer.renew(0.1, Holder("e", 1), 8, [report(10.0)])), 1)
-        self.assertEqual(self.issuer.renew(0.2, Holder("e", 1), 7, [report(10.0)]), [])
+        self.assertEqual(len(self.issuer.renew(0.1, LeaseOwner("e", 1), 8, [report(10.0)])), 1)
+        self.assertEqual(self.issuer.renew(0.2, LeaseOwner("e", 1), 7, [report(10.0)]), [])
 
 
 class ReportTest(unittest.TestCase):
@@ -211,8 +226,8 @@
         service = QuotaService(Bounds(quota_overshoot=0.1, quota_slack=10_000.0))
         tenant = {"name": "t", "api_keys": ["k"], "rate_per_s": 1000, "burst": 1000}
         body = {"config_version": 1, "routes": [], "services": [], "tenants": [tenant]}
-        service.committed(0.0, json.dumps(body).encode())
-        service.lease_gained(0.0, 7)
+        service.configuration_committed(0.0, json.dumps(body).encode())
+        service.leadership_gained(0.0, 7)
         request = pb.QuotaRequest(request=1, edge="e", boot=1, term=6)
         request.held.add(tenant="t", rate=100.0, depth=100.0, lifetime_ms=4000, demand=100.0, request_mean=5.0)
         answer = service.answer(0.1, request)
@@ -224,53 +239,53 @@
         self.assertGreater(answer.granted[0].rate, 0.0)
 
     def test_only_the_answer_to_the_newest_report_counts(self) -> None:
-        wallet = QuotaWallet()
-        wallet.spend(0.0, "t", 10, lambda allowed, retry_s: None)
-        self.assertEqual(len(wallet.report(0.0, 1)), 1)
-        self.assertEqual(wallet.report(0.5, 2), [])
-        self.assertEqual(len(wallet.report(0.9, 3)), 1)
-        wallet.granted(1.0, 1, 0, [granted(100.0, 100.0)])
-        self.assertEqual(wallet.held(1.5, "t"), 0)
-        wallet.granted(1.5, 3, 0, [granted(100.0, 100.0)])
-        self.assertEqual(wallet.held(2.0, "t"), 50)
-        wallet.granted(2.0, 3, 0, [granted(100.0, 500.0, 300)])
-        self.assertEqual(wallet.held(2.0, "t"), 50)
+        cache = TokenCache()
+        cache.acquire(0.0, "t", 10, lambda allowed, retry_s: None)
+        self.assertEqual(len(cache.next_lease_reports(0.0, 1)), 1)
+        self.assertEqual(cache.next_lease_reports(0.5, 2), [])
+        self.assertEqual(len(cache.next_lease_reports(0.9, 3)), 1)
+        cache.on_leases_granted(1.0, 1, 0, [granted(100.0, 100.0)])
+        self.assertEqual(cache.available_tokens(1.5, "t"), 0)
+        cache.on_leases_granted(1.5, 3, 0, [granted(100.0, 100.0)])
+        self.assertEqual(cache.available_tokens(2.0, "t"), 50)
+        cache.on_leases_granted(2.0, 3, 0, [granted(100.0, 500.0, 300)])
+        self.assertEqual(cache.available_tokens(2.0, "t"), 50)
 
     def test_an_answer_of_another_term_makes_a_report_due(self) -> None:
-        wallet = QuotaWallet()
-        wallet.spend(0.0, "t", 10, lambda allowed, retry_s: None)
-        wallet.report(0.0, 1)
-        wallet.granted(0.01, 1, 9, [])
-        self.assertEqual((wallet.term, wallet.report_due(0.01)), (9, 0.01))
+        cache = TokenCache()
+        cache.acquire(0.0, "t", 10, lambda allowed, retry_s: None)
+        cache.next_lease_reports(0.0, 1)
+        cache.on_leases_granted(0.01, 1, 9, [])
+        self.assertEqual((cache.term, cache.next_report_at(0.01)), (9, 0.01))
 
     def test_reports_end_with_the_demand_and_the_lease(self) -> None:
-        wallet = QuotaWallet()
-        wallet.spend(0.0, "t", 10, lambda allowed, retry_s: None)
-        self.assertTrue(wallet.report(0.0, 1))
-        wallet.granted(0.0, 1, 0, [granted(100.0, 100.0)])
-        self.assertTrue(wallet.report(4.5, 2))
-        self.assertEqual(wallet.report_due(5.1), math.inf)
+        cache = TokenCache()
+        cache.acquire(0.0, "t", 10, lambda allowed, retry_s: None)
+        self.assertTrue(cache.next_lease_reports(0.0, 1))
+        cache.on_leases_granted(0.0, 1, 0, [granted(100.0, 100.0)])
+        self.assertTrue(cache.next_lease_reports(4.5, 2))
+        self.assertEqual(cache.next_report_at(5.1), math.inf)
 
 
 class WithoutLeaderTest(unittest.TestCase):
-    """A wallet that holds a lease, and no leader."""
+    """A cache that holds a lease, and no leader."""
 
     def setUp(self) -> None:
-        self.wallet = QuotaWallet()
+        self.cache = TokenCache()
         self.told: list[tuple[str, bool]] = []
-        self.wallet.spend(0.0, "t", 1, lambda allowed, retry_s: None)
-        self.wallet.tick(0.2, 0.2)
-        self.wallet.report(0.2, 1)
-        self.wallet.granted(0.2, 1, 0, [granted(1000.0, 1000.0)])
+        self.cache.acquire(0.0, "t", 1, lambda allowed, retry_s: None)
+        self.cache.tick(0.2, 0.2)
+        self.cache.next_lease_reports(0.2, 1)
+        self.cache.on_leases_granted(0.2, 1, 0, [granted(1000.0, 1000.0)])
 
     def spend(self, now: float, name: str, tokens: int) -> None:
-        decisions = self.wallet.spend(now, "t", tokens, lambda allowed, retry_s: self.told.append((name, allowed)))
+        decisions = self.cache.acquire(now, "t", tokens, lambda allowed, retry_s: self.told.append((name, allowed)))
         for decision in decisions:
-            decision.decided(decision.allowed, decision.retry_after_s)
+            decision.on_decision(decision.allowed, decision.retry_after_s)
 
     def tick(self, now: float) -> None:
-        for decision in self.wallet.tick(now, 1.0):
-            decision.decided(decision.allowed, decision.retry_after_s)
+        for decision in self.cache.tick(now, 1.0):
+            decision.on_decision(decision.allowed, decision.retry_after_s)
 
     def test_what_the_store_holds_is_spent_at_once(self) -> None:
         self.spend(1.0, "a", 700)
@@ -279,7 +294,7 @@
     def test_what_the_lease_brings_soon_is_waited_for(self) -> None:
         self.spend(1.2, "a", 1000)
         self.spend(1.2, "b", 150)
-        self.assertAlmostEqual(self.wallet.next_due(1.0), 1.35)
+        self.assertAlmostEqual(self.cache.next_action_at(1.0), 1.35)
         self.tick(1.351)
         self.assertEqual(self.told, [("a", True), ("b", True)])
 
--- a/tests/fleet/test_quota_sum.py
+++ b/tests/fleet/test_quota_sum.py
@@ -29,9 +29,9 @@
 class ForgetfulService(QuotaService):
     """Planted: a new leader takes it that no leases run."""
 
-    def lease_gained(self, now: float, term: int, holders: frozenset[str] | None = None) -> None:
+    def leadership_gained(self, now: float, term: int, holders: frozenset[str] | None = None) -> None:
         self._term = term
-        self._issuer.lease_gained(now, now, now)
+        self._issuer.leadership_gained(now, now, now)
 
 
 def troubled(world: World) -> None:
