--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -79,7 +79,13 @@
     Area(
         "control",
         ["rosechute/control_plane/*.py"],
-        ["test_planted_control*", "test_control_*", "test_quota_rate_leases", "test_distribution_token_cache", "test_quota_*"],
+        [
+            "test_planted_control*",
+            "test_control_*",
+            "test_quota_rate_leases",
+            "test_distribution_token_cache",
+            "test_quota_*",
+        ],
         ["test_distribution_token_cache", "test_quota_sum", "test_control_replica_runtime"],
     ),
     Area(
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -16,7 +16,13 @@
 from rosechute.configuration.process import Bounds
 from rosechute.control_plane import operator_api, quota_allocator, rate_leases
 from rosechute.control_plane.operator_api import OperatorApi
-from rosechute.control_plane.quota_allocator import TOKEN_LIFETIME_S, QuotaBounds, QuotaAllocator, TenantLimit, TokenDemand
+from rosechute.control_plane.quota_allocator import (
+    TOKEN_LIFETIME_S,
+    QuotaAllocator,
+    QuotaBounds,
+    TenantLimit,
+    TokenDemand,
+)
 from rosechute.control_plane.quota_service import QuotaService
 from rosechute.control_plane.rate_leases import (
     ACTIVE_EDGE_S,
