--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -15,7 +15,6 @@
 from benchmarks.fitting import Slope, microseconds
 from benchmarks.fleet_size import SIZE, ZONES, servers, service_name
 from benchmarks.fleet_size import configuration as body_of
-from rosechute.configuration.operator import parse
 from rosechute.configuration.process import Bounds
 from rosechute.control_plane.endpoint_list_page import decode_endpoint_list_page
 from rosechute.control_plane.quota_service import QuotaService
@@ -29,9 +28,9 @@
 from rosechute.distribution.values import Configuration, ListedServer, decode_configuration
 from rosechute.messages import coordination_pb2
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind, encode_frame
+from rosechute.messages.framing import MessageKind, encode_frame
 from rosechute.standin.fleet.platform import Instance
-from rosechute.storage.files import DiskFolder
+from rosechute.storage.files import DiskDirectory
 from rosechute.storage.record_store import RecordStore
 
 ROUTES = (50, 200, 800)
@@ -79,7 +78,7 @@
         message = value.update_message((0, 0), NOW)
         figures["body"].points[size] = len(body)
         figures["sent"].points[size] = len(message.SerializeToString())
-        figures["read"].points[size] = microseconds(lambda body=body: parse(body))
+        figures["read"].points[size] = microseconds(lambda body=body: parse_configuration(body))
         figures["committed"].points[size] = microseconds(
             lambda body=body, quota=quota: (Configuration.from_body(1, 1, body), quota.committed(NOW, body))
         )
@@ -90,7 +89,9 @@
         figures["decode"].points[size] = microseconds(
             lambda raw=raw: decode_configuration(pb.Distribution.FromString(raw).config)
         )
-        figures["force"].points[size] = microseconds(lambda body=body: ActiveConfiguration(parse(body).unwrap(), 1))
+        figures["force"].points[size] = microseconds(
+            lambda body=body: ActiveConfiguration(parse_configuration(body).unwrap(), 1)
+        )
         assert len(zlib.decompress(value.compressed)) == len(body)
     return list(figures.values())
 
@@ -254,7 +255,7 @@
                 data = encoded.get(id(send.message)) if once else None
                 if data is None:
                     data = encoded[id(send.message)] = send.message.SerializeToString()
-                total += len(encode_frame(Kind.DISTRIBUTION, data))
+                total += len(encode_frame(MessageKind.DISTRIBUTION, data))
             sizes.append(total)
             return time.thread_time_ns() - began
 
@@ -352,12 +353,14 @@
         write = write_message(State(1, 1, 1, b"x" * size, b"d" * 32))
         record = coordination_pb2.Record(write=write).SerializeToString()
         with tempfile.TemporaryDirectory(prefix="rosechute-slopes-") as folder:
-            store, _ = RecordStore.open(DiskFolder(folder)).unwrap()
-            replace_cpu.points[size], replace_wall.points[size] = _disk(lambda s=store, r=record: s.replace([r]))
+            store, _ = RecordStore.open(DiskDirectory(folder)).unwrap()
+            replace_cpu.points[size], replace_wall.points[size] = _disk(
+                lambda s=store, r=record: s.write_snapshot([r])
+            )
             append_cpu.points[size], append_wall.points[size] = _disk(lambda s=store, r=record: s.append([[r]]))
-            store.replace([record])
+            store.write_snapshot([record])
             loading.points[size] = microseconds(
-                lambda f=folder: load(RecordStore.open(DiskFolder(f)).unwrap()[1]), rounds=3
+                lambda f=folder: load(RecordStore.open(DiskDirectory(f)).unwrap()[1]), rounds=3
             )
             assert Path(folder).exists()
     return [append_cpu, append_wall, replace_cpu, replace_wall, loading]
--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -22,7 +22,7 @@
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import CONFIG_TOPIC, Configuration, ServiceList, decode_servers, next_service_list
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind, encode_frame
+from rosechute.messages.framing import MessageKind, encode_frame
 from rosechute.routing.model import AttemptResult, PromptPart, RoutingRequest, Send, ServerEntry
 from rosechute.routing.prefixes import PrefixTable, prefixes_of
 from rosechute.routing.router import Router
@@ -127,7 +127,7 @@
 def _encode(actions: list[Action]) -> list[bytes]:
     """What the links do with the messages before the socket."""
     return [
-        encode_frame(Kind.DISTRIBUTION, action.message.SerializeToString())
+        encode_frame(MessageKind.DISTRIBUTION, action.message.SerializeToString())
         for action in actions
         if isinstance(action, SendMessage)
     ]
--- a/benchmarks/fleet_slopes_events.py
+++ b/benchmarks/fleet_slopes_events.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from benchmarks.fitting import Slope
-from rosechute.configuration.operator import parse
+from rosechute.configuration.operator import parse_configuration
 from rosechute.configuration.process import Listen, ProcessLimits, ProcessSettings
 from rosechute.data_plane.plane import DataPlane
 from rosechute.routing.model import ServerEntry
@@ -84,7 +84,7 @@
     router = Router(random.random, RouterTuning(first_budget=200))
     plane = DataPlane(loop, settings, router, AllowAll(), AlwaysFresh())
     await plane.start()
-    plane.apply_configuration(parse(json.dumps(CONFIGURATION).encode()).unwrap(), 1)
+    plane.apply_configuration(parse_configuration(json.dumps(CONFIGURATION).encode()).unwrap(), 1)
     plane.apply_servers(SERVICE, [ServerEntry("i-1", f"127.0.0.1:{server_port}", "east-1", 500, True)])
     print(plane.port, flush=True)
     while await loop.run_in_executor(None, sys.stdin.readline):
--- a/benchmarks/fleet_slopes_links.py
+++ b/benchmarks/fleet_slopes_links.py
@@ -17,7 +17,7 @@
 from benchmarks.fleet_slopes_core import edge_identity
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection, LinkServer
 
 MEMBERS = (50, 100, 350)
@@ -65,7 +65,7 @@
     listed = servers(SIZE.servers)
     began, wall = time.process_time_ns(), time.perf_counter_ns()
     for send in publisher.endpoint_list_read(NOW, listed):
-        send.connection.send(Kind.DISTRIBUTION, send.message.SerializeToString())
+        send.connection.send(MessageKind.DISTRIBUTION, send.message.SerializeToString())
     turn, turn_wall = time.process_time_ns() - began, time.perf_counter_ns() - wall
     until = time.monotonic() + DRAIN_S
     while time.monotonic() < until and any(_waits(connection) for connection in connections):
--- a/benchmarks/hollow_edges.py
+++ b/benchmarks/hollow_edges.py
@@ -27,7 +27,7 @@
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import CONFIG_TOPIC
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection, LinkError, LinkPool, LinkServer
 
 LIFE_S = 185.0
@@ -101,10 +101,10 @@
 
     # --- messages
 
-    def _dialed(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
+    def _dialed(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
         self._take(DialedLink(connection.address), data)
 
-    def _accepted(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
+    def _accepted(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
         self._take(connection, data)
 
     def _dial_closed(self, error: LinkError) -> None:
@@ -142,9 +142,9 @@
         data = action.message.SerializeToString()
         self.seen.sent += len(data) + FRAME_BYTES
         if isinstance(action.connection, DialedLink):
-            self.pool.send(action.connection.address, Kind.DISTRIBUTION, data)
+            self.pool.send(action.connection.address, MessageKind.DISTRIBUTION, data)
         else:
-            action.connection.send(Kind.DISTRIBUTION, data)
+            action.connection.send(MessageKind.DISTRIBUTION, data)
 
     # --- what is put in force
 
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -48,7 +48,7 @@
 from rosechute.coordination.memory import load
 from rosechute.standin.fleet.operator import Operator
 from rosechute.standin.fleet.platform import Instance
-from rosechute.storage.files import DiskFolder
+from rosechute.storage.files import DiskDirectory
 from rosechute.storage.record_store import RecordStore
 
 LIMIT_S = 175.0
@@ -355,7 +355,7 @@
     def _chain(data: Path) -> tuple[int, int, int]:
         """Place in the chain by the records on a disk, or -1; length of the chain; bytes of the configuration."""
         try:
-            opened = RecordStore.open(DiskFolder(str(data)))
+            opened = RecordStore.open(DiskDirectory(str(data)))
             memory = load(opened.unwrap()[1])
         except Exception:  # it is being written
             return -1, 0, 0
--- a/rosechute/configuration/operator.py
+++ b/rosechute/configuration/operator.py
@@ -8,14 +8,14 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from rosechute.configuration.problem import ConfigurationProblem, place_and_reason
+from rosechute.configuration.errors import ConfigurationError, split_field_and_reason
 
 IDEMPOTENT = "idempotent"
 NON_IDEMPOTENT = "non_idempotent"
 STREAMING = "streaming"
 TOKEN_STREAM = "token_stream"
 """The unit of a quota that counts tokens and not requests."""
-HIGHEST_VERSION = 2**63 - 1
+MAX_CONFIGURATION_VERSION = 2**63 - 1
 """Versions beyond this cannot be carried between processes."""
 
 
@@ -136,7 +136,7 @@
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
     """A whole configuration. Fields that are not named here are ignored."""
 
-    config_version: Annotated[int, msgspec.Meta(ge=0, le=HIGHEST_VERSION)]
+    config_version: Annotated[int, msgspec.Meta(ge=0, le=MAX_CONFIGURATION_VERSION)]
     routes: tuple[Route, ...]
     services: tuple[Service, ...]
     limits: Limits = Limits()
@@ -146,15 +146,15 @@
 _DECODER = msgspec.json.Decoder(Configuration)
 
 
-def parse(body: bytes) -> Result[Configuration, ConfigurationProblem]:
+def parse_configuration(body: bytes) -> Result[Configuration, ConfigurationError]:
     """Read a configuration; invalid ones are told with the place of the first problem."""
     try:
         configuration = _DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        place, reason = place_and_reason(str(error))
-        return Failure(ConfigurationProblem("decode", place, reason))
+        place, reason = split_field_and_reason(str(error))
+        return Failure(ConfigurationError("decode", place, reason))
     for place, reason in _problems(configuration):
-        return Failure(ConfigurationProblem("check", place, reason))
+        return Failure(ConfigurationError("check", place, reason))
     return Success(configuration)
 
 
--- a/rosechute/configuration/process.py
+++ b/rosechute/configuration/process.py
@@ -9,19 +9,19 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from rosechute.configuration.problem import SettingsProblem, place_and_reason
+from rosechute.configuration.errors import SettingsError, split_field_and_reason
 
 SETTINGS_VARIABLE = "ROSECHUTE_NODE_FILE"
 """The environment variable with the path of the settings file."""
 SERVES_EDGE = "edge"
 """What a process serves that takes the requests of clients."""
-SERVES_CONTROL = "control_plane"
+SERVES_CONTROL_PLANE = "control_plane"
 """What a process serves that takes the orders of the operator."""
 
 
-NEEDED = {
+REQUIRED_FIELDS = {
     SERVES_EDGE: ("listen.front", "listen.readiness"),
-    SERVES_CONTROL: ("listen.control", "data_dir"),
+    SERVES_CONTROL_PLANE: ("listen.control", "data_dir"),
 }
 """Fields that a process needs for what it serves, beyond those that every process needs."""
 
@@ -144,46 +144,46 @@
         return tuple(self.peer_address(seed) for seed in self.seeds)
 
 
-def load(path: str | os.PathLike[str]) -> Result[ProcessSettings, SettingsProblem]:
+def load_settings(path: str | os.PathLike[str]) -> Result[ProcessSettings, SettingsError]:
     """Read the settings file."""
     name = os.fspath(path)
     try:
         body = Path(name).read_bytes()
     except OSError as error:
-        return Failure(SettingsProblem("read", "", error.strerror or str(error), name))
-    return decode(body, name)
+        return Failure(SettingsError("read", "", error.strerror or str(error), name))
+    return decode_settings(body, name)
 
 
-def load_from_environment() -> Result[ProcessSettings, SettingsProblem]:
+def load_settings_from_environment() -> Result[ProcessSettings, SettingsError]:
     """Read the settings file that the environment names."""
     name = os.environ.get(SETTINGS_VARIABLE)
     if not name:
-        return Failure(SettingsProblem("read", "", f"the variable {SETTINGS_VARIABLE} names no file"))
-    return load(name)
+        return Failure(SettingsError("read", "", f"the variable {SETTINGS_VARIABLE} names no file"))
+    return load_settings(name)
 
 
-def decode(body: bytes, source: str = "") -> Result[ProcessSettings, SettingsProblem]:
+def decode_settings(body: bytes, source: str = "") -> Result[ProcessSettings, SettingsError]:
     """Read settings from the bytes of the file; `source` is named in problems."""
     try:
         raw = msgspec.json.decode(body)
         settings = msgspec.convert(_without_null(raw), ProcessSettings, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        place, reason = place_and_reason(str(error))
-        return Failure(SettingsProblem("decode", place, reason, source))
+        place, reason = split_field_and_reason(str(error))
+        return Failure(SettingsError("decode", place, reason, source))
     wrong = _check(settings)
     if wrong is not None:
-        return Failure(SettingsProblem("check", wrong[0], wrong[1], source))
+        return Failure(SettingsError("check", wrong[0], wrong[1], source))
     return Success(settings)
 
 
-def problem_for(settings: ProcessSettings, side: str, source: str = "") -> SettingsProblem | None:
+def find_missing_setting(settings: ProcessSettings, side: str, source: str = "") -> SettingsError | None:
     """The first field that is missing for serving this side, `edge` or `control_plane`."""
-    for place in NEEDED.get(side, ()):
+    for place in REQUIRED_FIELDS.get(side, ()):
         value: Any = settings
         for name in place.split("."):
             value = getattr(value, name)
         if not value:
-            return SettingsProblem("check", place, f"is needed to serve {side}", source)
+            return SettingsError("check", place, f"is needed to serve {side}", source)
     return None
 
 
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -20,9 +20,9 @@
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection, LinkPool, LinkServer
-from rosechute.storage.files import DiskFolder
+from rosechute.storage.files import DiskDirectory
 from rosechute.storage.loading import load_records
 from rosechute.storage.record_store import RecordStore
 from rosechute.storage.writer import StoreWriter
@@ -104,7 +104,7 @@
         if self._runtime is None or self._writer is None:
             return None
         now = self._clock()
-        pending = self._writer.oldest_pending()
+        pending = self._writer.oldest_pending_since()
         waits_s = 0.0 if pending is None else now - pending
         return build_core_report(self._runtime.replica, now, waits_s, self._publisher.edges_total(now))
 
@@ -173,7 +173,7 @@
         self._writer = StoreWriter(store, loop.call_soon_threadsafe, self._clock)
         self._writer.start()
         replica = Replica(_replica_config(self._settings), saved, self._clock(), self._draw)
-        snapshot_first = not store.appendable
+        snapshot_first = not store.can_append
         self._runtime = ReplicaRuntime(replica, self._writer, self._send_core, self, self._clock, snapshot_first)
         self._runtime.start()
         logger.info("replica {} of {} records", replica.identity.id, len(saved))
@@ -184,7 +184,7 @@
         """Load the records in a thread; a disk that hangs doesn't hold up the loop."""
         path = self._settings.data_dir
         while True:
-            folder = DiskFolder(path)
+            folder = DiskDirectory(path)
             loaded = await load_records(folder)
             if not isinstance(loaded, Failure):
                 return loaded.unwrap()
@@ -241,8 +241,8 @@
 
     # Links
 
-    def _received(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
-        if kind == Kind.COORDINATION:
+    def _received(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
+        if kind == MessageKind.COORDINATION:
             if self._runtime is not None:
                 self._runtime.receive(CoreMessage.FromString(data))
             return
@@ -255,15 +255,15 @@
         self._publisher.connection_closed(self._clock(), connection)
 
     def _send_core(self, address: str, message: CoreMessage) -> None:
-        self._pool.send(address, Kind.COORDINATION, message.SerializeToString())
+        self._pool.send(address, MessageKind.COORDINATION, message.SerializeToString())
 
     def _send_all(self, sends: Sequence[SendMessage]) -> None:
         for send in sends:
             data = send.message.SerializeToString()
             if isinstance(send.connection, LinkConnection):
-                send.connection.send(Kind.DISTRIBUTION, data)
+                send.connection.send(MessageKind.DISTRIBUTION, data)
             elif isinstance(send.connection, DialedLink):
-                self._pool.send(send.connection.address, Kind.DISTRIBUTION, data)
+                self._pool.send(send.connection.address, MessageKind.DISTRIBUTION, data)
 
 
 def _unsure() -> asyncio.Future[Outcome]:
--- a/rosechute/control_plane/operator_api.py
+++ b/rosechute/control_plane/operator_api.py
@@ -13,7 +13,7 @@
 from loguru import logger
 from returns.result import Failure
 
-from rosechute.configuration.operator import parse
+from rosechute.configuration.operator import parse_configuration
 from rosechute.coordination.types import (
     Acknowledged,
     Configuration,
@@ -92,10 +92,10 @@
                 body = await request.read()
         except TimeoutError:
             return _unsure("the body did not come in time")
-        parsed = parse(body)
+        parsed = parse_configuration(body)
         if isinstance(parsed, Failure):
             problem = parsed.failure()
-            return _error(400, ApiError(problem.reason, problem.place))
+            return _error(400, ApiError(problem.reason, problem.field))
         version = parsed.unwrap().config_version
         left = ANSWER_WITHIN_S - (asyncio.get_running_loop().time() - began)
         submitted = self._configurations.propose_write(
--- a/rosechute/control_plane/quota_service.py
+++ b/rosechute/control_plane/quota_service.py
@@ -4,7 +4,7 @@
 
 from returns.result import Failure
 
-from rosechute.configuration.operator import Configuration, parse
+from rosechute.configuration.operator import Configuration, parse_configuration
 from rosechute.configuration.process import Bounds
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.routing.counts import Counts
@@ -26,7 +26,7 @@
 
     def configuration_committed(self, now: float, body: bytes) -> None:
         """A newer configuration is in force."""
-        parsed = parse(body)
+        parsed = parse_configuration(body)
         if not isinstance(parsed, Failure):
             self._issuer.configure(now, _limits(parsed.unwrap()))
 
--- a/rosechute/control_plane/replica_runtime.py
+++ b/rosechute/control_plane/replica_runtime.py
@@ -28,12 +28,12 @@
     Send,
 )
 from rosechute.messages.coordination_pb2 import CoreMessage
-from rosechute.storage.writer import Outcome as WriteOutcome
+from rosechute.storage.writer import WriteResult
 
 TICK_S = 0.04
 LOG_LIMIT_BYTES = 512 * 1024
 
-Done = Callable[[WriteOutcome], None]
+Done = Callable[[WriteResult], None]
 
 
 class Records(Protocol):
@@ -42,7 +42,7 @@
     @property
     def log_size(self) -> int: ...
     def append(self, records: Sequence[bytes], done: Done) -> None: ...
-    def replace(self, records: Sequence[bytes], done: Done) -> None: ...
+    def write_snapshot(self, records: Sequence[bytes], done: Done) -> None: ...
 
 
 class Observer(Protocol):
@@ -145,15 +145,15 @@
         if self._snapshot_first or long:
             self._snapshot_first = False
             self._compacting = True
-            self._records.replace(self.replica.snapshot(), partial(self._replaced, token))
+            self._records.write_snapshot(self.replica.snapshot(), partial(self._replaced, token))
         else:
             self._records.append(records, partial(self._written, token))
 
-    def _replaced(self, token: int, outcome: WriteOutcome) -> None:
+    def _replaced(self, token: int, outcome: WriteResult) -> None:
         self._compacting = False
         self._written(token, outcome)
 
-    def _written(self, token: int, outcome: WriteOutcome) -> None:
+    def _written(self, token: int, outcome: WriteResult) -> None:
         now = self._clock()
         self._tell(outcome)
         if isinstance(outcome, Failure):
@@ -162,7 +162,7 @@
         else:
             self._act(self.replica.persisted(now, token))
 
-    def _tell(self, outcome: WriteOutcome) -> None:
+    def _tell(self, outcome: WriteResult) -> None:
         """Log the first of several failures, and the end of them."""
         failing = isinstance(outcome, Failure)
         if failing and not self._failing:
--- a/rosechute/messages/link.py
+++ b/rosechute/messages/link.py
@@ -16,7 +16,7 @@
 
 from loguru import logger
 
-from rosechute.messages.framing import FrameError, FrameReader, Kind, encode_frame
+from rosechute.messages.framing import FrameError, FrameReader, MessageKind, encode_frame
 
 CONNECT_TIMEOUT_S = 0.5  # after which messages that wait are dropped and their owner is told
 ATTEMPT_LIMIT_S = 3.0  # an attempt goes on for so long, beside later ones
@@ -41,7 +41,7 @@
     reason: str
 
 
-OnMessage = Callable[["LinkConnection", Kind, bytes], None]
+OnMessage = Callable[["LinkConnection", MessageKind, bytes], None]
 
 
 class _PendingFrames:
@@ -89,7 +89,7 @@
         """Whether bytes may still be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
-    def send(self, kind: Kind, data: bytes) -> bool:
+    def send(self, kind: MessageKind, data: bytes) -> bool:
         """Send a message; False where the connection has closed or the message is over the bound."""
         transport = self._transport
         if transport is None or transport.is_closing():
@@ -338,7 +338,7 @@
         self._on_closed = on_closed
         self._links: dict[str, _Link] = {}
 
-    def send(self, address: str, kind: Kind, data: bytes) -> None:
+    def send(self, address: str, kind: MessageKind, data: bytes) -> None:
         """Send a message, or drop it where the address can't be reached."""
         try:
             frame = encode_frame(kind, data)
--- a/rosechute/processes/core.py
+++ b/rosechute/processes/core.py
@@ -16,11 +16,11 @@
 from returns.result import Failure
 
 from rosechute.configuration.process import (
-    SERVES_CONTROL,
+    SERVES_CONTROL_PLANE,
     SETTINGS_VARIABLE,
     ProcessSettings,
-    load_from_environment,
-    problem_for,
+    find_missing_setting,
+    load_settings_from_environment,
 )
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.processes import logs
@@ -66,14 +66,14 @@
 
 def main() -> int:
     """Run the program; the exit status."""
-    loaded = load_from_environment()
+    loaded = load_settings_from_environment()
     if isinstance(loaded, Failure):
-        logs.set_up()
+        logs.configure_logging()
         logger.critical("settings: {}", loaded.failure())
         return EXIT_UNUSABLE
     settings = loaded.unwrap()
-    logs.set_up(settings.log_level)
-    missing = problem_for(settings, SERVES_CONTROL, os.environ[SETTINGS_VARIABLE])
+    logs.configure_logging(settings.log_level)
+    missing = find_missing_setting(settings, SERVES_CONTROL_PLANE, os.environ[SETTINGS_VARIABLE])
     if missing is not None:
         logger.critical("settings: {}", missing)
         return EXIT_UNUSABLE
--- a/rosechute/processes/demo.py
+++ b/rosechute/processes/demo.py
@@ -90,7 +90,7 @@
 async def _leader(scene: Scene) -> str:
     """The core process that leads, as it tells itself; the first one where none does."""
     for member in scene.fleet.of("core"):
-        told = (await state.ask(member.state)).value_or({})
+        told = (await state.fetch_state(member.state)).value_or({})
         if told.get("core", {}).get("leader") is True:
             return member.name
     return scene.fleet.of("core")[0].name
--- a/rosechute/processes/edge.py
+++ b/rosechute/processes/edge.py
@@ -18,13 +18,13 @@
 from loguru import logger
 from returns.result import Failure
 
-from rosechute.configuration.operator import parse
+from rosechute.configuration.operator import parse_configuration
 from rosechute.configuration.process import (
     SERVES_EDGE,
     SETTINGS_VARIABLE,
     ProcessSettings,
-    load_from_environment,
-    problem_for,
+    find_missing_setting,
+    load_settings_from_environment,
     split_address,
 )
 from rosechute.data_plane.plane import DataPlane
@@ -125,7 +125,7 @@
 
     def _apply_configuration(self, change: ConfigurationChanged) -> None:
         """A configuration that can't be read is not in force, so nothing is confirmed from there on."""
-        parsed = parse(change.body)
+        parsed = parse_configuration(change.body)
         if isinstance(parsed, Failure):
             self._failed_sequence = change.sequence
             logger.error("configuration {}: {}", change.sequence, parsed.failure())
@@ -148,14 +148,14 @@
 
 def main() -> int:
     """Run the program; the exit status."""
-    logs.set_up()
-    loaded = load_from_environment()
+    logs.configure_logging()
+    loaded = load_settings_from_environment()
     if isinstance(loaded, Failure):
         logger.error("settings: {}", loaded.failure())
         return 2
     settings = loaded.unwrap()
-    logs.set_up(settings.log_level)
-    missing = problem_for(settings, SERVES_EDGE, os.environ[SETTINGS_VARIABLE])
+    logs.configure_logging(settings.log_level)
+    missing = find_missing_setting(settings, SERVES_EDGE, os.environ[SETTINGS_VARIABLE])
     if missing is not None:
         logger.error("settings: {}", missing)
         return 2
--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -13,7 +13,7 @@
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection, LinkError, LinkPool, LinkServer
 from rosechute.processes.quota_client import QuotaClient
 from rosechute.routing.counts import Counts
@@ -73,14 +73,14 @@
         if leader is not None:
             data = message.SerializeToString()
             self.counts.add(BYTES_SENT, message.WhichOneof("body") or "", len(data))
-            self._pool.send(leader, Kind.DISTRIBUTION, data)
+            self._pool.send(leader, MessageKind.DISTRIBUTION, data)
 
-    def _received(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
-        if kind is Kind.DISTRIBUTION:
+    def _received(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
+        if kind is MessageKind.DISTRIBUTION:
             self._handle(connection, data)
 
-    def _received_dialed(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
-        if kind is Kind.DISTRIBUTION:
+    def _received_dialed(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
+        if kind is MessageKind.DISTRIBUTION:
             self._handle(DialedLink(connection.address), data)
 
     def _handle(self, connection: Connection, data: bytes) -> None:
@@ -135,9 +135,9 @@
         self.counts.add(BYTES_SENT, action.message.WhichOneof("body") or "", len(data))
         connection = action.connection
         if isinstance(connection, DialedLink):
-            self._pool.send(connection.address, Kind.DISTRIBUTION, data)
+            self._pool.send(connection.address, MessageKind.DISTRIBUTION, data)
         elif isinstance(connection, LinkConnection):
-            connection.send(Kind.DISTRIBUTION, data)
+            connection.send(MessageKind.DISTRIBUTION, data)
 
     def _wake_at(self, when: float) -> None:
         if self._timer is not None:
--- a/rosechute/processes/logs.py
+++ b/rosechute/processes/logs.py
@@ -22,7 +22,7 @@
 LEVELS = ("TRACE", "DEBUG", "INFO", "SUCCESS", "WARNING", "ERROR", "CRITICAL")
 
 
-def set_up(configured: str = "", stream: TextIO | None = None) -> str:
+def configure_logging(configured: str = "", stream: TextIO | None = None) -> str:
     """Write events of a level and above to the stream, one line each; return the level.
 
     A level that does not exist counts as none, so that a mistake in it never keeps a process from its start.
@@ -44,7 +44,7 @@
     return level
 
 
-def line(record: Record) -> str:
+def format_line(record: Record) -> str:
     """One event in one line; an exception is told by its type, its text and the place where it was raised."""
     when = record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3]
     text = f"{when} {record['level'].name} {record['name']} {record['message']}"
@@ -58,5 +58,5 @@
 
 def _template(record: Record) -> str:
     """The format of a record for the logging library."""
-    record["extra"]["line"] = line(record)
+    record["extra"]["line"] = format_line(record)
     return "{extra[line]}\n"
--- a/rosechute/processes/main.py
+++ b/rosechute/processes/main.py
@@ -51,7 +51,7 @@
             body = Path(name).read_bytes()
         except OSError as error:
             _fail(f"{name}: read: {error.strerror}")
-        read = operator.parse(body)
+        read = operator.parse_configuration(body)
         if isinstance(read, Failure):
             _fail(f"{name}: {read.failure()}")
         found = read.unwrap()
@@ -66,12 +66,12 @@
         Args:
             file: The settings, as JSON.
         """
-        read = process.load(str(file))
+        read = process.load_settings(str(file))
         if isinstance(read, Failure):
             _fail(str(read.failure()))
         found = read.unwrap()
         for side in found.serves:
-            missing = process.problem_for(found, side, str(file))
+            missing = process.find_missing_setting(found, side, str(file))
             if missing is not None:
                 _fail(str(missing))
         print(f"{file}: usable; {found.node_name} in {found.zone} serves {', '.join(found.serves) or 'nothing'}")
@@ -82,7 +82,7 @@
         Args:
             address: Its control or readiness address, host:port.
         """
-        read = asyncio.run(state.ask(str(address)))
+        read = asyncio.run(state.fetch_state(str(address)))
         if isinstance(read, Failure):
             _fail(f"state: {read.failure()}")
         print(msgspec.json.format(msgspec.json.encode(read.unwrap())).decode())
--- a/rosechute/processes/settings_watch.py
+++ b/rosechute/processes/settings_watch.py
@@ -10,7 +10,7 @@
 from loguru import logger
 from returns.result import Failure
 
-from rosechute.configuration.process import ProcessSettings, load
+from rosechute.configuration.process import ProcessSettings, load_settings
 
 POLL_INTERVAL_S = 1.0
 
@@ -36,8 +36,8 @@
 
     def reload(self) -> None:
         """Read the file now; one that can't be used changes nothing."""
-        self._read = version_of(self._path)
-        loaded = load(self._path)
+        self._read = file_version(self._path)
+        loaded = load_settings(self._path)
         if isinstance(loaded, Failure):
             logger.warning("settings: {}", loaded.failure())
         elif loaded.unwrap() != self.settings:
@@ -47,7 +47,7 @@
 
     def reload_if_changed(self) -> None:
         """Read the file where it has changed since it was read last."""
-        if version_of(self._path) != self._read:
+        if file_version(self._path) != self._read:
             self.reload()
 
     async def run(self) -> None:
@@ -57,7 +57,7 @@
             self.reload_if_changed()
 
 
-def version_of(path: str) -> FileVersion:
+def file_version(path: str) -> FileVersion:
     """The version of a file, without reading it."""
     try:
         told = os.stat(path)
--- a/rosechute/processes/state.py
+++ b/rosechute/processes/state.py
@@ -17,7 +17,7 @@
 from rosechute.configuration.process import ProcessSettings
 
 STATE_PATH = "/state"
-ASK_WITHIN_S = 3.0
+FETCH_TIMEOUT_S = 3.0
 JSON = "application/json"
 
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StateProblem:
+class StateError:
     """Why a process did not tell its state."""
 
     step: str
@@ -71,21 +71,21 @@
         return f"{self.peer}: {self.step}: {self.reason}"
 
 
-async def ask(address: str) -> Result[dict[str, Any], StateProblem]:
+async def fetch_state(address: str) -> Result[dict[str, Any], StateError]:
     """The state of the process at a control or readiness address."""
     try:
         async with (
-            aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=ASK_WITHIN_S)) as session,
+            aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=FETCH_TIMEOUT_S)) as session,
             session.get(f"http://{address}{STATE_PATH}") as answer,
         ):
             body = await answer.read()
     except aiohttp.ClientConnectorError as error:
-        return Failure(StateProblem("connect", address, os.strerror(error.os_error.errno or 0)))
+        return Failure(StateError("connect", address, os.strerror(error.os_error.errno or 0)))
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-        return Failure(StateProblem("answer", address, str(error) or f"nothing within {ASK_WITHIN_S:g} s"))
+        return Failure(StateError("answer", address, str(error) or f"nothing within {FETCH_TIMEOUT_S:g} s"))
     if answer.status != 200:
-        return Failure(StateProblem("answer", address, f"status {answer.status}"))
+        return Failure(StateError("answer", address, f"status {answer.status}"))
     try:
         return Success(msgspec.json.decode(body, type=dict[str, Any]))
     except msgspec.DecodeError as error:
-        return Failure(StateProblem("decode", address, str(error)))
+        return Failure(StateError("decode", address, str(error)))
--- a/rosechute/storage/problems.py
+++ b/rosechute/storage/errors.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class StorageProblem(msgspec.Struct, frozen=True):
+class StorageError(msgspec.Struct, frozen=True):
     """A step on the disk that failed: what was tried, on which file, and the cause."""
 
     step: str
--- a/rosechute/storage/files.py
+++ b/rosechute/storage/files.py
@@ -19,11 +19,11 @@
     def sync(self, name: str) -> None:
         """Make what was written to the file durable."""
 
-    def sync_names(self) -> None:
+    def sync_entries(self) -> None:
         """Make the names of the files durable."""
 
 
-class DiskFolder:
+class DiskDirectory:
     """A folder on a real disk. Descriptors stay open, one for each file."""
 
     def __init__(self, path: str) -> None:
@@ -51,7 +51,7 @@
     def sync(self, name: str) -> None:
         os.fdatasync(self._descriptor(name))
 
-    def sync_names(self) -> None:
+    def sync_entries(self) -> None:
         descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/rosechute/storage/loading.py
+++ b/rosechute/storage/loading.py
@@ -5,11 +5,11 @@
 
 from returns.result import Result
 
+from .errors import StorageError
 from .files import Folder
-from .problems import StorageProblem
 from .record_store import RecordStore
 
-Loaded = Result[tuple[RecordStore, list[bytes]], StorageProblem]
+Loaded = Result[tuple[RecordStore, list[bytes]], StorageError]
 
 
 async def load_records(folder: Folder) -> Loaded:
--- a/rosechute/storage/record_store.py
+++ b/rosechute/storage/record_store.py
@@ -11,9 +11,9 @@
 
 from returns.result import Failure, Result, Success
 
+from .errors import StorageError
 from .files import Folder
 from .layout import Log, Slot, decode_log, decode_slot, encode_entries, encode_slot
-from .problems import StorageProblem
 
 SLOT_NAMES = ("records-a.slot", "records-b.slot")
 LOG_NAMES = ("records-a.log", "records-b.log")
@@ -32,7 +32,7 @@
         self._names_durable = False
 
     @classmethod
-    def open(cls, folder: Folder) -> Result[tuple["RecordStore", list[bytes]], StorageProblem]:
+    def open(cls, folder: Folder) -> Result[tuple["RecordStore", list[bytes]], StorageError]:
         """Load what counts and make it durable: it may be read here and yet never have been synced."""
         try:
             store = cls(folder)
@@ -47,21 +47,21 @@
         return self._log_size
 
     @property
-    def appendable(self) -> bool:
-        """Whether `append` may be used; otherwise `replace` has to come first."""
+    def can_append(self) -> bool:
+        """Whether `append` may be used; otherwise `write_snapshot` has to come first."""
         return self._appendable
 
-    def append(self, batches: Sequence[Sequence[bytes]]) -> Result[None, StorageProblem]:
+    def append(self, batches: Sequence[Sequence[bytes]]) -> Result[None, StorageError]:
         """Add batches of records under one sync. Each batch survives whole or not at all."""
         name = LOG_NAMES[self._slot]
         if not self._appendable:
-            return Failure(StorageProblem("append to", name, "a snapshot has to be written first"))
+            return Failure(StorageError("append to", name, "a snapshot has to be written first"))
         data, checksum = encode_entries(batches, self._checksum)
         self._appendable = False
         try:
             self._folder.write(name, self._log_size, data)
             self._folder.sync(name)
-            self._sync_names()
+            self._sync_entries()
         except OSError as problem:
             return Failure(_problem("append to", name, problem))
         self._log_size += len(data)
@@ -69,7 +69,7 @@
         self._appendable = True
         return Success(None)
 
-    def replace(self, records: Sequence[bytes]) -> Result[None, StorageProblem]:
+    def write_snapshot(self, records: Sequence[bytes]) -> Result[None, StorageError]:
         """Put `records` in place of everything: a whole snapshot in the other slot, and a new log."""
         target = 1 - self._slot
         self._generation += 1  # also after a failure: no two different slots ever carry the same generation
@@ -80,13 +80,13 @@
             self._folder.write(SLOT_NAMES[target], 0, data)
             self._folder.truncate(SLOT_NAMES[target], len(data))
             self._folder.sync(SLOT_NAMES[target])
-            self._sync_names()
+            self._sync_entries()
         except OSError as problem:
             return Failure(_problem("write", SLOT_NAMES[target], problem))
         self._slot, self._checksum = target, checksum
         return self._begin_log()
 
-    def _begin_log(self) -> Result[None, StorageProblem]:
+    def _begin_log(self) -> Result[None, StorageError]:
         """Empty the log of the slot that now counts. What lies in it belongs to an older slot and doesn't count."""
         name = LOG_NAMES[self._slot]
         self._log_size = 0
@@ -118,13 +118,13 @@
         self._folder.sync(SLOT_NAMES[index])
         if log.size:
             self._folder.sync(LOG_NAMES[index])
-        self._sync_names()
+        self._sync_entries()
 
-    def _sync_names(self) -> None:
+    def _sync_entries(self) -> None:
         if not self._names_durable:
-            self._folder.sync_names()
+            self._folder.sync_entries()
             self._names_durable = True
 
 
-def _problem(step: str, name: str, problem: OSError) -> StorageProblem:
-    return StorageProblem(step, name or str(problem.filename or ""), problem.strerror or str(problem))
+def _problem(step: str, name: str, problem: OSError) -> StorageError:
+    return StorageError(step, name or str(problem.filename or ""), problem.strerror or str(problem))
--- a/rosechute/storage/writer.py
+++ b/rosechute/storage/writer.py
@@ -1,7 +1,7 @@
 """A thread that writes records, so that no write is on the event loop. Jobs are done in the order they were given.
 
 What waits together is written under one sync. Completions are handed back through `post`, for a loop its
-`call_soon_threadsafe`. A write that hangs simply doesn't complete; `oldest_pending` tells since when.
+`call_soon_threadsafe`. A write that hangs simply doesn't complete; `oldest_pending_since` tells since when.
 """
 
 import threading
@@ -12,17 +12,17 @@
 import msgspec
 from returns.result import Result
 
-from .problems import StorageProblem
+from .errors import StorageError
 from .record_store import RecordStore
 
-Outcome = Result[None, StorageProblem]
-Done = Callable[[Outcome], None]
+WriteResult = Result[None, StorageError]
+OnWritten = Callable[[WriteResult], None]
 
 
 class _Job(msgspec.Struct, frozen=True):
     records: Sequence[bytes]
     whole: bool
-    done: Done
+    done: OnWritten
     since: float
 
 
@@ -50,15 +50,15 @@
         """Bytes in the log since the last snapshot."""
         return self._store.log_size
 
-    def append(self, records: Sequence[bytes], done: Done) -> None:
+    def append(self, records: Sequence[bytes], done: OnWritten) -> None:
         """Add records; they survive whole or not at all. Fails until a snapshot where one is needed first."""
         self._give(_Job(records, False, done, self._clock()))
 
-    def replace(self, records: Sequence[bytes], done: Done) -> None:
+    def write_snapshot(self, records: Sequence[bytes], done: OnWritten) -> None:
         """Put a whole snapshot in place of everything."""
         self._give(_Job(records, True, done, self._clock()))
 
-    def oldest_pending(self) -> float | None:
+    def oldest_pending_since(self) -> float | None:
         """When the oldest job that isn't done was given, by the clock; None where all are done."""
         return self._pending[0].since if self._pending else None
 
@@ -85,12 +85,12 @@
             job = self._queue.get()
         return jobs, True
 
-    def _write(self, group: list[_Job]) -> Outcome:
+    def _write(self, group: list[_Job]) -> WriteResult:
         if group[0].whole:
-            return self._store.replace(group[0].records)
+            return self._store.write_snapshot(group[0].records)
         return self._store.append([job.records for job in group])
 
-    def _finish(self, group: list[_Job], outcome: Outcome) -> None:
+    def _finish(self, group: list[_Job], outcome: WriteResult) -> None:
         for _ in group:
             self._pending.popleft()
         for job in group:
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -24,7 +24,7 @@
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import Position
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.processes.quota_client import QuotaClient
 
 from .distribution_timeline import Call, Clock, Timeline
@@ -211,7 +211,7 @@
 
     def receive(self, connection: Any, data: bytes) -> None:
         """A message of an edge."""
-        self._received(connection, Kind.DISTRIBUTION, data)
+        self._received(connection, MessageKind.DISTRIBUTION, data)
 
     def closed(self, connection: Any) -> None:
         """A link of an edge ended."""
--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -14,7 +14,7 @@
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.record_store import RecordStore
 
-from .simulated_disk import SimulatedFolder
+from .simulated_disk import SimulatedDirectory
 
 STEP_S = 0.01
 LINK_S = 0.0014
@@ -39,7 +39,7 @@
     def append(self, records: Sequence[bytes], done: Done) -> None:
         self._waiting.append((False, records, done))
 
-    def replace(self, records: Sequence[bytes], done: Done) -> None:
+    def write_snapshot(self, records: Sequence[bytes], done: Done) -> None:
         self._waiting.append((True, records, done))
 
     def advance(self, now: float) -> None:
@@ -56,7 +56,7 @@
     def _write(self, group: list[tuple[bool, Sequence[bytes], Done]]) -> Any:
         self._machine.folder.refused = range(NEVER) if self._machine.disk_full else range(0)
         if group[0][0]:
-            return self._store.replace(group[0][1])
+            return self._store.write_snapshot(group[0][1])
         return self._store.append([records for _, records, _ in group])
 
 
@@ -67,7 +67,7 @@
         self.cluster = cluster
         self.control = f"10.0.0.{number}:8367"
         self.peer = f"10.0.0.{number}:7500"
-        self.folder = SimulatedFolder()
+        self.folder = SimulatedDirectory()
         self.disk_full = False
         self.disk_hangs = False
         self.sync_s = SYNC_S
@@ -85,7 +85,7 @@
         replica = Replica(config, saved, self.cluster.now, self.cluster.draw.random)
         self.committed_sequences = []
         self.runtime = ReplicaRuntime(
-            replica, self.records, self.send, self, lambda: self.cluster.now, not store.appendable
+            replica, self.records, self.send, self, lambda: self.cluster.now, not store.can_append
         )
         self.runtime.start()
 
@@ -96,7 +96,7 @@
 
     def wipe(self) -> None:
         self.kill()
-        self.folder = SimulatedFolder()
+        self.folder = SimulatedDirectory()
 
     def send(self, address: str, message: CoreMessage) -> None:
         data = message.SerializeToString()
--- a/tests/fleet/simulated_disk.py
+++ b/tests/fleet/simulated_disk.py
@@ -24,7 +24,7 @@
         return data
 
 
-class SimulatedFolder:
+class SimulatedDirectory:
     """A folder whose power fails, or whose writes are refused, at operations counted from 0."""
 
     def __init__(self) -> None:
@@ -65,14 +65,14 @@
             file = self.files[name]
             file.durable, file.pending = file.current(), []  # the name of a new file needs a sync of its own
 
-    def sync_names(self) -> None:
+    def sync_entries(self) -> None:
         self._step()
         for file in self.files.values():
             file.name_durable = True
 
-    def after_power_loss(self, draw: random.Random) -> "SimulatedFolder":
+    def after_power_loss(self, draw: random.Random) -> "SimulatedDirectory":
         """What the disk holds afterwards: each unsynced change present, missing or torn; unsynced names at random."""
-        after = SimulatedFolder()
+        after = SimulatedDirectory()
         none_remain = draw.random() < 0.2
         for name, file in self.files.items():
             if not file.name_durable and draw.random() < 0.5:
@@ -84,9 +84,9 @@
             after.files[name] = _File(data, True)
         return after
 
-    def after_kill(self) -> "SimulatedFolder":
+    def after_kill(self) -> "SimulatedDirectory":
         """What the next process of the same machine finds: everything written, synced or not."""
-        after = SimulatedFolder()
+        after = SimulatedDirectory()
         for name, file in self.files.items():
             after.files[name] = _File(file.durable, file.name_durable, list(file.pending))
         return after
--- a/tests/fleet/simulation/machine.py
+++ b/tests/fleet/simulation/machine.py
@@ -19,8 +19,7 @@
     ReplicaConfig,
 )
 from rosechute.messages.coordination_pb2 import CoreMessage
-from rosechute.storage.writer import Done
-from rosechute.storage.writer import Outcome as WriteOutcome
+from rosechute.storage.writer import OnWritten, WriteResult
 from tests.fleet.simulation.storage import SimulatedStorage
 
 if TYPE_CHECKING:
@@ -57,7 +56,7 @@
     def _answer(self, request: int, outcome: Outcome) -> None:
         self._machine.world.on_answer(self._machine, request, outcome)
 
-    def _tell(self, outcome: WriteOutcome) -> None:
+    def _tell(self, outcome: WriteResult) -> None:
         """No log."""
 
 
@@ -122,7 +121,7 @@
             self.name, self.zone, self.control, self.peer, bootstrap, tuple(self.world.seeds()), self.world.timing
         )
         replica = self.world.make_replica(config, saved, self.now(), self.draws.random)
-        self.runtime = SimulatedRuntime(self, replica, not store.appendable)
+        self.runtime = SimulatedRuntime(self, replica, not store.can_append)
         self.disk.memory = replica._context.memory
         self.world.on_boot(self)
         self.run(lambda replica: replica.start(self.now()))
@@ -207,7 +206,7 @@
             self.run(lambda replica: replica.tick(self.now()))
         self.world.after(self.world.random.uniform(0.8, 1.0) * TICK_S, self._tick, boot)
 
-    def _written(self, boot: int, done: Done, outcome: WriteOutcome) -> None:
+    def _written(self, boot: int, done: OnWritten, outcome: WriteResult) -> None:
         if boot == self.boots:
             self._run(lambda: done(outcome))
 
--- a/tests/fleet/simulation/storage.py
+++ b/tests/fleet/simulation/storage.py
@@ -17,8 +17,8 @@
 from rosechute.coordination.memory import Memory
 from rosechute.coordination.views import Ballot
 from rosechute.storage.record_store import RecordStore
-from rosechute.storage.writer import Done, Outcome
-from tests.fleet.simulated_disk import PowerLoss, SimulatedFolder
+from rosechute.storage.writer import OnWritten, WriteResult
+from tests.fleet.simulated_disk import PowerLoss, SimulatedDirectory
 
 if TYPE_CHECKING:
     from tests.fleet.simulation.world import World
@@ -48,7 +48,7 @@
 
     whole: bool
     records: Sequence[bytes]
-    done: Done
+    done: OnWritten
     boot: int
     mark: Mark | None
 
@@ -56,7 +56,7 @@
 class SimulatedStorage:
     """The records of one machine; `rosechute.control_plane.replica_runtime.Records` for its processes."""
 
-    def __init__(self, world: World, tell: Callable[[int, Done, Outcome], None]) -> None:
+    def __init__(self, world: World, tell: Callable[[int, OnWritten, WriteResult], None]) -> None:
         self._world = world
         self._tell = tell  # the process of this boot that its write has ended
         self._draws = Random(world.random.random())
@@ -64,7 +64,7 @@
         self._waiting: list[Job] = []
         self._under_way: list[Job] = []
         self._generation = 0  # of the writer: raised when the process ends or the disk wakes
-        self.folder = SimulatedFolder()
+        self.folder = SimulatedDirectory()
         self.boot = 0
         self.sync_s = SYNC_S
         self.hung = False
@@ -107,11 +107,11 @@
             return LOG_LIMIT_BYTES + 1
         return self._store.log_size
 
-    def append(self, records: Sequence[bytes], done: Done) -> None:
+    def append(self, records: Sequence[bytes], done: OnWritten) -> None:
         """Add records."""
         self._give(Job(False, records, done, self.boot, self._mark()))
 
-    def replace(self, records: Sequence[bytes], done: Done) -> None:
+    def write_snapshot(self, records: Sequence[bytes], done: OnWritten) -> None:
         """Put a snapshot in place of everything."""
         self._give(Job(True, records, done, self.boot, self._mark()))
 
@@ -138,7 +138,7 @@
 
     def wipe(self) -> None:
         """The disk is lost."""
-        self._end(SimulatedFolder())
+        self._end(SimulatedDirectory())
         self.synced = None
 
     # The writer
@@ -146,7 +146,7 @@
     def _mark(self) -> Mark | None:
         return mark_of(self.memory) if self.memory is not None else None
 
-    def _ended(self, job: Job, outcome: Outcome) -> None:
+    def _ended(self, job: Job, outcome: WriteResult) -> None:
         if isinstance(outcome, Success) and job.mark is not None:
             self.synced = job.mark
         self._tell(job.boot, job.done, outcome)
@@ -186,11 +186,11 @@
         if generation == self._generation and not self._under_way:
             self._begin()
 
-    def _write(self, group: list[Job]) -> Outcome:
+    def _write(self, group: list[Job]) -> WriteResult:
         assert self._store is not None
         if group[0].whole:
             self.snapshots += 1
-            return self._store.replace(group[0].records)
+            return self._store.write_snapshot(group[0].records)
         return self._store.append([job.records for job in group])
 
     def _go_on(self) -> None:
@@ -206,7 +206,7 @@
             except PowerLoss:
                 return
 
-    def _end(self, after: SimulatedFolder) -> None:
+    def _end(self, after: SimulatedDirectory) -> None:
         """The next process finds this folder."""
         after.full = self.folder.full
         self.folder = after
--- a/tests/fleet/test_configuration_operator.py
+++ b/tests/fleet/test_configuration_operator.py
@@ -9,8 +9,8 @@
 
 from returns.result import Failure, Success
 
-from rosechute.configuration.operator import Configuration, parse
-from rosechute.configuration.problem import ConfigurationProblem
+from rosechute.configuration.errors import ConfigurationError
+from rosechute.configuration.operator import Configuration, parse_configuration
 from tests.fleet.configuration_samples import configuration, encode
 
 Change = Callable[[dict[str, Any]], Any]
@@ -18,15 +18,15 @@
 
 def parsed(value: Any) -> Configuration:
     """The configuration, which must be valid."""
-    result = parse(encode(value))
+    result = parse_configuration(encode(value))
     if not isinstance(result, Success):
         raise AssertionError(f"refused: {result}")
     return result.unwrap()
 
 
-def problem(body: bytes) -> ConfigurationProblem:
+def problem(body: bytes) -> ConfigurationError:
     """What is wrong with the configuration, which must be invalid."""
-    result = parse(body)
+    result = parse_configuration(body)
     if not isinstance(result, Failure):
         raise AssertionError(f"taken: {result}")
     return result.failure()
@@ -114,7 +114,7 @@
 
     def assert_refused(self, place: str, change: Change) -> None:
         found = problem(changed(change))
-        self.assertEqual(found.place, place, str(found))
+        self.assertEqual(found.field, place, str(found))
         self.assertTrue(found.reason)
 
     def test_cut_short_at_every_byte(self) -> None:
--- a/tests/fleet/test_configuration_process.py
+++ b/tests/fleet/test_configuration_process.py
@@ -11,21 +11,21 @@
 from returns.result import Failure, Success
 
 from rosechute.configuration import process
-from rosechute.configuration.problem import SettingsProblem
+from rosechute.configuration.errors import SettingsError
 from tests.fleet.configuration_samples import encode, settings
 
 
 def read(value: Any) -> process.ProcessSettings:
     """The settings, which must be usable."""
-    result = process.decode(encode(value), "node.json")
+    result = process.decode_settings(encode(value), "node.json")
     if not isinstance(result, Success):
         raise AssertionError(f"refused: {result}")
     return result.unwrap()
 
 
-def problem(value: Any) -> SettingsProblem:
+def problem(value: Any) -> SettingsError:
     """What is wrong with the settings, which must not be usable."""
-    result = process.decode(encode(value), "node.json")
+    result = process.decode_settings(encode(value), "node.json")
     if not isinstance(result, Failure):
         raise AssertionError(f"taken: {result}")
     return result.failure()
@@ -80,7 +80,7 @@
         ):
             with self.subTest(place):
                 found = problem(settings() | change)
-                self.assertEqual((found.place, found.peer), (place, "node.json"), str(found))
+                self.assertEqual((found.field, found.source), (place, "node.json"), str(found))
 
     def test_a_field_that_must_be_there(self) -> None:
         value = settings()
@@ -89,16 +89,16 @@
 
     def test_what_a_side_needs(self) -> None:
         found = read(settings())
-        self.assertIsNone(process.problem_for(found, process.SERVES_EDGE))
-        missing = process.problem_for(found, process.SERVES_CONTROL, "node.json")
+        self.assertIsNone(process.find_missing_setting(found, process.SERVES_EDGE))
+        missing = process.find_missing_setting(found, process.SERVES_CONTROL_PLANE, "node.json")
         self.assertEqual(str(missing), "node.json: check: listen.control: is needed to serve control_plane")
         without = read(settings() | {"listen": {"control": "127.0.3.1:1"}, "data_dir": "/data"})
-        self.assertIsNone(process.problem_for(without, process.SERVES_CONTROL))
-        wrong = process.problem_for(without, process.SERVES_EDGE)
-        self.assertEqual(wrong and wrong.place, "listen.front")
+        self.assertIsNone(process.find_missing_setting(without, process.SERVES_CONTROL_PLANE))
+        wrong = process.find_missing_setting(without, process.SERVES_EDGE)
+        self.assertEqual(wrong and wrong.field, "listen.front")
 
     def test_not_json(self) -> None:
-        result = process.decode(b'{"ip": ', "node.json")
+        result = process.decode_settings(b'{"ip": ', "node.json")
         self.assertEqual(result.failure().step, "decode")
 
 
@@ -109,16 +109,16 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "node.json")
             path.write_bytes(encode(settings()))
-            self.assertEqual(process.load(path).unwrap(), read(settings()))
+            self.assertEqual(process.load_settings(path).unwrap(), read(settings()))
             with mock.patch.dict("os.environ", {process.SETTINGS_VARIABLE: str(path)}):
-                self.assertEqual(process.load_from_environment().unwrap(), read(settings()))
+                self.assertEqual(process.load_settings_from_environment().unwrap(), read(settings()))
 
     def test_no_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            found = process.load(Path(folder, "none.json")).failure()
-        self.assertEqual((found.step, found.place), ("read", ""))
+            found = process.load_settings(Path(folder, "none.json")).failure()
+        self.assertEqual((found.step, found.field), ("read", ""))
         self.assertIn("none.json", str(found))
 
     def test_no_variable(self) -> None:
         with mock.patch.dict("os.environ", clear=True):
-            self.assertIn(process.SETTINGS_VARIABLE, process.load_from_environment().failure().reason)
+            self.assertIn(process.SETTINGS_VARIABLE, process.load_settings_from_environment().failure().reason)
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -13,7 +13,7 @@
 from rosechute.coordination.types import CommittedConfiguration, Identity, Unsure
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection
 
 OWN = Identity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
@@ -75,7 +75,7 @@
         super().__init__("10.0.0.9:4000", lambda *_: None, lambda *_: None)
         self.sent: list[pb.Distribution] = []
 
-    def send(self, kind: Kind, data: bytes) -> bool:
+    def send(self, kind: MessageKind, data: bytes) -> bool:
         self.sent.append(pb.Distribution.FromString(data))
         return True
 
@@ -93,7 +93,7 @@
 
     def tell(self, **message: Any) -> None:
         data = pb.Distribution(**message).SerializeToString()
-        self.machine._received(self.connection, Kind.DISTRIBUTION, data)
+        self.machine._received(self.connection, MessageKind.DISTRIBUTION, data)
 
     def told(self, kind: str) -> list[Any]:
         return [getattr(each, kind) for each in self.connection.sent if each.WhichOneof("body") == kind]
--- a/tests/fleet/test_control_worst_days.py
+++ b/tests/fleet/test_control_worst_days.py
@@ -18,8 +18,8 @@
 from rosechute.coordination.types import Identity
 from rosechute.coordination.views import TAKEN_BYTES, TAKEN_ORDERS, Ballot, Proposal, State, View
 from rosechute.messages import coordination_pb2 as pb
-from rosechute.messages.framing import Kind, encode_frame
-from rosechute.storage.files import DiskFolder
+from rosechute.messages.framing import MessageKind, encode_frame
+from rosechute.storage.files import DiskDirectory
 from rosechute.storage.record_store import RecordStore
 
 MOST_ACCEPTORS = 10
@@ -55,7 +55,7 @@
             pb.CoreMessage(decided=pb.Decided(view=view.message(), state=state.message())),
         ):
             with self.subTest(message.WhichOneof("body")):
-                self.assertGreater(len(encode_frame(Kind.COORDINATION, message.SerializeToString())), 0)
+                self.assertGreater(len(encode_frame(MessageKind.COORDINATION, message.SerializeToString())), 0)
 
 
 class Loading(IsolatedAsyncioTestCase):
@@ -65,8 +65,8 @@
 
     async def test_a_disk_that_refuses_at_the_start_costs_no_descriptors(self) -> None:
         with tempfile.TemporaryDirectory() as path:
-            store, _ = RecordStore.open(DiskFolder(path)).unwrap()
-            store.replace([b"record"]).unwrap()
+            store, _ = RecordStore.open(DiskDirectory(path)).unwrap()
+            store.write_snapshot([b"record"]).unwrap()
             machine: Any = CoreMachine(settings(path))
             tries = 0
             before = len(os.listdir("/proc/self/fd"))
--- a/tests/fleet/test_coordination_planted_worlds.py
+++ b/tests/fleet/test_coordination_planted_worlds.py
@@ -11,7 +11,7 @@
 from rosechute.coordination import Stale, chain, confirm, membership, planning
 from rosechute.coordination.detector import Detector
 from rosechute.storage.record_store import RecordStore
-from tests.fleet.simulated_disk import SimulatedFolder
+from tests.fleet.simulated_disk import SimulatedDirectory
 from tests.fleet.simulation.checkers import Violation
 from tests.fleet.simulation.cluster import Cluster
 from tests.fleet.simulation.play import play
@@ -141,21 +141,21 @@
     # Disks
 
     def test_syncs_do_nothing(self) -> None:
-        self.plant(SimulatedFolder, "sync", lambda self, name: None)
+        self.plant(SimulatedDirectory, "sync", lambda self, name: None)
         self.objects({"disk"}, Kind.DISKS)
 
     def test_snapshot_is_not_synced(self) -> None:
-        right = SimulatedFolder.sync
+        right = SimulatedDirectory.sync
 
-        def sync(self: SimulatedFolder, name: str) -> None:
+        def sync(self: SimulatedDirectory, name: str) -> None:
             if not name.endswith(".slot"):
                 right(self, name)
 
-        self.plant(SimulatedFolder, "sync", sync)
+        self.plant(SimulatedDirectory, "sync", sync)
         self.objects({"disk"}, Kind.DISKS)
 
     def test_log_goes_on_behind_a_write_that_failed(self) -> None:
-        self.plant(RecordStore, "appendable", property(lambda self: True))
+        self.plant(RecordStore, "can_append", property(lambda self: True))
         right = RecordStore.append
 
         def append(self: RecordStore, batches: Any) -> Any:
@@ -166,13 +166,13 @@
         self.objects({"disk"}, Kind.DISKS)
 
     def test_snapshot_over_the_slot_that_counts(self) -> None:
-        right = RecordStore.replace
+        right = RecordStore.write_snapshot
 
-        def replace(self: RecordStore, records: Any) -> Any:
+        def write_snapshot(self: RecordStore, records: Any) -> Any:
             self._slot = 1 - self._slot
             return right(self, records)
 
-        self.plant(RecordStore, "replace", replace)
+        self.plant(RecordStore, "write_snapshot", write_snapshot)
         self.objects({"disk"}, Kind.DISKS)
 
 
--- a/tests/fleet/test_coordination_worst_days.py
+++ b/tests/fleet/test_coordination_worst_days.py
@@ -151,7 +151,7 @@
             for machine in cluster.machines:  # restored from a whole record alone
                 machine.kill()
                 store, records = RecordStore.open(machine.disk.folder).unwrap()
-                store.replace([load(records).whole().SerializeToString()]).unwrap()
+                store.write_snapshot([load(records).whole().SerializeToString()]).unwrap()
                 machine.start()
             self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
             cluster.run(1.0)
--- a/tests/fleet/test_distribution_link.py
+++ b/tests/fleet/test_distribution_link.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from rosechute.messages import framing, link
-from rosechute.messages.framing import FrameError, FrameReader, Kind, encode_frame
+from rosechute.messages.framing import FrameError, FrameReader, MessageKind, encode_frame
 from rosechute.messages.link import LinkConnection, LinkError, LinkPool, LinkServer
 
 
@@ -20,8 +20,8 @@
 
 class FrameTest(unittest.TestCase):
     def test_frames_come_whole_whatever_the_pieces(self) -> None:
-        stream = encode_frame(Kind.COORDINATION, b"first") + encode_frame(Kind.DISTRIBUTION, b"")
-        stream += encode_frame(Kind.DISTRIBUTION, b"x" * 70000)
+        stream = encode_frame(MessageKind.COORDINATION, b"first") + encode_frame(MessageKind.DISTRIBUTION, b"")
+        stream += encode_frame(MessageKind.DISTRIBUTION, b"x" * 70000)
         for size in (1, 3, 4096, len(stream)):
             reader = FrameReader()
             frames = []
@@ -29,15 +29,19 @@
                 frames += reader.feed(stream[start : start + size])
             self.assertEqual(
                 frames,
-                [(Kind.COORDINATION, b"first"), (Kind.DISTRIBUTION, b""), (Kind.DISTRIBUTION, b"x" * 70000)],
+                [
+                    (MessageKind.COORDINATION, b"first"),
+                    (MessageKind.DISTRIBUTION, b""),
+                    (MessageKind.DISTRIBUTION, b"x" * 70000),
+                ],
             )
 
     def test_a_length_over_the_bound_breaks_the_stream(self) -> None:
-        over = (framing.LENGTH_LIMIT_BYTES + 1).to_bytes(4, "big") + b"\x01"
+        over = (framing.MESSAGE_LIMIT_BYTES + 1).to_bytes(4, "big") + b"\x01"
         with self.assertRaises(FrameError):
             FrameReader().feed(over)
         with self.assertRaises(FrameError):
-            encode_frame(Kind.COORDINATION, bytes(framing.LENGTH_LIMIT_BYTES + 1))
+            encode_frame(MessageKind.COORDINATION, bytes(framing.MESSAGE_LIMIT_BYTES + 1))
 
     def test_an_unknown_kind_breaks_the_stream(self) -> None:
         with self.assertRaises(FrameError):
@@ -46,19 +50,19 @@
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
     async def test_an_answer_comes_back_on_the_same_connection(self) -> None:
-        def answer(connection: LinkConnection, kind: Kind, data: bytes) -> None:
+        def answer(connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
             connection.send(kind, data.upper())
 
         address = free_address()
         server = LinkServer(address, answer)
         await server.start()
-        came: asyncio.Queue[tuple[Kind, bytes]] = asyncio.Queue()
+        came: asyncio.Queue[tuple[MessageKind, bytes]] = asyncio.Queue()
         pool = LinkPool(lambda connection, kind, data: came.put_nowait((kind, data)))
-        pool.send(address, Kind.DISTRIBUTION, b"one")
-        pool.send(address, Kind.COORDINATION, b"two")
+        pool.send(address, MessageKind.DISTRIBUTION, b"one")
+        pool.send(address, MessageKind.COORDINATION, b"two")
         async with asyncio.timeout(5):
-            self.assertEqual(await came.get(), (Kind.DISTRIBUTION, b"ONE"))
-            self.assertEqual(await came.get(), (Kind.COORDINATION, b"TWO"))
+            self.assertEqual(await came.get(), (MessageKind.DISTRIBUTION, b"ONE"))
+            self.assertEqual(await came.get(), (MessageKind.COORDINATION, b"TWO"))
         pool.close()
         server.close()
 
@@ -66,14 +70,14 @@
         address = free_address()
         closed: asyncio.Queue[LinkError] = asyncio.Queue()
         pool = LinkPool(lambda connection, kind, data: None, closed.put_nowait)
-        pool.send(address, Kind.DISTRIBUTION, b"lost")
+        pool.send(address, MessageKind.DISTRIBUTION, b"lost")
         async with asyncio.timeout(5):
             error = await closed.get()
         self.assertEqual((error.step, error.peer), ("connect", address))
         came: asyncio.Queue[bytes] = asyncio.Queue()
         server = LinkServer(address, lambda connection, kind, data: came.put_nowait(data))
         await server.start()
-        pool.send(address, Kind.DISTRIBUTION, b"kept")
+        pool.send(address, MessageKind.DISTRIBUTION, b"kept")
         async with asyncio.timeout(5):
             self.assertEqual(await came.get(), b"kept")
         server.close()
@@ -86,7 +90,7 @@
         came: asyncio.Queue[bytes] = asyncio.Queue()
         accepted: list[LinkConnection] = []
 
-        def keep(connection: LinkConnection, kind: Kind, data: bytes) -> None:
+        def keep(connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
             if not accepted:
                 accepted.append(connection)
                 transport = connection._transport
@@ -97,12 +101,12 @@
         server = LinkServer(address, keep)
         await server.start()
         pool = LinkPool(lambda connection, kind, data: None)
-        pool.send(address, Kind.DISTRIBUTION, b"first")
+        pool.send(address, MessageKind.DISTRIBUTION, b"first")
         async with asyncio.timeout(5):
             await came.get()
         count = 400
         for number in range(count):
-            pool.send(address, Kind.DISTRIBUTION, number.to_bytes(4, "big") + bytes(65536))
+            pool.send(address, MessageKind.DISTRIBUTION, number.to_bytes(4, "big") + bytes(65536))
         transport = accepted[0]._transport
         assert transport is not None
         transport.resume_reading()
@@ -135,14 +139,14 @@
             mock.patch.object(loop, "sock_connect", connect_late),
             mock.patch.object(link, "CONNECT_TIMEOUT_S", 0.01),
         ):
-            pool.send(address, Kind.DISTRIBUTION, b"dropped")
+            pool.send(address, MessageKind.DISTRIBUTION, b"dropped")
             async with asyncio.timeout(5):
                 error = await closed.get()
                 self.assertEqual((error.step, error.reason), ("connect", "timed out"))
                 slow.set()
                 sent = 0
                 while came.empty():
-                    pool.send(address, Kind.DISTRIBUTION, b"kept")
+                    pool.send(address, MessageKind.DISTRIBUTION, b"kept")
                     sent += 1
                     await asyncio.sleep(0)
                 self.assertEqual(await came.get(), b"kept")
@@ -173,7 +177,7 @@
         ):
             async with asyncio.timeout(5):
                 for _ in range(8):
-                    pool.send("127.0.0.1:9", Kind.DISTRIBUTION, b"lost")
+                    pool.send("127.0.0.1:9", MessageKind.DISTRIBUTION, b"lost")
                     await closed.get()
             self.assertEqual(most, link.ATTEMPTS_AT_ONCE)
             pool.close()
--- a/tests/fleet/test_distribution_loopback.py
+++ b/tests/fleet/test_distribution_loopback.py
@@ -20,7 +20,7 @@
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection, LinkServer
 from rosechute.processes.edge_links import EdgeLinks
 
@@ -58,7 +58,7 @@
             issue.issued.add(tenant=each.tenant, tokens=tokens, lifetime_ms=1000, retry_after_ms=retry_ms)
         return issue
 
-    def received(self, connection: LinkConnection, kind: Kind, data: bytes) -> None:
+    def received(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
         self.carry(self.publisher.receive(self.now(), connection, pb.Distribution.FromString(data)))
 
     def closed(self, connection: LinkConnection) -> None:
@@ -67,7 +67,7 @@
     def carry(self, sends: list[SendMessage]) -> None:
         for send in sends:
             assert isinstance(send.connection, LinkConnection)
-            send.connection.send(Kind.DISTRIBUTION, send.message.SerializeToString())
+            send.connection.send(MessageKind.DISTRIBUTION, send.message.SerializeToString())
 
 
 class Edge:
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -31,7 +31,7 @@
 from rosechute.distribution.publisher import CoreAddress, PublisherState
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
-from rosechute.messages.framing import Kind
+from rosechute.messages.framing import MessageKind
 from rosechute.messages.link import LinkConnection, LinkPool, LinkServer
 
 from .data_site import SiteCase
@@ -264,9 +264,9 @@
             machine: Any = CoreMachine(self.settings)
             received: list[CoreMessage] = []
             message = CoreMessage(boot=3)
-            machine._received(None, Kind.COORDINATION, message.SerializeToString())
+            machine._received(None, MessageKind.COORDINATION, message.SerializeToString())
             machine._runtime = SimpleNamespace(receive=received.append)
-            machine._received(None, Kind.COORDINATION, message.SerializeToString())
+            machine._received(None, MessageKind.COORDINATION, message.SerializeToString())
             self.assertEqual(received, [message])
 
         self.play(scene)
@@ -279,7 +279,7 @@
             pool = LinkPool(lambda _, __, data: told.append(pb.Distribution.FromString(data)))
             renew = pb.Renew(request=1, edge=pb.Edge(name="e", zone="z", address="127.0.0.1:9"), boot=1)
             message = pb.Distribution(renew=renew).SerializeToString()
-            pool.send(self.settings.core_link_address, Kind.DISTRIBUTION, message)
+            pool.send(self.settings.core_link_address, MessageKind.DISTRIBUTION, message)
             await until(lambda: told)
             renewed = told[0].renewed
             self.assertEqual((renewed.config_sequence, renewed.config_known), (1, True))
@@ -403,7 +403,7 @@
         self.publisher.edges_total.return_value = 12
         for oldest, told in ((8.875, 125), (None, 0)):
             self.machine._writer = mock.Mock()
-            self.machine._writer.oldest_pending.return_value = oldest
+            self.machine._writer.oldest_pending_since.return_value = oldest
             self.assertEqual(self.machine.report().write_age_ms, told)
 
     def test_the_term_is_held_while_the_lease_is(self) -> None:
@@ -422,16 +422,16 @@
     def test_a_message_after_a_freeze_finds_the_lease_ended(self) -> None:
         """The message is handled before the replica's next tick: the answer is none of a leader."""
         self.load()
-        self.machine._received("c", Kind.DISTRIBUTION, b"")
+        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
         self.publisher.leadership_lost.assert_not_called()
         self.machine._clock = lambda: 9.5
-        self.machine._received("c", Kind.DISTRIBUTION, b"")
+        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
         names = [name for name, _, _ in self.publisher.method_calls]
         self.assertLess(names.index("leadership_lost"), len(names) - 1 - names[::-1].index("receive"))
 
     def test_what_the_replica_knows_is_told_before_each_message_of_an_edge(self) -> None:
         self.load()
-        self.machine._received("c", Kind.DISTRIBUTION, b"")
+        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
         core = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in (OWN, OTHER))
         self.assertEqual(
             self.publisher.method_calls,
@@ -442,10 +442,10 @@
                 mock.call.receive(9.0, "c", pb.Distribution()),
             ],
         )
-        self.machine._received("c", Kind.DISTRIBUTION, b"")
+        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
         self.publisher.set_core_machines.assert_called_once_with(core)
         self.replica.core_machines = lambda: [OWN]
-        self.machine._received("c", Kind.DISTRIBUTION, b"")
+        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
         self.assertEqual(self.publisher.set_core_machines.call_args, mock.call(core[:1]))
 
     def test_what_the_replica_does_not_know(self) -> None:
@@ -458,11 +458,11 @@
         self.publisher.update_freshness.assert_not_called()
 
     def test_messages_go_to_the_part_of_their_kind(self) -> None:
-        self.machine._received("c", Kind.COORDINATION, CoreMessage(boot=3).SerializeToString())
-        self.machine._received("c", Kind.DISTRIBUTION, b"")
+        self.machine._received("c", MessageKind.COORDINATION, CoreMessage(boot=3).SerializeToString())
+        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
         self.assertEqual(self.publisher.method_calls, [mock.call.receive(9.0, "c", pb.Distribution())])
         self.load()
-        self.machine._received("c", Kind.COORDINATION, CoreMessage(boot=3).SerializeToString())
+        self.machine._received("c", MessageKind.COORDINATION, CoreMessage(boot=3).SerializeToString())
         self.machine._runtime.receive.assert_called_once_with(CoreMessage(boot=3))
         self.assertEqual(self.publisher.receive.call_count, 1)
 
@@ -471,11 +471,11 @@
         self.machine._pool = mock.Mock()
         message = pb.Distribution(renewed=pb.Renewed(request=4))
         self.machine._send_all([SendMessage(connection, message)])
-        connection.send.assert_called_once_with(Kind.DISTRIBUTION, message.SerializeToString())
+        connection.send.assert_called_once_with(MessageKind.DISTRIBUTION, message.SerializeToString())
         self.machine._pool.send.assert_not_called()
         self.machine._send_all([SendMessage(DialedLink("10.0.0.2:7501"), message)])
         self.machine._pool.send.assert_called_once_with(
-            "10.0.0.2:7501", Kind.DISTRIBUTION, message.SerializeToString()
+            "10.0.0.2:7501", MessageKind.DISTRIBUTION, message.SerializeToString()
         )
 
     def test_it_ticks_on_after_a_tick_that_failed(self) -> None:
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -44,7 +44,7 @@
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
-from rosechute.storage.problems import StorageProblem
+from rosechute.storage.errors import StorageError
 
 from .data_site import VirtualLoop
 
@@ -736,7 +736,7 @@
     def append(self, records: Any, done: Any) -> None:
         self.jobs.append(("append", list(records), done))
 
-    def replace(self, records: Any, done: Any) -> None:
+    def write_snapshot(self, records: Any, done: Any) -> None:
         self.jobs.append(("replace", list(records), done))
 
 
@@ -812,7 +812,7 @@
 
     def test_a_failed_write_is_followed_by_a_snapshot(self) -> None:
         self.act(core.Persist(4, [b"r"]))
-        self.records.jobs[0][2](Failure(StorageProblem("append to", "log", "full")))
+        self.records.jobs[0][2](Failure(StorageError("append to", "log", "full")))
         self.assertEqual(self.calls[-1], ("failed", 4))
         self.act(core.Persist(5, [b"s"], True))
         self.act(core.Persist(6, [b"t"]))
--- a/tests/fleet/test_planted_storage_files.py
+++ b/tests/fleet/test_planted_storage_files.py
@@ -16,24 +16,24 @@
 
 from returns.result import Failure, Success
 
-from rosechute.storage.files import DiskFolder
+from rosechute.storage.errors import StorageError
+from rosechute.storage.files import DiskDirectory
 from rosechute.storage.layout import decode_log, decode_slot, encode_entries, encode_slot
 from rosechute.storage.loading import load_records
-from rosechute.storage.problems import StorageProblem
 from rosechute.storage.record_store import RecordStore
-from rosechute.storage.writer import Outcome, StoreWriter
+from rosechute.storage.writer import StoreWriter, WriteResult
 
-from .simulated_disk import SimulatedFolder
+from .simulated_disk import SimulatedDirectory
 
 
-class DiskFolderTest(unittest.TestCase):
+class DiskDirectoryTest(unittest.TestCase):
     """A folder on a real disk."""
 
     def setUp(self) -> None:
         place = tempfile.TemporaryDirectory()
         self.addCleanup(place.cleanup)
         self.path = Path(place.name) / "made" / "here"
-        self.folder = DiskFolder(str(self.path))
+        self.folder = DiskDirectory(str(self.path))
         self.addCleanup(self.folder.close)
 
     def test_missing_file(self) -> None:
@@ -74,7 +74,7 @@
 
         before = len(os.listdir("/proc/self/fd"))
         with mock.patch("os.fsync", sync):
-            self.folder.sync_names()
+            self.folder.sync_entries()
         self.assertEqual(synced, [self.path.stat().st_ino])
         self.assertEqual(len(os.listdir("/proc/self/fd")), before, "no descriptor is left open")
 
@@ -143,7 +143,7 @@
         self.assertEqual((slot.generation, slot.checksum), (3, checksum))
 
 
-class WatchedFolder(SimulatedFolder):
+class WatchedDirectory(SimulatedDirectory):
     """Remembers its operations."""
 
     def __init__(self) -> None:
@@ -162,16 +162,16 @@
         self.done.append(f"sync {name}")
         super().sync(name)
 
-    def sync_names(self) -> None:
+    def sync_entries(self) -> None:
         self.done.append("sync names")
-        super().sync_names()
+        super().sync_entries()
 
 
 class RecordStoreTest(unittest.TestCase):
     """Each acknowledgement stands behind the syncs that it needs, of files and of names."""
 
     def setUp(self) -> None:
-        self.folder = WatchedFolder()
+        self.folder = WatchedDirectory()
         self.store, _ = RecordStore.open(self.folder).unwrap()
 
     def done(self) -> list[str]:
@@ -180,12 +180,12 @@
 
     def test_snapshot_syncs_its_slot_and_its_name(self) -> None:
         for name, log in (("records-a.slot", "records-a.log"), ("records-b.slot", "records-b.log")):
-            self.store.replace([b"a"]).unwrap()
+            self.store.write_snapshot([b"a"]).unwrap()
             steps = [f"write {name}", f"truncate {name}", f"sync {name}", "sync names", f"truncate {log}"]
             self.assertEqual(self.done(), steps)
 
     def test_first_entry_of_a_log_syncs_its_name_too(self) -> None:
-        self.store.replace([b"a"]).unwrap()
+        self.store.write_snapshot([b"a"]).unwrap()
         self.done()
         self.store.append([[b"b"]]).unwrap()
         self.assertEqual(self.done(), ["write records-a.log", "sync records-a.log", "sync names"])
@@ -193,7 +193,7 @@
         self.assertEqual(self.done(), ["write records-a.log", "sync records-a.log"])
 
     def test_what_was_loaded_is_made_durable(self) -> None:
-        self.store.replace([b"a"]).unwrap()
+        self.store.write_snapshot([b"a"]).unwrap()
         self.done()
         RecordStore.open(self.folder).unwrap()
         self.assertEqual(self.done(), ["sync records-a.slot", "sync names"])
@@ -204,43 +204,43 @@
 
     def test_a_shorter_slot_cuts_the_older_one_off(self) -> None:
         for size in (500, 1, 2):
-            self.store.replace([b"x" * size]).unwrap()
+            self.store.write_snapshot([b"x" * size]).unwrap()
         self.assertEqual(len(self.folder.read("records-a.slot") or b""), len(encode_slot(3, [b"xx"])[0]))
 
     def test_an_old_log_is_emptied(self) -> None:
-        self.store.replace([b"a"]).unwrap()
+        self.store.write_snapshot([b"a"]).unwrap()
         self.store.append([[b"b"]]).unwrap()
         for each in (b"c", b"d"):
-            self.store.replace([each]).unwrap()
+            self.store.write_snapshot([each]).unwrap()
         self.assertEqual((self.folder.read("records-a.log"), self.store.log_size), (b"", 0))
 
     def test_log_size(self) -> None:
-        self.store.replace([b"a"]).unwrap()
+        self.store.write_snapshot([b"a"]).unwrap()
         self.store.append([[b"b"]]).unwrap()
         size = self.store.log_size
         self.assertEqual(size, len(self.folder.read("records-a.log") or b""))
         found, _ = RecordStore.open(self.folder).unwrap()
-        self.assertEqual((found.log_size, found.appendable), (size, True))
+        self.assertEqual((found.log_size, found.can_append), (size, True))
 
     def test_nothing_is_appended_behind_what_is_not_whole(self) -> None:
-        self.store.replace([b"a"]).unwrap()
+        self.store.write_snapshot([b"a"]).unwrap()
         self.store.append([[b"b"]]).unwrap()
         self.folder.write("records-a.log", self.store.log_size, b"torn")
         found, records = RecordStore.open(self.folder).unwrap()
-        self.assertEqual((records, found.appendable), ([b"a", b"b"], False))
+        self.assertEqual((records, found.can_append), ([b"a", b"b"], False))
 
     def test_nothing_is_appended_without_a_log(self) -> None:
-        self.store.replace([b"a"]).unwrap()
+        self.store.write_snapshot([b"a"]).unwrap()
         del self.folder.files["records-a.log"]
         found, records = RecordStore.open(self.folder).unwrap()
-        self.assertEqual((records, found.appendable), ([b"a"], False))
+        self.assertEqual((records, found.can_append), ([b"a"], False))
 
     def test_problems_name_step_file_and_cause(self) -> None:
         self.folder.refused = range(0, 1)
-        problem = self.store.replace([b"a"]).failure()
+        problem = self.store.write_snapshot([b"a"]).failure()
         self.assertEqual(str(problem), "write records-a.slot: No space left on device")
         self.folder.refused = range(self.folder.operations + 4, 99)
-        problem = self.store.replace([b"a"]).failure()
+        problem = self.store.write_snapshot([b"a"]).failure()
         self.assertEqual(str(problem), "empty records-a.log: No space left on device")
 
     def test_a_folder_that_cannot_be_read(self) -> None:
@@ -248,14 +248,14 @@
             (OSError(errno.EIO, "Input/output error", "records-a.slot"), ("records-a.slot", "Input/output error")),
             (OSError("odd"), ("", "odd")),
         ):
-            with mock.patch.object(SimulatedFolder, "read", side_effect=error):
+            with mock.patch.object(SimulatedDirectory, "read", side_effect=error):
                 problem = RecordStore.open(self.folder).failure()
-            self.assertEqual(problem, StorageProblem("load", *told))
+            self.assertEqual(problem, StorageError("load", *told))
 
 
 class LoadingTest(unittest.TestCase):
     def test_the_loop_goes_on_while_the_disk_hangs(self) -> None:
-        class Hanging(SimulatedFolder):
+        class Hanging(SimulatedDirectory):
             gate = threading.Event()
 
             def read(self, name: str) -> bytes | None:
@@ -277,7 +277,7 @@
     def test_a_caller_that_left(self) -> None:
         problems: list[Any] = []
 
-        class Hanging(SimulatedFolder):
+        class Hanging(SimulatedDirectory):
             gate = threading.Event()
 
             def read(self, name: str) -> bytes | None:
@@ -302,8 +302,8 @@
 
 class WriterTest(unittest.TestCase):
     def test_ends_once_told_after_what_it_was_given(self) -> None:
-        store, _ = RecordStore.open(SimulatedFolder()).unwrap()
-        done: list[Outcome] = []
+        store, _ = RecordStore.open(SimulatedDirectory()).unwrap()
+        done: list[WriteResult] = []
         posted = threading.Semaphore(0)
 
         def post(call: Any, *arguments: Any) -> None:
@@ -312,7 +312,7 @@
 
         writer = StoreWriter(store, post, lambda: 0.0)
         writer.append([b"early"], done.append)
-        writer.replace([b"a"], done.append)
+        writer.write_snapshot([b"a"], done.append)
         writer.append([b"b"], done.append)
         writer.append([b"c"], done.append)
         writer.stop()
@@ -322,4 +322,4 @@
         self.assertIsInstance(done[0], Failure)
         self.assertEqual(done[1:], [Success(None)] * 3)
         self.assertGreater(writer.log_size, 0)
-        self.assertIsNone(writer.oldest_pending())
+        self.assertIsNone(writer.oldest_pending_since())
--- a/tests/fleet/test_processes_logs.py
+++ b/tests/fleet/test_processes_logs.py
@@ -22,13 +22,13 @@
         return self.stream.getvalue().splitlines()
 
     def test_one_line_an_event(self) -> None:
-        logs.set_up(stream=self.stream)
+        logs.configure_logging(stream=self.stream)
         logger.info("first\nsecond {}", 3)
         (line,) = self.lines()
         self.assertRegex(line, r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3} INFO \S+ first\\nsecond 3$")
 
     def test_an_exception_is_told_in_the_same_line(self) -> None:
-        logs.set_up(stream=self.stream)
+        logs.configure_logging(stream=self.stream)
         try:
             raise ValueError("no\nport")
         except ValueError:
@@ -37,7 +37,7 @@
         self.assertRegex(line, r" ERROR \S+ listen \| ValueError: no\\nport at test_processes_logs\.py:\d+$")
 
     def test_braces_in_a_message_are_kept(self) -> None:
-        logs.set_up(stream=self.stream)
+        logs.configure_logging(stream=self.stream)
         logger.info("body {}", '{"a": {0}}')
         self.assertTrue(self.lines()[0].endswith('body {"a": {0}}'))
 
@@ -53,9 +53,9 @@
                 self.subTest((environment, configured)),
                 mock.patch.dict("os.environ", {logs.LEVEL_VARIABLE: environment}),
             ):
-                self.assertEqual(logs.set_up(configured, self.stream), level)
+                self.assertEqual(logs.configure_logging(configured, self.stream), level)
 
     def test_below_the_level_nothing_is_written(self) -> None:
-        logs.set_up("ERROR", self.stream)
+        logs.configure_logging("ERROR", self.stream)
         logger.warning("quiet")
         self.assertEqual(self.lines(), [])
--- a/tests/fleet/test_processes_settings_watch.py
+++ b/tests/fleet/test_processes_settings_watch.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
-from rosechute.configuration.process import ProcessSettings, load
-from rosechute.processes.settings_watch import NO_FILE, SettingsWatch, version_of
+from rosechute.configuration.process import ProcessSettings, load_settings
+from rosechute.processes.settings_watch import NO_FILE, SettingsWatch, file_version
 
 
 def setUpModule() -> None:
@@ -30,7 +30,7 @@
         self.writes = 0
         self.write(zone="a")
         self.applied: list[ProcessSettings] = []
-        self.watch = SettingsWatch(load(self.path).unwrap(), self.path, self.applied.append)
+        self.watch = SettingsWatch(load_settings(self.path).unwrap(), self.path, self.applied.append)
 
     def write(self, **changed: object) -> None:
         """Each writing gets a time of its own, however fast they follow each other."""
@@ -59,7 +59,7 @@
         self.assertEqual(self.watch.settings.zone, "b")
 
     def test_a_change_between_loading_and_watching_is_read(self) -> None:
-        settings = load(self.path).unwrap()
+        settings = load_settings(self.path).unwrap()
         self.write(zone="b")
         watch = SettingsWatch(settings, self.path, self.applied.append)
         watch.reload_if_changed()
@@ -81,6 +81,6 @@
 
     def test_a_file_that_is_gone_changes_nothing(self) -> None:
         os.unlink(self.path)
-        self.assertEqual(version_of(self.path), NO_FILE)
+        self.assertEqual(file_version(self.path), NO_FILE)
         self.watch.reload_if_changed()
         self.assertEqual(self.applied, [])
--- a/tests/fleet/test_processes_state.py
+++ b/tests/fleet/test_processes_state.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from returns.result import Failure, Result, Success
 
-from rosechute.processes.state import ProcessState, StateProblem, ask
+from rosechute.processes.state import ProcessState, StateError, fetch_state
 from tests.fleet.configuration_samples import settings
 from tests.fleet.test_configuration_process import read
 
@@ -22,16 +22,16 @@
     routes: int
 
 
-def asked(application: web.Application) -> Result[dict[str, Any], StateProblem]:
+def asked(application: web.Application) -> Result[dict[str, Any], StateError]:
     """Serve this application at a free port of loopback and ask for its state."""
 
-    async def exchange() -> Result[dict[str, Any], StateProblem]:
+    async def exchange() -> Result[dict[str, Any], StateError]:
         runner = web.AppRunner(application)
         await runner.setup()
         try:
             site = web.TCPSite(runner, "127.0.0.1", 0)
             await site.start()
-            return await ask(f"127.0.0.1:{runner.addresses[0][1]}")
+            return await fetch_state(f"127.0.0.1:{runner.addresses[0][1]}")
         finally:
             await runner.cleanup()
 
@@ -89,6 +89,6 @@
             return port
 
         address = f"127.0.0.1:{asyncio.run(closed_port())}"
-        found = asyncio.run(ask(address))
+        found = asyncio.run(fetch_state(address))
         self.assertIsInstance(found, Failure)
         self.assertEqual(str(found.failure()), f"{address}: connect: Connection refused")
--- a/tests/fleet/test_storage_records.py
+++ b/tests/fleet/test_storage_records.py
@@ -8,7 +8,7 @@
 from rosechute.storage.layout import decode_log, decode_slot, encode_entries, encode_slot
 from rosechute.storage.record_store import RecordStore
 
-from .simulated_disk import PowerLoss, SimulatedFolder
+from .simulated_disk import PowerLoss, SimulatedDirectory
 
 ROUNDS = 12
 DRAWS = 12
@@ -18,7 +18,7 @@
 class Run:
     """One use of a store: what was acknowledged, and what was under way when power failed."""
 
-    def __init__(self, folder: SimulatedFolder, draw: random.Random, number: int) -> None:
+    def __init__(self, folder: SimulatedDirectory, draw: random.Random, number: int) -> None:
         self.folder = folder
         self.draw = draw
         self.number = number
@@ -34,7 +34,7 @@
         return b"%d " % self.number + self.draw.randbytes(self.draw.choice((0, 3, 70, 300)))
 
     def step(self) -> None:
-        if not self.store.appendable or self.draw.random() < 0.25:
+        if not self.store.can_append or self.draw.random() < 0.25:
             self._replace()
         else:
             self._append()
@@ -42,7 +42,7 @@
     def _replace(self) -> None:
         new = self.known[-4:] + [self.record()]
         self.allowed = [*self.allowed, new]  # after a failure, what was tried before may still be there
-        if self.store.replace(new) == Success(None):
+        if self.store.write_snapshot(new) == Success(None):
             self.known, self.allowed = new, [new]
 
     def _append(self) -> None:
@@ -55,7 +55,7 @@
             self.known, self.allowed = stages[-1], [stages[-1]]
 
 
-def run_until_power_fails(folder: SimulatedFolder, seed: int, known: list[bytes] | None = None) -> Run:
+def run_until_power_fails(folder: SimulatedDirectory, seed: int, known: list[bytes] | None = None) -> Run:
     draw = random.Random(seed)
     run = Run(folder, draw, seed * 1000)
     try:
@@ -72,7 +72,7 @@
     def test_every_point_of_power_loss(self) -> None:
         for point in range(MOST_OPERATIONS):
             for seed in range(DRAWS):
-                folder = SimulatedFolder()
+                folder = SimulatedDirectory()
                 folder.power_fails_at = point
                 run = run_until_power_fails(folder, seed)
                 self.check(run, folder.after_power_loss(random.Random(seed)), (point, seed))
@@ -80,7 +80,7 @@
     def test_power_loss_after_power_loss(self) -> None:
         for seed in range(400):
             draw = random.Random(seed)
-            folder = SimulatedFolder()
+            folder = SimulatedDirectory()
             known: list[bytes] = []
             for life in range(6):
                 folder.power_fails_at = draw.randint(0, 40)
@@ -91,7 +91,7 @@
     def test_refused_writes_lose_nothing_acknowledged(self) -> None:
         for first in range(0, 60):
             for count in (1, 2, 7):
-                folder = SimulatedFolder()
+                folder = SimulatedDirectory()
                 folder.refused = range(first, first + count)
                 folder.power_fails_at = first + count + 6
                 run = run_until_power_fails(folder, first)
@@ -100,7 +100,7 @@
     def test_the_check_finds_a_forgotten_sync(self) -> None:
         lost = 0
         for seed in range(DRAWS):
-            folder = SimulatedFolder()
+            folder = SimulatedDirectory()
             folder.skip_syncs = True
             folder.power_fails_at = 30
             run = run_until_power_fails(folder, seed)
@@ -108,7 +108,7 @@
             lost += found not in run.allowed
         self.assertGreater(lost, 0)
 
-    def check(self, run: Run, folder: SimulatedFolder, where: object) -> list[bytes]:
+    def check(self, run: Run, folder: SimulatedDirectory, where: object) -> list[bytes]:
         before = folder.power_fails_at
         folder.power_fails_at = None
         found = RecordStore.open(folder).unwrap()[1]
@@ -121,40 +121,40 @@
 
 class RefusedWriteTest(TestCase):
     def test_append_after_a_refusal_needs_a_snapshot(self) -> None:
-        folder = SimulatedFolder()
+        folder = SimulatedDirectory()
         store, _ = RecordStore.open(folder).unwrap()
-        self.assertFalse(store.appendable)
-        store.replace([b"a"]).unwrap()
+        self.assertFalse(store.can_append)
+        store.write_snapshot([b"a"]).unwrap()
         folder.refused = range(folder.operations, folder.operations + 1)
         problem = store.append([[b"b"]]).failure()
         self.assertEqual(problem.name, "records-a.log")
-        self.assertFalse(store.appendable)
+        self.assertFalse(store.can_append)
         store.append([[b"c"]]).failure()
-        store.replace([b"a", b"d"]).unwrap()
+        store.write_snapshot([b"a", b"d"]).unwrap()
         store.append([[b"e"]]).unwrap()
         self.assertEqual(RecordStore.open(folder).unwrap()[1], [b"a", b"d", b"e"])
 
     def test_a_snapshot_that_failed_never_overwrites_the_whole_one(self) -> None:
-        folder = SimulatedFolder()
+        folder = SimulatedDirectory()
         store, _ = RecordStore.open(folder).unwrap()
-        store.replace([b"a"]).unwrap()
+        store.write_snapshot([b"a"]).unwrap()
         for _ in range(3):
             folder.refused = range(folder.operations, folder.operations + 1)
-            store.replace([b"b" * 500]).failure()
+            store.write_snapshot([b"b" * 500]).failure()
             self.assertEqual(RecordStore.open(folder.after_kill()).unwrap()[1], [b"a"])
 
     def test_an_entry_behind_a_torn_one_never_returns(self) -> None:
-        folder = SimulatedFolder()
+        folder = SimulatedDirectory()
         store, _ = RecordStore.open(folder).unwrap()
-        store.replace([b"a"]).unwrap()
+        store.write_snapshot([b"a"]).unwrap()
         store.append([[b"first"]]).unwrap()
         store.append([[b"second"]]).unwrap()
         log = folder.files["records-a.log"]
         log.durable = b"\0" * 4 + log.durable[4:]  # the first is torn, the second whole
         store, found = RecordStore.open(folder).unwrap()
         self.assertEqual(found, [b"a"])
-        self.assertFalse(store.appendable)
-        store.replace(found).unwrap()
+        self.assertFalse(store.can_append)
+        store.write_snapshot(found).unwrap()
         store.append([[b"first"]]).unwrap()
         self.assertEqual(RecordStore.open(folder).unwrap()[1], [b"a", b"first"])
 
--- a/tests/fleet/test_storage_writer.py
+++ b/tests/fleet/test_storage_writer.py
@@ -7,12 +7,12 @@
 from returns.result import Failure, Success
 
 from rosechute.storage.record_store import RecordStore
-from rosechute.storage.writer import Outcome, StoreWriter
+from rosechute.storage.writer import StoreWriter, WriteResult
 
-from .simulated_disk import SimulatedFolder
+from .simulated_disk import SimulatedDirectory
 
 
-class GatedFolder(SimulatedFolder):
+class GatedDirectory(SimulatedDirectory):
     """Its first sync hangs until the gate opens."""
 
     def __init__(self) -> None:
@@ -30,14 +30,14 @@
 
 class StoreWriterTest(TestCase):
     def setUp(self) -> None:
-        self.folder = GatedFolder()
+        self.folder = GatedDirectory()
         self.now = 1.0
         self.posted: list[Callable[[], None]] = []
         self.all_posted = threading.Semaphore(0)
         store, _ = RecordStore.open(self.folder).unwrap()
         self.writer = StoreWriter(store, self.post, lambda: self.now)
         self.writer.start()
-        self.done: list[tuple[str, Outcome]] = []
+        self.done: list[tuple[str, WriteResult]] = []
 
     def tearDown(self) -> None:
         self.folder.gate.set()
@@ -54,11 +54,11 @@
             call()
         self.posted.clear()
 
-    def given(self, name: str) -> Callable[[Outcome], None]:
+    def given(self, name: str) -> Callable[[WriteResult], None]:
         return lambda outcome: self.done.append((name, outcome))
 
     def test_what_waits_is_written_under_one_sync_in_order(self) -> None:
-        self.writer.replace([b"a"], self.given("a"))
+        self.writer.write_snapshot([b"a"], self.given("a"))
         self.folder.reached.wait()
         for name in "bcd":
             self.writer.append([name.encode()], self.given(name))
@@ -69,24 +69,24 @@
         self.assertEqual(RecordStore.open(self.folder).unwrap()[1], [b"a", b"b", b"c", b"d"])
 
     def test_the_age_of_a_write_that_hangs(self) -> None:
-        self.assertIsNone(self.writer.oldest_pending())
-        self.writer.replace([b"a"], self.given("a"))
+        self.assertIsNone(self.writer.oldest_pending_since())
+        self.writer.write_snapshot([b"a"], self.given("a"))
         self.now = 2.0
         self.writer.append([b"b"], self.given("b"))
         self.folder.reached.wait()
-        self.assertEqual(self.writer.oldest_pending(), 1.0)
+        self.assertEqual(self.writer.oldest_pending_since(), 1.0)
         self.folder.gate.set()
         self.finish(2)
-        self.assertIsNone(self.writer.oldest_pending())
+        self.assertIsNone(self.writer.oldest_pending_since())
 
     def test_a_refusal_fails_all_up_to_the_next_snapshot(self) -> None:
         self.folder.refused = range(0, 1)
-        self.writer.replace([b"a"], self.given("a"))
+        self.writer.write_snapshot([b"a"], self.given("a"))
         self.finish(1)
         self.writer.append([b"b"], self.given("b"))
         self.finish(1)
         self.folder.gate.set()
-        self.writer.replace([b"a", b"b"], self.given("c"))
+        self.writer.write_snapshot([b"a", b"b"], self.given("c"))
         self.finish(1)
         self.assertEqual([type(outcome) for _, outcome in self.done], [Failure, Failure, Success])
         self.assertEqual(RecordStore.open(self.folder).unwrap()[1], [b"a", b"b"])
--- a/tests/fleet/test_stored_data_compatibility.py
+++ b/tests/fleet/test_stored_data_compatibility.py
@@ -17,7 +17,7 @@
 
 from rosechute.coordination.memory import load
 from rosechute.messages import coordination_pb2 as pb
-from rosechute.storage.files import DiskFolder
+from rosechute.storage.files import DiskDirectory
 from rosechute.storage.layout import Slot, decode_log, decode_slot, encode_entries, encode_slot
 from rosechute.storage.record_store import LOG_NAMES, SLOT_NAMES, RecordStore
 
@@ -35,7 +35,7 @@
         return Path(shutil.copytree(FIXTURES / name, Path(parent.name) / name))
 
     def load(self, directory: Path) -> tuple[RecordStore, list[bytes]]:
-        folder = DiskFolder(str(directory))
+        folder = DiskDirectory(str(directory))
         self.addCleanup(folder.close)
         return RecordStore.open(folder).unwrap()
 
@@ -86,8 +86,8 @@
         self.assertEqual(fields[9], {1: 1, 2: ["edge-a", "edge-b"]}, "rate-lease owners")
 
     def test_only_an_intact_log_may_be_appended_to(self) -> None:
-        self.assertTrue(self.load(self.copy_of(LEADER))[0].appendable)
-        self.assertFalse(self.load(self.copy_of(SEALED))[0].appendable)
+        self.assertTrue(self.load(self.copy_of(LEADER))[0].can_append)
+        self.assertFalse(self.load(self.copy_of(SEALED))[0].can_append)
 
     def test_slots_and_logs_are_written_as_before(self) -> None:
         for name in (LEADER, SEALED):
@@ -115,7 +115,7 @@
         store, _ = self.load(written)
         for index in range(2):
             slot, _, log = self.files(FIXTURES / SEALED, index)
-            store.replace(slot.records).unwrap()
+            store.write_snapshot(slot.records).unwrap()
             for batch in batches_of(log[: decode_log(log, slot.checksum).size]):
                 store.append([batch]).unwrap()
         for name in (*SLOT_NAMES, *LOG_NAMES):
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -13,7 +13,7 @@
 from google.protobuf.descriptor import Descriptor, FieldDescriptor, FileDescriptor
 
 from rosechute.messages import coordination_pb2, distribution_pb2
-from rosechute.messages.framing import Kind, encode_frame
+from rosechute.messages.framing import MessageKind, encode_frame
 
 Schema = dict[str, dict[int, str]]
 """For each message, by a label: its fields by number, as "[repeated|oneof] type", a message type by its label."""
@@ -460,8 +460,8 @@
                     self.assertFalse(field.is_packed, f"field {field.number} of {name}: no list of numbers so far")
 
     def test_frames_are_a_big_endian_length_and_a_kind(self) -> None:
-        self.assertEqual(encode_frame(Kind.COORDINATION, b"abc"), b"\x00\x00\x00\x03\x01abc")
-        self.assertEqual(encode_frame(Kind.DISTRIBUTION, b""), b"\x00\x00\x00\x00\x02")
+        self.assertEqual(encode_frame(MessageKind.COORDINATION, b"abc"), b"\x00\x00\x00\x03\x01abc")
+        self.assertEqual(encode_frame(MessageKind.DISTRIBUTION, b""), b"\x00\x00\x00\x00\x02")
 
 
 if __name__ == "__main__":
