--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -19,7 +19,7 @@
 from rosechute.control_plane.endpoint_list_page import decode_endpoint_list_page
 from rosechute.control_plane.quota_service import QuotaService
 from rosechute.coordination.memory import load, write_message
-from rosechute.coordination.views import State
+from rosechute.coordination.views import RegisterState
 from rosechute.data_plane.admission import ActiveConfiguration
 from rosechute.distribution.actions import DialedLink
 from rosechute.distribution.membership import MEMBERSHIP_GRACE_S, EdgeIdentity
@@ -74,7 +74,7 @@
         body = body_for(size)
         value = Configuration.from_body(1, 1, body)
         quota = QuotaService(Bounds())
-        write = coordination_pb2.CoreMessage(chain_write=write_message(State(1, 1, 1, body, b"d" * 32)))
+        write = coordination_pb2.CoreMessage(chain_write=write_message(RegisterState(1, 1, 1, body, b"d" * 32)))
         message = value.update_message((0, 0), NOW)
         figures["body"].points[size] = len(body)
         figures["sent"].points[size] = len(message.SerializeToString())
@@ -350,7 +350,7 @@
     replace_cpu, replace_wall = Slope("snapshot", "us", "B"), Slope("snapshot, wall", "us", "B")
     loading = Slope("load and fold at a start", "us", "B")
     for size in DISK_BYTES:
-        write = write_message(State(1, 1, 1, b"x" * size, b"d" * 32))
+        write = write_message(RegisterState(1, 1, 1, b"x" * size, b"d" * 32))
         record = coordination_pb2.Record(write=write).SerializeToString()
         with tempfile.TemporaryDirectory(prefix="rosechute-slopes-") as folder:
             store, _ = RecordStore.open(DiskDirectory(folder)).unwrap()
--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -92,8 +92,8 @@
     "no-rate-leases": _constant("rosechute/control_plane/quota.py", "LEASED_SHARE", "0.0", "0.65"),
     "no-emergency-rate": _constant("rosechute/control_plane/quota.py", "EMERGENCY_SHARE", "0.0", "0.06"),
     "no-noted-holders": _line(
-        "rosechute/coordination/lease.py",
-        "return noted.edges if self._previous == noted.term else None",
+        "rosechute/coordination/leader_lease.py",
+        "return persisted.edges if self._previous_term == persisted.term else None",
         "return None",
     ),
     "no-quota-prediction": _line(
--- a/rosechute/control_plane/rate_lease_owners.py
+++ b/rosechute/control_plane/rate_lease_owners.py
@@ -2,9 +2,9 @@
 
 Pure. A leader that knows every such edge need not wait for the leases of earlier terms to run out: once each of them
 has reported in the new term, all that runs is known. The names are noted on the leader's own disk, and are of use to
-the machine that led last only (`coordination.lease`). What is noted for a term says: only these edges may hold leases
-of this term or of an earlier one. So from the moment when a note is on its way to the disk, no edge outside of it is
-granted anything; it is noted first.
+the machine that led last only (`coordination.leader_lease`). What is noted for a term says: only these edges may hold
+leases of this term or of an earlier one. So from the moment when a note is on its way to the disk, no edge outside of
+it is granted anything; it is noted first.
 
 A note is first made when the names are complete: at once where they came with the term, or else when all earlier
 leases have run out. An edge that was not granted anything for longer than a lease lasts is left out of later notes.
--- a/rosechute/coordination/chain.py
+++ b/rosechute/coordination/chain.py
@@ -66,7 +66,7 @@
     def submit(self, order: Order) -> None:
         """An operator's order at this machine."""
         context = self._context
-        taken = context.memory.committed.version_taken(order.digest)
+        taken = context.memory.committed.applied_version(order.digest)
         if taken is not None:
             context.outbox.answer(order.request, Acknowledged(taken))
             return
@@ -92,10 +92,10 @@
     def _cut_off(self) -> bool:
         """Whether no majority answers this machine: nothing will come of waiting."""
         context = self._context
-        if context.now - context.detector.started < context.timing.order_deadline:
+        if context.now - context.failure_detector.started_at < context.timing.order_deadline:
             return False
         acceptors = context.memory.view.acceptors
-        reached = sum(context.detector.reaches(context.now, each.id) for each in acceptors)
+        reached = sum(context.failure_detector.is_reachable(context.now, each.id) for each in acceptors)
         return reached < context.memory.view.majority
 
     def _elsewhere(self, target: Identity | None) -> Elsewhere | None:
@@ -103,12 +103,14 @@
         context = self._context
         if target is None or target.id == context.own.id:
             return None
-        detector, heartbeat = context.detector, context.timing.heartbeat
-        silent = detector.silent_for(context.now, target.id)
+        detector, heartbeat = context.failure_detector, context.timing.heartbeat
+        silent = detector.silence_s(context.now, target.id)
         if silent > context.timing.lease:
-            there = detector.reached_by_another(context.now, target.id)  # its path to this machine alone is cut
+            there = detector.is_reachable_from_another(
+                context.now, target.id
+            )  # its path to this machine alone is cut
         else:
-            there = silent <= SILENT_HEARTBEATS * heartbeat and detector.reaches(context.now, target.id)
+            there = silent <= SILENT_HEARTBEATS * heartbeat and detector.is_reachable(context.now, target.id)
         if not there:
             return None
         return Elsewhere(target.control_address)
@@ -140,7 +142,7 @@
     def _settle_taken(self) -> None:
         """Orders that came into force at another head."""
         for pending in list(self._queue):
-            taken = self._context.memory.committed.version_taken(pending.order.digest)
+            taken = self._context.memory.committed.applied_version(pending.order.digest)
             if taken is not None:
                 self._queue.remove(pending)
                 self._answer(pending, Acknowledged(taken))
@@ -164,12 +166,12 @@
         while self.active and context.settled and self._flight is None and self._queue:
             pending = self._queue.popleft()
             order, current = pending.order, context.memory.committed
-            taken = current.version_taken(order.digest)
+            taken = current.applied_version(order.digest)
             if taken is not None:
                 self._answer(pending, Acknowledged(taken))
             elif self._early(order):
                 early.append(pending)
-            elif current.may_have_forgotten(order.version):
+            elif current.may_have_evicted(order.version):
                 self._answer(pending, Unsure())
             elif order.base_version != current.version or order.version <= current.version:
                 self._refusals.append(pending)
@@ -184,7 +186,9 @@
 
     def _start(self, pending: PendingOrder) -> None:
         context, order = self._context, pending.order
-        state = context.memory.committed.after(context.memory.view.epoch, order.version, order.body, order.digest)
+        state = context.memory.committed.with_write(
+            context.memory.view.epoch, order.version, order.body, order.digest
+        )
         self._flight = _Flight(state.sequence, pending, context.now, context.timing.resend_write)
         self._store(write_message(state))
 
@@ -201,7 +205,7 @@
     def _again(self, pending: PendingOrder) -> None:
         """The view has changed, or nothing is certain: what becomes of an order that was not taken so far."""
         context = self._context
-        taken = context.memory.committed.version_taken(pending.order.digest)
+        taken = context.memory.committed.applied_version(pending.order.digest)
         if taken is not None:
             self._answer(pending, Acknowledged(taken))
         elif pending.requests:
@@ -234,13 +238,13 @@
         if write.sequence == newest.sequence + 1:
             self._store(write)
         elif write.sequence == newest.sequence:
-            context.disk.after(self._number, partial(self._stored, write.epoch, write.sequence))
+            context.record_writer.call_when_synced(self._number, partial(self._stored, write.epoch, write.sequence))
 
     def _store(self, write: pb.ChainWrite) -> None:
         context = self._context
         before = context.memory.committed.sequence
-        context.disk.write(pb.Record(write=write), partial(self._stored, write.epoch, write.sequence))
-        self._number = context.disk.number
+        context.record_writer.write(pb.Record(write=write), partial(self._stored, write.epoch, write.sequence))
+        self._number = context.record_writer.last_number
         if context.memory.committed.sequence > before:
             self._committed()
 
@@ -290,7 +294,7 @@
 
     def _read(self, request: int, since: float, certain: bool) -> None:
         context = self._context
-        configuration = context.memory.committed.committed()
+        configuration = context.memory.committed.committed_configuration()
         if not certain:
             self._reads.append((request, since))  # another view, or too late
         elif configuration is None:
@@ -315,12 +319,16 @@
         flight = self._flight
         if flight is not None and now - flight.sent >= flight.wait:
             flight.sent, flight.wait = now, 2 * flight.wait
-            context.disk.after(self._number, partial(self._stored, context.memory.view.epoch, flight.sequence))
+            context.record_writer.call_when_synced(
+                self._number, partial(self._stored, context.memory.view.epoch, flight.sequence)
+            )
 
     def durable_sequence(self) -> int:
         """Sequence of the newest state that is synced here."""
         memory = self._context.memory
-        return (memory.newest if self._number <= self._context.disk.durable else memory.committed).sequence
+        return (
+            memory.newest if self._number <= self._context.record_writer.synced_number else memory.committed
+        ).sequence
 
     def view_changed(self) -> None:
         """Another view is adopted: settle or carry over what was under way."""
--- a/rosechute/coordination/confirm.py
+++ b/rosechute/coordination/confirm.py
@@ -54,7 +54,7 @@
         question = self._questions.get(confirmed.round)
         if question is None or confirmed.epoch != question.epoch or question.epoch != view.epoch:
             return
-        if view.accepts(sender.id):
+        if view.is_acceptor(sender.id):
             question.yes.add(sender.id)
         if len(question.yes) >= view.majority:
             del self._questions[confirmed.round]
--- a/rosechute/coordination/context.py
+++ b/rosechute/coordination/context.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rosechute.coordination.detector import Detector
-from rosechute.coordination.disk import Disk
+from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.coordination.memory import Memory
 from rosechute.coordination.outbox import Outbox
+from rosechute.coordination.record_writer import RecordWriter
 from rosechute.coordination.types import Identity, Timing
 
 
@@ -17,14 +17,14 @@
     """The machine, the time of the current call, its knowledge, its disk and the others."""
 
     own: Identity
-    boot: int
+    incarnation: int
     timing: Timing
     draw: Callable[[], float]
     now: float
     memory: Memory
-    disk: Disk
+    record_writer: RecordWriter
     outbox: Outbox
-    detector: Detector
+    failure_detector: FailureDetector
     leaving: bool = False  # the process is about to end
     joined: int = 0  # epoch that this process adopted itself, synced
     adopted: int = 0  # newest epoch whose adoption is synced
@@ -33,7 +33,7 @@
     @property
     def is_acceptor(self) -> bool:
         """Whether this machine accepts in the current view."""
-        return self.memory.view.accepts(self.own.id)
+        return self.memory.view.is_acceptor(self.own.id)
 
     @property
     def in_chain(self) -> bool:
@@ -43,7 +43,7 @@
     @property
     def healthy(self) -> bool:
         """Whether the others may count on this machine."""
-        return self.disk.healthy() and not self.leaving
+        return self.record_writer.is_healthy() and not self.leaving
 
     @property
     def settled(self) -> bool:
@@ -56,5 +56,5 @@
         for member in self.memory.view.chain:
             if member == self.own.id:
                 return place
-            place += self.detector.healthy(member)
+            place += self.failure_detector.is_healthy(member)
         return place + 1
--- a/rosechute/coordination/freshness.py
+++ b/rosechute/coordination/freshness.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.detector import NEVER
+from rosechute.coordination.failure_detector import NEVER
 
 
 @dataclass(slots=True)
@@ -47,13 +47,13 @@
         context = self.context
         if machine_id == context.own.id:
             return context.now
-        peer = context.detector.peers.get(machine_id)
-        if peer is None or peer.beat.sealed or peer.beat.epoch != context.memory.view.epoch:
+        peer = context.failure_detector.peers.get(machine_id)
+        if peer is None or peer.heartbeat.sealed or peer.heartbeat.epoch != context.memory.view.epoch:
             return None
-        return peer.echo
+        return peer.echoed_stamp
 
     def _tail_sequence(self, machine_id: str) -> int:
         context = self.context
         if machine_id == context.own.id:
             return context.memory.committed.sequence
-        return context.detector.peers[machine_id].beat.sequence
+        return context.failure_detector.peers[machine_id].heartbeat.sequence
--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -6,8 +6,9 @@
 
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.context import Context
-from rosechute.coordination.detector import Peer
-from rosechute.coordination.lease import Grantor, Holder
+from rosechute.coordination.failure_detector import Peer
+from rosechute.coordination.leader_lease import LeaderLease
+from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.types import Identity
 from rosechute.messages import coordination_pb2 as pb
 
@@ -16,12 +17,17 @@
     """Sends and receives heartbeats."""
 
     def __init__(
-        self, context: Context, chain: Chain, grantor: Grantor, holder: Holder, seeds: Sequence[tuple[str, str]]
+        self,
+        context: Context,
+        chain: Chain,
+        grantor: LeaseGrantor,
+        holder: LeaderLease,
+        seeds: Sequence[tuple[str, str]],
     ) -> None:
         self._context = context
         self._chain = chain
-        self._grantor = grantor
-        self._holder = holder
+        self._lease_grantor = grantor
+        self._leader_lease = holder
         self.seeds = seeds  # (control address, peer address)
         self.next = context.now
 
@@ -31,16 +37,19 @@
         context.announce = False
         self.next = context.now + context.timing.heartbeat
         targets = {each.id: each for each in context.memory.view.acceptors}
-        targets.update({peer.identity.id: peer.identity for peer in context.detector.peers.values()})
+        targets.update({peer.identity.id: peer.identity for peer in context.failure_detector.peers.values()})
         targets.pop(context.own.id, None)
         beat = self._beat()
         addresses = {each.peer_address for each in targets.values()}
         for target in targets.values():
-            peer = context.detector.peers.get(target.id)
-            beat.echo = peer.beat.stamp if peer is not None else 0.0
-            beat.echo_boot = peer.boot if peer is not None else 0
+            peer = context.failure_detector.peers.get(target.id)
+            beat.echo = peer.heartbeat.stamp if peer is not None else 0.0
+            beat.echo_boot = peer.incarnation if peer is not None else 0
             context.outbox.send(target, pb.CoreMessage(heartbeat=beat))
-        lonely = not context.is_acceptor or len(context.detector.reached(context.now)) < context.memory.view.majority
+        lonely = (
+            not context.is_acceptor
+            or len(context.failure_detector.reachable_ids(context.now)) < context.memory.view.majority
+        )
         for _, address in self.seeds:
             if lonely and address not in addresses:
                 beat.echo, beat.echo_boot = 0.0, 0
@@ -51,8 +60,8 @@
         context = self._context
         if sender.id == context.own.id:
             return None
-        peer = context.detector.heard(context.now, sender, boot, beat)
-        if peer.beat is not beat:
+        peer = context.failure_detector.on_heartbeat(context.now, sender, boot, beat)
+        if peer.heartbeat is not beat:
             return None
         view = context.memory.view
         if view.chain and sender.id == view.chain[-1] and beat.epoch == view.epoch and not beat.sealed:
@@ -62,7 +71,7 @@
     def _beat(self) -> pb.Heartbeat:
         context = self._context
         memory = context.memory
-        leads = self._holder.holds(context.now)
+        leads = self._leader_lease.is_held(context.now)
         return pb.Heartbeat(
             stamp=context.now,
             epoch=context.adopted,
@@ -72,10 +81,10 @@
             joined=context.joined == context.adopted and context.joined > 0,
             active=self._chain.active,
             healthy=context.healthy,
-            reached=context.detector.reached(context.now),
-            lease_free=self._grantor.free(),
-            lease_kept_for=self._grantor.kept_for(),
-            term=max(memory.term.number, self._holder.term if leads else 0),
+            reached=context.failure_detector.reachable_ids(context.now),
+            lease_free=self._lease_grantor.is_free(),
+            lease_kept_for=self._lease_grantor.reserved_for(),
+            term=max(memory.term.number, self._leader_lease.term if leads else 0),
             leads=leads,
             newcomer=memory.newcomer,
             leaving=context.leaving,
--- /dev/null
+++ b/rosechute/coordination/lease_grantor.py
@@ -0,0 +1,151 @@
+"""Grants of the leader lease by this acceptor (leases: Gray & Cheriton, 1989).
+
+A grant binds the grantor for the length of one lease on its steady clock. A grantor binds itself to one process at a
+time, grants within one epoch only, and grants nothing once that epoch is sealed.
+
+Restart: a grantor does not know for how long its last grant runs, but its disk tells to whom it was given, since the
+grantee is synced before the first grant to it. Only that machine may be granted the lease at once; others wait for
+the length of one lease. A machine that has just become an acceptor knows of no grants at all and lets everybody wait.
+The grantee of a renewal there is written together with the next record, without a sync of its own: nothing depends on
+it, and the sync would delay writes.
+
+A grant for a new term carries the newest term that the grantor had synced before. Every term that was gained had been
+synced by a majority, and a new view starts with the newest term among the promises for it. So the greatest previous
+term among the grants of a majority is no smaller than the last term that was gained (see `leader_lease`).
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+
+from rosechute.coordination.context import Context
+from rosechute.coordination.types import Identity
+from rosechute.coordination.views import LeaderTerm
+from rosechute.messages import coordination_pb2 as pb
+
+
+@dataclass(slots=True)
+class LeaseGrantor:
+    """The grants of this machine.
+
+    Attributes:
+        context: what the parts of a replica share.
+        abstain_until: until then only `restored_grantee` is granted the lease, as older grants may still run.
+        granted_term: term and process that hold the current grant.
+        granted_until: end of the current grant on this machine's clock, in seconds.
+        restored_grantee: machine to which the previous process of this machine granted the lease; may be empty.
+    """
+
+    context: Context
+    abstain_until: float
+    granted_term: LeaderTerm = LeaderTerm()
+    granted_until: float = 0.0
+    restored_grantee: str = ""
+    _previous: tuple[LeaderTerm, int] = (LeaderTerm(), 0)  # newest term this process synced, number of the one before
+    _record_number: int = 0  # of the newest record with a term or a grantee
+
+    def is_free(self) -> bool:
+        """Return whether any machine could be granted the lease now."""
+        context = self.context
+        is_bound = context.now < max(self.granted_until, self.abstain_until)
+        return context.is_acceptor and context.settled and not is_bound
+
+    def reserved_for(self) -> str:
+        """Return the id of the only machine that could be granted the lease now; empty for none, or for any."""
+        context = self.context
+        if not context.is_acceptor or not context.settled:
+            return ""
+        if context.now < self.granted_until:
+            return self.granted_term.holder
+        return self.restored_grantee if context.now < self.abstain_until else ""
+
+    def abstain(self) -> None:
+        """Grant nothing for the length of one lease, as grants may run elsewhere that this machine does not know."""
+        self.restored_grantee = ""
+        self.context.record_writer.defer(None)  # a deferred grantee of an older view says nothing of this one
+        self.abstain_until = max(self.abstain_until, self.context.now + self.context.timing.lease)
+
+    def on_request(self, sender: Identity, incarnation: int, request: pb.LeaseRequest) -> None:
+        """Grant or renew the lease for a candidate or leader, once what the grant depends on is synced."""
+        context = self.context
+        requested = LeaderTerm(request.term, sender.id, incarnation)
+        if not self._may_grant(sender, request, requested):
+            return
+        self.granted_term, self.granted_until = requested, context.now + context.timing.lease
+        if context.memory.grantee != sender.id:
+            self._save_grantee(sender, request)
+        if not request.renewal and requested != context.memory.term:
+            self._previous = requested, context.memory.term.number
+            self._write_record(pb.Record(term=requested.to_message()))
+        context.record_writer.call_when_synced(self._record_number, partial(self._grant, sender, request, requested))
+
+    def _save_grantee(self, sender: Identity, request: pb.LeaseRequest) -> None:
+        memory, writer = self.context.memory, self.context.record_writer
+        record = pb.Record(grantee=pb.GranteeRecord(holder=sender.id, number=memory.grantee_number + 1))
+        if request.renewal and not memory.grantee:
+            writer.defer(record)
+        else:
+            self._write_record(record)
+
+    def _write_record(self, record: pb.Record) -> None:
+        self.context.record_writer.write(record)
+        self._record_number = self.context.record_writer.last_number
+
+    def on_release(self, sender: Identity, incarnation: int, release: pb.LeaseRelease) -> None:
+        """Take a grant back from the process that releases it, so that others can be granted the lease at once."""
+        if self.granted_term == LeaderTerm(release.term, sender.id, incarnation):
+            self.granted_term, self.granted_until = LeaderTerm(), min(self.granted_until, self.context.now)
+            self.context.announce = True
+
+    def _may_grant(self, sender: Identity, request: pb.LeaseRequest, requested: LeaderTerm) -> bool:
+        context, memory = self.context, self.context.memory
+        if request.epoch != memory.view.epoch or not context.is_acceptor or not context.settled:
+            return False
+        if context.now < self.abstain_until and sender.id != self.restored_grantee:
+            return False
+        if not context.failure_detector.is_reachable(context.now, sender.id):
+            return False
+        if context.now < self.granted_until and self.granted_term.holder != sender.id:
+            return False
+        # A term is gained once, by a majority that has synced it for one process; a renewal gains no term.
+        return request.renewal or requested == memory.term or requested.number > memory.term.number
+
+    def _grant(self, sender: Identity, request: pb.LeaseRequest, requested: LeaderTerm) -> None:
+        """Send the grant, unless the epoch or the grantee has changed while its records were synced."""
+        context = self.context
+        if not context.settled or context.memory.view.epoch != request.epoch:
+            return
+        if self.granted_term != requested or not (request.renewal or context.memory.term == requested):
+            return
+        self.granted_until = context.now + context.timing.lease
+        grant = pb.LeaseGrant(
+            epoch=request.epoch,
+            term=request.term,
+            stamp=request.stamp,
+            boot=requested.incarnation,
+            previous=self._previous[1] if self._previous[0] == requested else request.term,
+        )
+        context.outbox.send(sender, pb.CoreMessage(lease_grant=grant))
+
+
+def count_available_grantors(context: Context, grantor: LeaseGrantor) -> int:
+    """Return how many acceptors would grant this machine the lease, by their newest heartbeats.
+
+    Args:
+        context: what the parts of the replica share.
+        grantor: the grantor of this machine.
+    """
+    return sum(_is_available(context, grantor, acceptor) for acceptor in context.memory.view.acceptors)
+
+
+def _is_available(context: Context, grantor: LeaseGrantor, acceptor: Identity) -> bool:
+    """Return whether one acceptor would grant this machine the lease."""
+    if acceptor.id == context.own.id:
+        return grantor.is_free() or grantor.reserved_for() == context.own.id
+    peer = context.failure_detector.peers.get(acceptor.id)
+    if peer is None or not context.failure_detector.is_reachable(context.now, acceptor.id):
+        return False
+    if peer.heartbeat.epoch != context.memory.view.epoch:
+        return False
+    return peer.heartbeat.lease_free or peer.heartbeat.lease_kept_for == context.own.id
--- a/rosechute/coordination/membership.py
+++ b/rosechute/coordination/membership.py
@@ -9,11 +9,12 @@
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.confirm import Confirmer
 from rosechute.coordination.context import Context
-from rosechute.coordination.lease import Grantor, Holder
+from rosechute.coordination.leader_lease import LeaderLease
+from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.planning import Joiner, Situation, any_view, needed_view
 from rosechute.coordination.proposer import Phase, Proposer
 from rosechute.coordination.types import Identity
-from rosechute.coordination.views import Ballot, Proposal, State, View, ballot_of, state_of, view_of
+from rosechute.coordination.views import Ballot, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
 FETCH_PAUSE_S = 0.1
@@ -28,31 +29,31 @@
         acceptor: Acceptor,
         chain: Chain,
         confirmer: Confirmer,
-        grantor: Grantor,
-        holder: Holder,
+        grantor: LeaseGrantor,
+        holder: LeaderLease,
         committed: Callable[[], None],
     ) -> None:
         self._context = context
         self._acceptor = acceptor
         self._chain = chain
         self._confirmer = confirmer
-        self._grantor = grantor
-        self._holder = holder
+        self._lease_grantor = grantor
+        self._leader_lease = holder
         self._committed = committed
         self._last_fetch = 0.0
         self.proposer = Proposer(context, self._choose_view, self._on_decision)
 
-    def adopt(self, view: View, state: State, accepted: Ballot | None = None) -> None:
+    def adopt(self, view: View, state: RegisterState, accepted: Ballot | None = None) -> None:
         """Take over a decided view with its state."""
         context = self._context
         joins = context.memory.joins(view)
         if accepted is not None:
-            record = pb.AdoptRecord(accepted=accepted.message())
+            record = pb.AdoptRecord(accepted=accepted.to_message())
         else:
-            record = pb.AdoptRecord(view=view.message(), state=state.message())
-        context.disk.write(pb.Record(adopt=record), partial(self._adopted, view.epoch))
+            record = pb.AdoptRecord(view=view.to_message(), state=state.to_message())
+        context.record_writer.write(pb.Record(adopt=record), partial(self._adopted, view.epoch))
         if joins:
-            self._grantor.abstain()
+            self._lease_grantor.abstain()
         self._committed()
         self.proposer.stop()
         self._chain.view_changed()
@@ -75,15 +76,15 @@
         if context.joined != view.epoch or not context.settled:
             return
         for member in view.chain[1:]:
-            peer = context.detector.peers.get(member)
-            if peer is None or peer.beat.epoch != view.epoch or not peer.beat.joined:
+            peer = context.failure_detector.peers.get(member)
+            if peer is None or peer.heartbeat.epoch != view.epoch or not peer.heartbeat.joined:
                 return
         self._chain.activate()
 
     def on_chosen(self, chosen: pb.Chosen) -> None:
         """The proposal of this ballot is decided."""
         memory = self._context.memory
-        ballot = ballot_of(chosen.ballot)
+        ballot = Ballot.from_message(chosen.ballot)
         if chosen.epoch != memory.view.epoch or memory.accepted is None or memory.accepted.ballot != ballot:
             return
         self.adopt(memory.accepted.view, memory.accepted.state, ballot)
@@ -93,10 +94,10 @@
         context, memory = self._context, self._context.memory
         view, state = decided.view, decided.state
         if view.epoch > memory.view.epoch:
-            self.adopt(view_of(view), state_of(state))
+            self.adopt(View.from_message(view), RegisterState.from_message(state))
         elif not context.in_chain and (view.epoch, state.sequence) > (memory.view.epoch, memory.newest.sequence):
             # Members of the chain get writes in order, through the chain.
-            context.disk.write(pb.Record(learn=pb.LearnRecord(state=state)))
+            context.record_writer.write(pb.Record(learn=pb.LearnRecord(state=state)))
             self._committed()
 
     def fetch_if_behind(self, sender: Identity, beat: pb.Heartbeat) -> None:
@@ -113,7 +114,7 @@
         """Another machine lacks what this one has."""
         memory = self._context.memory
         if (memory.view.epoch, memory.committed.sequence) > (fetch.epoch, fetch.sequence):
-            decided = pb.Decided(view=memory.view.message(), state=memory.committed.message())
+            decided = pb.Decided(view=memory.view.to_message(), state=memory.committed.to_message())
             self._context.outbox.send(sender, pb.CoreMessage(decided=decided))
 
     def tick(self) -> None:
@@ -127,7 +128,7 @@
         context = self._context
         if self.proposer.phase is not Phase.IDLE or not context.is_acceptor or not context.healthy:
             return
-        if self._holder.holds(context.now):
+        if self._leader_lease.is_held(context.now):
             if context.memory.sealed or needed_view(context.memory.view, self._situation()) is not None:
                 self.proposer.begin()
         elif context.memory.sealed:
@@ -142,36 +143,36 @@
         situation = self._situation()
         chosen = any_view(view, situation, answering)
         for member in view.chain:
-            if member not in chosen.chain and not context.detector.healthy(member):
-                context.detector.removed(context.now, member)
+            if member not in chosen.chain and not context.failure_detector.is_healthy(member):
+                context.failure_detector.record_removal(context.now, member)
         return chosen
 
     def _on_decision(self, proposal: Proposal) -> None:
-        self.on_chosen(pb.Chosen(epoch=proposal.view.epoch - 1, ballot=proposal.ballot.message()))
+        self.on_chosen(pb.Chosen(epoch=proposal.view.epoch - 1, ballot=proposal.ballot.to_message()))
         if self._context.memory.view.epoch < proposal.view.epoch:
             self.adopt(proposal.view, proposal.state)
 
     def _situation(self) -> Situation:
         context = self._context
-        detector, view, now = context.detector, context.memory.view, context.now
+        detector, view, now = context.failure_detector, context.memory.view, context.now
         usable, restarted, joiners = {context.own.id}, set(), []
         leaving, returning = set(), set()
         for machine_id, peer in detector.peers.items():
-            if peer.beat.leaving and detector.reaches(now, machine_id):
+            if peer.heartbeat.leaving and detector.is_reachable(now, machine_id):
                 leaving.add(machine_id)
-            if peer.healthy:
+            if peer.is_healthy:
                 returning.add(machine_id)
-            stays = machine_id in view.chain and peer.healthy
-            if stays or detector.settled(now, machine_id):
+            stays = machine_id in view.chain and peer.is_healthy
+            if stays or detector.is_readmittable(now, machine_id):
                 usable.add(machine_id)
-                if not view.accepts(machine_id):
-                    joiners.append(Joiner(peer.identity, peer.beat.newcomer))
-            if peer.healthy and peer.beat.epoch == view.epoch and not peer.beat.joined:
+                if not view.is_acceptor(machine_id):
+                    joiners.append(Joiner(peer.identity, peer.heartbeat.newcomer))
+            if peer.is_healthy and peer.heartbeat.epoch == view.epoch and not peer.heartbeat.joined:
                 restarted.add(machine_id)
         if context.joined != view.epoch and context.adopted == view.epoch:
             restarted.add(context.own.id)
         for member in view.chain:
-            if detector.silent_for(now, member) < context.timing.suspect and member not in detector.peers:
+            if detector.silence_s(now, member) < context.timing.suspect and member not in detector.peers:
                 usable.add(member)  # not heard yet since this machine started
         return Situation(
             own=context.own.id,
@@ -181,15 +182,15 @@
             details=self._details,
             leaving=leaving,
             returning=returning,
-            silent_for=partial(detector.silent_for, now),
+            silence_s=partial(detector.silence_s, now),
             silent_removed=context.timing.silent_removed,
             suspect=context.timing.suspect,
-            conflicts=detector.conflicts(now),
-            granting=self._holder.granting(),
+            conflicts=detector.unreachable_pairs(now),
+            granting=self._leader_lease.count_granting_acceptors(),
         )
 
     def _details(self, machine_id: str) -> Identity | None:
         if machine_id == self._context.own.id:
             return self._context.own
-        peer = self._context.detector.peers.get(machine_id)
+        peer = self._context.failure_detector.peers.get(machine_id)
         return peer.identity if peer is not None else None
--- a/rosechute/coordination/memory.py
+++ b/rosechute/coordination/memory.py
@@ -13,17 +13,12 @@
 from rosechute.coordination.types import Identity
 from rosechute.coordination.views import (
     Ballot,
+    LeaderTerm,
     Proposal,
-    State,
-    Term,
+    RegisterState,
     View,
-    ballot_of,
-    identity_of,
-    machine_of,
-    proposal_of,
-    state_of,
-    term_of,
-    view_of,
+    identity_from_message,
+    identity_to_message,
 )
 from rosechute.messages import coordination_pb2 as pb
 
@@ -35,7 +30,7 @@
     term: int = 0  # 0: nothing was noted
     edges: frozenset[str] = frozenset()
 
-    def message(self) -> pb.RateLeaseHoldersRecord:
+    def to_message(self) -> pb.RateLeaseHoldersRecord:
         """As a message."""
         return pb.RateLeaseHoldersRecord(term=self.term, edges=sorted(self.edges))
 
@@ -47,11 +42,11 @@
     machine: Identity | None = None
     newcomer: bool = False  # started with the system, and not an acceptor so far
     view: View = View()
-    committed: State = State()
-    written: State | None = None
+    committed: RegisterState = RegisterState()
+    written: RegisterState | None = None
     promised: Ballot | None = None  # for the view after `view`: the epoch is sealed
     accepted: Proposal | None = None
-    term: Term = Term()
+    term: LeaderTerm = LeaderTerm()
     grantee: str = ""  # to whom the newest grant of the leader lease was given; empty before the first as acceptor
     grantee_number: int = 0  # of the record that told
     holders: RateLeaseHolders = RateLeaseHolders()
@@ -62,14 +57,14 @@
         return self.promised is not None
 
     @property
-    def newest(self) -> State:
+    def newest(self) -> RegisterState:
         """The state with the greatest tag."""
         return self.written or self.committed
 
     def joins(self, view: View) -> bool:
         """Whether this machine was no acceptor right before that view, or can't tell: it knows of no grants there."""
         own = self.machine.id if self.machine is not None else ""
-        return view.epoch != self.view.epoch + 1 or not self.view.accepts(own)
+        return view.epoch != self.view.epoch + 1 or not self.view.is_acceptor(own)
 
     def commit(self) -> None:
         """The write in `written` is known to stay. A later record implies this, so that it needs none of its own."""
@@ -82,17 +77,17 @@
         if kind == "machine":
             self._apply_machine(record.machine)
         elif kind == "promise":
-            self._apply_promise(record.promise.epoch, ballot_of(record.promise.ballot))
+            self._apply_promise(record.promise.epoch, Ballot.from_message(record.promise.ballot))
         elif kind == "accepted":
-            self._apply_accepted(proposal_of(record.accepted))
+            self._apply_accepted(Proposal.from_message(record.accepted))
         elif kind == "adopt":
             self._apply_adopt(record.adopt)
         elif kind == "write":
             self._apply_write(record.write)
         elif kind == "learn":
-            self._apply_learn(state_of(record.learn.state))
+            self._apply_learn(RegisterState.from_message(record.learn.state))
         elif kind == "term":
-            self._apply_term(term_of(record.term))
+            self._apply_term(LeaderTerm.from_message(record.term))
         elif kind == "grantee":
             self._apply_grantee(record.grantee)
         elif kind == "rate_lease_holders":
@@ -102,7 +97,7 @@
 
     def _apply_machine(self, record: pb.MachineRecord) -> None:
         if self.machine is None:  # the first record of a disk; again only behind a whole record that knows more
-            self.machine, self.newcomer = identity_of(record.machine), record.newcomer
+            self.machine, self.newcomer = identity_from_message(record.machine), record.newcomer
 
     def _apply_promise(self, epoch: int, ballot: Ballot) -> None:
         if epoch == self.view.epoch and (self.promised is None or ballot > self.promised):
@@ -112,29 +107,29 @@
         if proposal.view.epoch == self.view.epoch + 1 and (self.promised is None or proposal.ballot >= self.promised):
             self.promised, self.accepted = proposal.ballot, proposal
 
-    def _apply_learn(self, state: State) -> None:
+    def _apply_learn(self, state: RegisterState) -> None:
         if state.epoch == self.view.epoch and state.sequence > self.newest.sequence:
             self.committed, self.written = state, None
 
-    def _apply_term(self, term: Term) -> None:
+    def _apply_term(self, term: LeaderTerm) -> None:
         if term.number > self.term.number:
             self.term = term
 
     def _apply_adopt(self, record: pb.AdoptRecord) -> None:
         accepted = self.accepted
         if record.HasField("accepted"):
-            if accepted is None or accepted.ballot != ballot_of(record.accepted):
+            if accepted is None or accepted.ballot != Ballot.from_message(record.accepted):
                 return  # its proposal is not on this disk: only records that were never relied on
             view, state = accepted.view, accepted.state
         else:
-            view, state = view_of(record.view), state_of(record.state)
+            view, state = View.from_message(record.view), RegisterState.from_message(record.state)
         if view.epoch <= self.view.epoch:
             return
         if self.joins(view):
             self.grantee = ""
         self.view, self.committed, self.written = view, state, None
         self.promised, self.accepted = None, None
-        self.newcomer = self.newcomer and not (self.machine is not None and view.accepts(self.machine.id))
+        self.newcomer = self.newcomer and not (self.machine is not None and view.is_acceptor(self.machine.id))
         self._apply_term(view.term)
 
     def _apply_write(self, record: pb.ChainWrite) -> None:
@@ -142,7 +137,7 @@
             return
         configuration = record.configuration
         self.commit()
-        self.written = self.committed.after(
+        self.written = self.committed.with_write(
             record.epoch, configuration.version, configuration.body, configuration.digest
         )
 
@@ -155,14 +150,14 @@
             self.holders = RateLeaseHolders(record.term, frozenset(record.edges))
 
     def _apply_whole(self, record: pb.WholeRecord) -> None:
-        self.machine, self.newcomer = identity_of(record.machine.machine), record.machine.newcomer
-        self.view = view_of(record.view)
-        self.committed, self.written = state_of(record.committed), None
+        self.machine, self.newcomer = identity_from_message(record.machine.machine), record.machine.newcomer
+        self.view = View.from_message(record.view)
+        self.committed, self.written = RegisterState.from_message(record.committed), None
         if record.HasField("written"):
             self._apply_write(record.written)
-        self.promised = ballot_of(record.promised) if record.HasField("promised") else None
-        self.accepted = proposal_of(record.accepted) if record.HasField("accepted") else None
-        self.term = term_of(record.term)
+        self.promised = Ballot.from_message(record.promised) if record.HasField("promised") else None
+        self.accepted = Proposal.from_message(record.accepted) if record.HasField("accepted") else None
+        self.term = LeaderTerm.from_message(record.term)
         self.grantee, self.grantee_number = record.grantee.holder, record.grantee.number
         noted = record.rate_lease_holders
         self.holders = RateLeaseHolders(noted.term, frozenset(noted.edges))
@@ -170,24 +165,26 @@
     def whole(self) -> pb.Record:
         """One record that replaces all earlier ones."""
         whole = pb.WholeRecord(
-            view=self.view.message(),
-            committed=self.committed.message(),
-            term=self.term.message(),
+            view=self.view.to_message(),
+            committed=self.committed.to_message(),
+            term=self.term.to_message(),
             grantee=pb.GranteeRecord(holder=self.grantee, number=self.grantee_number),
-            rate_lease_holders=self.holders.message(),
+            rate_lease_holders=self.holders.to_message(),
         )
         if self.machine is not None:
-            whole.machine.CopyFrom(pb.MachineRecord(machine=machine_of(self.machine), newcomer=self.newcomer))
+            whole.machine.CopyFrom(
+                pb.MachineRecord(machine=identity_to_message(self.machine), newcomer=self.newcomer)
+            )
         if self.written is not None:
             whole.written.CopyFrom(write_message(self.written))
         if self.promised is not None:
-            whole.promised.CopyFrom(self.promised.message())
+            whole.promised.CopyFrom(self.promised.to_message())
         if self.accepted is not None:
-            whole.accepted.CopyFrom(self.accepted.message())
+            whole.accepted.CopyFrom(self.accepted.to_message())
         return pb.Record(whole=whole)
 
 
-def write_message(state: State) -> pb.ChainWrite:
+def write_message(state: RegisterState) -> pb.ChainWrite:
     """The chain write that leads to this state."""
     configuration = pb.Configuration(version=state.version, body=state.body, digest=state.digest)
     return pb.ChainWrite(epoch=state.epoch, sequence=state.sequence, configuration=configuration)
--- a/rosechute/coordination/outbox.py
+++ b/rosechute/coordination/outbox.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from rosechute.coordination.types import Action, Answer, Identity, Outcome, Send
-from rosechute.coordination.views import machine_of
+from rosechute.coordination.views import identity_to_message
 from rosechute.messages import coordination_pb2 as pb
 
 
@@ -15,7 +15,7 @@
     """Actions of the current call. Messages to this machine itself are handled within the same call."""
 
     own: Identity
-    boot: int
+    incarnation: int
     actions: list[Action] = field(default_factory=list)
     local: deque[pb.CoreMessage] = field(default_factory=deque)
 
@@ -43,5 +43,5 @@
         return actions
 
     def _sign(self, message: pb.CoreMessage) -> None:
-        message.sender.CopyFrom(machine_of(self.own))
-        message.boot = self.boot
+        message.sender.CopyFrom(identity_to_message(self.own))
+        message.boot = self.incarnation
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -29,7 +29,7 @@
     details: Callable[[str], Identity | None]  # newest identity of a machine: the first view knows addresses only
     leaving: Collection[str]  # acceptors whose processes are about to end
     returning: Collection[str]  # healthy, but not for long enough: in the chain only where it lacks a majority
-    silent_for: Callable[[str], float]
+    silence_s: Callable[[str], float]
     silent_removed: float
     suspect: float
     conflicts: Collection[tuple[str, str]]
@@ -82,8 +82,8 @@
     ending = next((each for each in view.acceptors if each.id in situation.leaving), None)
     if ending is not None:  # the others need not count on it, neither now nor once it has ended
         return _without(view, ending)
-    longest = max(view.acceptors, key=lambda each: situation.silent_for(each.id))
-    if situation.silent_for(longest.id) < situation.silent_removed:
+    longest = max(view.acceptors, key=lambda each: situation.silence_s(each.id))
+    if situation.silence_s(longest.id) < situation.silent_removed:
         return None
     return _without(view, longest)
 
@@ -95,13 +95,13 @@
 def _join(view: View, joiner: Joiner, situation: Situation) -> View | None:
     identity = joiner.identity
     for old in view.acceptors:
-        gone = situation.silent_for(old.id) >= situation.suspect
+        gone = situation.silence_s(old.id) >= situation.suspect
         wiped = old.control_address == identity.control_address
         if wiped or (gone and old.name and old.name == identity.name):
             replaced = tuple(identity if each.id == old.id else each for each in view.acceptors)
             return replace(view, acceptors=replaced)
-    longest = max(view.acceptors, key=lambda each: situation.silent_for(each.id))
-    if not joiner.newcomer and situation.silent_for(longest.id) >= situation.silent_removed:
+    longest = max(view.acceptors, key=lambda each: situation.silence_s(each.id))
+    if not joiner.newcomer and situation.silence_s(longest.id) >= situation.silent_removed:
         replaced = tuple(identity if each.id == longest.id else each for each in view.acceptors)
         return replace(view, acceptors=replaced)
     grown = replace(view, acceptors=(*view.acceptors, identity), size=view.size + joiner.newcomer)
--- a/rosechute/coordination/proposer.py
+++ b/rosechute/coordination/proposer.py
@@ -12,17 +12,7 @@
 
 from rosechute.coordination.context import Context
 from rosechute.coordination.types import Identity
-from rosechute.coordination.views import (
-    Ballot,
-    Proposal,
-    State,
-    Term,
-    View,
-    ballot_of,
-    proposal_of,
-    state_of,
-    term_of,
-)
+from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
 PAUSE_LEAST_S = 0.05  # between two proposals of a machine
@@ -40,8 +30,8 @@
 @dataclass(slots=True)
 class _Promise:
     accepted: Proposal | None
-    state: State
-    term: Term
+    state: RegisterState
+    term: LeaderTerm
 
 
 @dataclass(slots=True)
@@ -50,17 +40,17 @@
     ballot: Ballot
     since: float
     sent: float
-    own_state: State
+    own_state: RegisterState
     promises: dict[str, _Promise] = field(default_factory=dict)
     proposal: Proposal | None = None
     accepted: set[str] = field(default_factory=set)
 
 
-def _newest_term(terms: list[Term]) -> Term:
+def _newest_term(terms: list[LeaderTerm]) -> LeaderTerm:
     """The highest term; without a holder where two machines have asked for it."""
     number = max(each.number for each in terms)
     holders = {each for each in terms if each.number == number}
-    return holders.pop() if len(holders) == 1 else Term(number)
+    return holders.pop() if len(holders) == 1 else LeaderTerm(number)
 
 
 class Proposer:
@@ -94,7 +84,7 @@
         memory = context.memory
         promised = memory.promised.round if memory.promised is not None else 0
         self._highest = max(self._highest, promised) + 1
-        ballot = Ballot(self._highest, context.own.id, context.boot)
+        ballot = Ballot(self._highest, context.own.id, context.incarnation)
         self._round = _Round(memory.view.epoch, ballot, context.now, context.now, memory.newest)
         self._send_prepare(self._round)
 
@@ -123,9 +113,9 @@
         current = self._matching(sender, promise.epoch, promise.ballot)
         if current is None or current.proposal is not None:
             return
-        accepted = proposal_of(promise.accepted) if promise.HasField("accepted") else None
-        state = state_of(promise.state) if promise.HasField("state") else current.own_state
-        current.promises[sender.id] = _Promise(accepted, state, term_of(promise.term))
+        accepted = Proposal.from_message(promise.accepted) if promise.HasField("accepted") else None
+        state = RegisterState.from_message(promise.state) if promise.HasField("state") else current.own_state
+        current.promises[sender.id] = _Promise(accepted, state, LeaderTerm.from_message(promise.term))
         if len(current.promises) >= self._context.memory.view.majority:
             current.proposal = self._value(current)
             current.sent = self._context.now
@@ -145,16 +135,20 @@
     def on_refused(self, refused: pb.Refused) -> None:
         """An acceptor has promised a higher ballot."""
         current = self._round
-        promised = ballot_of(refused.promised)
+        promised = Ballot.from_message(refused.promised)
         self._highest = max(self._highest, promised.round)
-        if current is not None and current.epoch == refused.epoch and current.ballot == ballot_of(refused.ballot):
+        if (
+            current is not None
+            and current.epoch == refused.epoch
+            and current.ballot == Ballot.from_message(refused.ballot)
+        ):
             self._give_up()
 
     def _matching(self, sender: Identity, epoch: int, ballot: pb.Ballot) -> _Round | None:
         current, view = self._round, self._context.memory.view
         if current is None or epoch != current.epoch or epoch != view.epoch:
             return None
-        return current if ballot_of(ballot) == current.ballot and view.accepts(sender.id) else None
+        return current if Ballot.from_message(ballot) == current.ballot and view.is_acceptor(sender.id) else None
 
     def _value(self, current: _Round) -> Proposal:
         """The proposal that may be decided already, else a new one from the newest state that was promised."""
@@ -164,7 +158,7 @@
         state = max((each.state for each in current.promises.values()), key=lambda each: each.tag)
         term = _newest_term([each.term for each in current.promises.values()])
         view = replace(self._choose(set(current.promises)), base_tag=state.tag, term=term)
-        return Proposal(current.ballot, view, state.in_epoch(view.epoch))
+        return Proposal(current.ballot, view, state.with_epoch(view.epoch))
 
     def _send_prepare(self, current: _Round) -> None:
         for acceptor in self._context.memory.view.acceptors:
@@ -172,7 +166,7 @@
                 epoch, sequence = current.own_state.tag
                 prepare = pb.Prepare(
                     epoch=current.epoch,
-                    ballot=current.ballot.message(),
+                    ballot=current.ballot.to_message(),
                     state_epoch=epoch,
                     state_sequence=sequence,
                 )
@@ -180,7 +174,7 @@
 
     def _send_accept(self, current: _Round) -> None:
         assert current.proposal is not None
-        message = current.proposal.message()
+        message = current.proposal.to_message()
         for acceptor in self._context.memory.view.acceptors:
             if acceptor.id not in current.accepted:
                 accept = pb.Accept(epoch=current.epoch, proposal=message)
@@ -193,10 +187,10 @@
             if acceptor.id == self._context.own.id:
                 continue
             if acceptor.id in current.accepted:
-                chosen = pb.Chosen(epoch=current.epoch, ballot=current.ballot.message())
+                chosen = pb.Chosen(epoch=current.epoch, ballot=current.ballot.to_message())
                 self._context.outbox.send(acceptor, pb.CoreMessage(chosen=chosen))
             else:
-                decided = pb.Decided(view=proposal.view.message(), state=proposal.state.message())
+                decided = pb.Decided(view=proposal.view.to_message(), state=proposal.state.to_message())
                 self._context.outbox.send(acceptor, pb.CoreMessage(decided=decided))
 
     def _give_up(self) -> None:
--- /dev/null
+++ b/rosechute/coordination/record_writer.py
@@ -0,0 +1,157 @@
+"""Write-ahead log of a replica: which records are on their way to the disk, which are synced, and whether it works.
+
+Every change of the durable state is a record. Records are numbered; whatever depends on a record waits until all
+records up to its number are synced. After a failed write nothing that was written later counts until the whole state
+has been written again, since the disk may hold any part of the failed batch.
+
+The writer does no input or output itself: `flush` returns the batch to write, and the runtime reports its outcome by
+`on_persisted` or `on_persist_failed`.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from rosechute.coordination.memory import Memory
+from rosechute.coordination.types import Persist, Timing
+from rosechute.messages import coordination_pb2 as pb
+
+
+@dataclass(slots=True)
+class _Batch:
+    """Records that were handed to the disk together."""
+
+    token: int
+    last_number: int  # number of its newest record
+    started_at: float
+    is_probe: bool  # written only to see whether the disk works
+
+
+@dataclass(slots=True)
+class RecordWriter:
+    """Records on their way to the disk. Times are of the machine's steady clock, in seconds.
+
+    Attributes:
+        timing: time-outs.
+        memory: the replica's state, to which each record is applied when it is written.
+        replace_next: whether the next batch replaces all records on the disk.
+        last_number: number of the newest record.
+        synced_number: all records up to this number are synced.
+        has_failed: whether a write failed and the whole state has not been handed to the disk since.
+        is_suspect: whether the disk failed or hung, until a probe shows that it works.
+    """
+
+    timing: Timing
+    memory: Memory
+    replace_next: bool = False
+    last_number: int = 0
+    synced_number: int = 0
+    has_failed: bool = False
+    is_suspect: bool = False
+    _token: int = 0  # of the newest batch
+    _next_retry_at: float = 0.0
+    _unwritten: list[bytes] = field(default_factory=list)
+    _deferred: pb.Record | None = None  # written together with the next record, without a sync of its own
+    _is_probe_unwritten: bool = False
+    _batches: deque[_Batch] = field(default_factory=deque)  # in flight, oldest first
+    _callbacks: deque[tuple[int, Callable[[], None]]] = field(default_factory=deque)  # with the number waited for
+
+    def write(self, record: pb.Record, callback: Callable[[], None] | None = None) -> None:
+        """Apply a record to the state and queue it for the disk.
+
+        Args:
+            record: the change.
+            callback: called once the record is synced.
+        """
+        self.memory.apply(record)
+        self.last_number += 1
+        if not self.has_failed:
+            self._unwritten.append(record.SerializeToString())
+        if callback is not None:
+            self.call_when_synced(self.last_number, callback)
+
+    def defer(self, record: pb.Record | None) -> None:
+        """Write a record together with the next one; nothing may wait for it.
+
+        Args:
+            record: replaces the record of an earlier call; None drops that.
+        """
+        self._deferred = record
+
+    def call_when_synced(self, number: int, callback: Callable[[], None]) -> None:
+        """Call back once all records up to this number are synced; at once where they are."""
+        if number <= self.synced_number:
+            callback()
+        else:
+            self._callbacks.append((number, callback))
+
+    def flush(self, now: float) -> Persist | None:
+        """Return the next batch to write, or None where there is nothing to write."""
+        if not self._unwritten:
+            return None
+        if self._deferred is not None:
+            deferred, self._deferred = self._deferred, None
+            self.write(deferred)
+        records, self._unwritten = self._unwritten, []
+        is_probe, self._is_probe_unwritten = self._is_probe_unwritten, False
+        self._token += 1
+        self._batches.append(_Batch(self._token, self.last_number, now, is_probe))
+        replaces, self.replace_next = self.replace_next, False
+        return Persist(self._token, records, replaces)
+
+    def oldest_write_age_s(self, now: float) -> float:
+        """Return for how many seconds the oldest batch has been in flight; 0 where none is."""
+        return now - self._batches[0].started_at if self._batches else 0.0
+
+    def is_healthy(self) -> bool:
+        """Return whether other machines may rely on this disk."""
+        return not (self.has_failed or self.is_suspect)
+
+    def tick(self, now: float) -> None:
+        """Suspect a disk that hangs; retry or probe one that failed or hung."""
+        if self.oldest_write_age_s(now) > self.timing.suspect:
+            self.is_suspect = True
+        if self._batches or self._unwritten or now < self._next_retry_at:
+            return
+        if self.has_failed:
+            self._next_retry_at = now + self.timing.disk_retry
+            self._rewrite()
+        elif self.is_suspect:
+            self._next_retry_at = now + self.timing.disk_retry
+            self._probe()
+
+    def _rewrite(self) -> None:
+        """Queue the whole state, which replaces all records on the disk."""
+        self.has_failed = False
+        self.replace_next = True
+        self._unwritten.append(self.memory.whole().SerializeToString())
+
+    def _probe(self) -> None:
+        """Queue a record that changes nothing, to see how long its sync takes."""
+        self._is_probe_unwritten = True
+        self._unwritten.append(pb.Record(probe=pb.ProbeRecord()).SerializeToString())
+
+    def on_persisted(self, now: float, token: int) -> None:
+        """Mark the batch of this token and all older ones as synced, and call back whatever waited for them."""
+        batch: _Batch | None = None
+        while self._batches and self._batches[0].token <= token:
+            batch = self._batches.popleft()
+        if batch is None:
+            return
+        if batch.is_probe and now - batch.started_at <= self.timing.disk_healthy:
+            self.is_suspect = False
+        self.synced_number = max(self.synced_number, batch.last_number)
+        while self._callbacks and self._callbacks[0][0] <= self.synced_number:
+            self._callbacks.popleft()[1]()
+
+    def on_persist_failed(self, now: float, token: int) -> None:
+        """Discard all batches in flight, as the disk refused the one of this token."""
+        if not any(batch.token == token for batch in self._batches):
+            return
+        self._batches.clear()
+        self._unwritten.clear()
+        self.has_failed = True
+        self.is_suspect = True
+        self._next_retry_at = now + self.timing.disk_retry
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -9,14 +9,15 @@
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.confirm import Confirmer
 from rosechute.coordination.context import Context
-from rosechute.coordination.detector import Detector
-from rosechute.coordination.disk import Disk
+from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.coordination.freshness import Freshness
 from rosechute.coordination.heartbeats import Heartbeats
-from rosechute.coordination.lease import Grantor, Holder
+from rosechute.coordination.leader_lease import LeaderLease
+from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.membership import Membership
 from rosechute.coordination.memory import RateLeaseHolders, load
 from rosechute.coordination.outbox import Outbox
+from rosechute.coordination.record_writer import RecordWriter
 from rosechute.coordination.types import (
     Action,
     Committed,
@@ -26,11 +27,19 @@
     Order,
     ReplicaConfig,
 )
-from rosechute.coordination.views import State, View, bootstrap_id, first_view, identity_of, machine_of, random_id
+from rosechute.coordination.views import (
+    RegisterState,
+    View,
+    bootstrap_id,
+    bootstrap_view,
+    identity_from_message,
+    identity_to_message,
+    random_id,
+)
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
 
-BOOT_BITS = 53
+INCARNATION_BITS = 53
 LEADER_MEMORY_S = 1.2  # a claim to lead is believed for so long
 
 
@@ -42,24 +51,24 @@
         memory = load(saved)
         self._empty = memory.machine is None
         own = self._identity(config, memory.machine, draw)
-        boot = int(draw() * 2**BOOT_BITS) + 1
+        incarnation = int(draw() * 2**INCARNATION_BITS) + 1
         context = Context(
             own=own,
-            boot=boot,
+            incarnation=incarnation,
             timing=config.timing,
             draw=draw,
             now=now,
             memory=memory,
-            disk=Disk(config.timing, memory, replace_next=self._empty),
-            outbox=Outbox(own, boot),
-            detector=Detector(own, boot, config.timing, now),
+            record_writer=RecordWriter(config.timing, memory, replace_next=self._empty),
+            outbox=Outbox(own, incarnation),
+            failure_detector=FailureDetector(own, incarnation, config.timing, now),
         )
         self._context = context
         self._started = False
         self._last_call = now
         self._told = 0  # sequence of the newest configuration that was told as committed
-        self._grantor = Grantor(context, now + config.timing.lease, kept=memory.grantee)
-        self._holder = Holder(context, self._grantor)
+        self._lease_grantor = LeaseGrantor(context, now + config.timing.lease, restored_grantee=memory.grantee)
+        self._leader_lease = LeaderLease(context, self._lease_grantor)
         self._confirmer = Confirmer(context)
         self._chain = Chain(context, self._confirmer, self._tell_committed)
         self._acceptor = Acceptor(context)
@@ -68,11 +77,11 @@
             self._acceptor,
             self._chain,
             self._confirmer,
-            self._grantor,
-            self._holder,
+            self._lease_grantor,
+            self._leader_lease,
             self._tell_committed,
         )
-        self._heartbeats = Heartbeats(context, self._chain, self._grantor, self._holder, config.seeds)
+        self._heartbeats = Heartbeats(context, self._chain, self._lease_grantor, self._leader_lease, config.seeds)
         self._freshness = Freshness(context)
         self._handlers = self._make_handlers()
 
@@ -83,10 +92,10 @@
         self._enter(now)
         context = self._context
         if self._empty:
-            machine = pb.MachineRecord(machine=machine_of(context.own), newcomer=self.config.bootstrap)
-            context.disk.write(pb.Record(machine=machine), self._begin)
+            machine = pb.MachineRecord(machine=identity_to_message(context.own), newcomer=self.config.bootstrap)
+            context.record_writer.write(pb.Record(machine=machine), self._begin)
             if self.config.bootstrap and self.config.seeds:
-                self._membership.adopt(first_view(self.config.seeds), State(epoch=1))
+                self._membership.adopt(bootstrap_view(self.config.seeds), RegisterState(epoch=1))
         else:
             view = context.memory.view
             context.adopted = view.epoch
@@ -100,11 +109,11 @@
         """Time passes. To be called at least every 50 ms."""
         self._enter(now)
         context = self._context
-        context.disk.tick(now)
+        context.record_writer.tick(now)
         if self._started:
             kept = {each.id for each in context.memory.view.acceptors}
-            context.detector.tick(now, kept, self._holder.holds(now))
-            self._holder.tick()
+            context.failure_detector.tick(now, kept, is_planning=self._leader_lease.is_held(now))
+            self._leader_lease.tick()
             self._membership.tick()
             self._freshness.update()
             context.announce |= now >= self._heartbeats.next
@@ -122,13 +131,13 @@
     def persisted(self, now: float, token: int) -> list[Action]:
         """The records of `Persist(token)` are synced."""
         self._enter(now)
-        self._context.disk.persisted(now, token)
+        self._context.record_writer.on_persisted(now, token)
         return self._leave()
 
     def persist_failed(self, now: float, token: int) -> list[Action]:
         """The disk refused the records of `Persist(token)`, whole or in part."""
         self._enter(now)
-        self._context.disk.persist_failed(now, token)
+        self._context.record_writer.on_persist_failed(now, token)
         return self._leave()
 
     def submit(self, now: float, order: Order) -> list[Action]:
@@ -148,17 +157,17 @@
         self._enter(now)
         self._context.leaving = True
         self._context.announce = True
-        self._holder.give_up()
+        self._leader_lease.release()
         return self._leave()
 
     def note_holders(self, now: float, term: int, edges: frozenset[str]) -> list[Action]:
         """Note on the disk that no other edges may hold rate leases of this term or an earlier one; nothing where
         this machine doesn't lead with that term any more."""
         self._enter(now)
-        if self._holder.holds(now) and self._holder.term == term:
-            record = pb.Record(rate_lease_holders=RateLeaseHolders(term, edges).message())
+        if self._leader_lease.is_held(now) and self._leader_lease.term == term:
+            record = pb.Record(rate_lease_holders=RateLeaseHolders(term, edges).to_message())
             noted = HoldersNoted(term, edges)
-            self._context.disk.write(record, partial(self._context.outbox.actions.append, noted))
+            self._context.record_writer.write(record, partial(self._context.outbox.actions.append, noted))
         return self._leave()
 
     def update_seeds(self, seeds: Sequence[tuple[str, str]]) -> None:
@@ -184,30 +193,30 @@
     @property
     def term(self) -> int:
         """Term of the leader lease: the own one while this machine leads, else the newest known."""
-        if self._holder.holds(self._context.now):
-            return self._holder.term
+        if self._leader_lease.is_held(self._context.now):
+            return self._leader_lease.term
         return self._context.memory.term.number
 
     @property
     def committed(self) -> CommittedConfiguration | None:
         """The newest configuration that is known to stay."""
-        return self._context.memory.committed.committed()
+        return self._context.memory.committed.committed_configuration()
 
     def is_leader(self, now: float) -> bool:
         """Whether this machine holds the leader lease."""
-        return self._holder.holds(now)
+        return self._leader_lease.is_held(now)
 
     def leader_hint(self) -> Identity | None:
         """Who leads, as far as this machine knows."""
         context = self._context
-        if self._holder.holds(context.now):
+        if self._leader_lease.is_held(context.now):
             return context.own
         claims = [
             peer
-            for peer in context.detector.peers.values()
-            if peer.beat.leads and context.now - peer.heard <= LEADER_MEMORY_S
+            for peer in context.failure_detector.peers.values()
+            if peer.heartbeat.leads and context.now - peer.last_received_at <= LEADER_MEMORY_S
         ]
-        return max(claims, key=lambda peer: peer.beat.term).identity if claims else None
+        return max(claims, key=lambda peer: peer.heartbeat.term).identity if claims else None
 
     def head(self) -> Identity | None:
         """Who takes orders."""
@@ -222,7 +231,7 @@
         """Whether the newest view counts on this machine no more: it is out of the chain, and no surplus acceptor."""
         view = self.view
         surplus = len(view.acceptors) > view.size
-        return self.identity.id not in view.chain and not (surplus and view.accepts(self.identity.id))
+        return self.identity.id not in view.chain and not (surplus and view.is_acceptor(self.identity.id))
 
     def freshness(self, now: float) -> tuple[int, float] | None:
         """At a moment so many seconds ago, the newest acknowledged sequence was at most this one."""
@@ -231,7 +240,7 @@
     def core_machines(self) -> list[Identity]:
         """The acceptors, and the machines that ask to join."""
         machines = {each.id: each for each in self.view.acceptors}
-        for peer in self._context.detector.peers.values():
+        for peer in self._context.failure_detector.peers.values():
             machines[peer.identity.id] = peer.identity
         machines[self.identity.id] = self.identity
         return list(machines.values())
@@ -243,9 +252,9 @@
         gap = now - self._last_call
         context.now = max(now, context.now)
         self._last_call = now
-        self._holder.expire()
+        self._leader_lease.expire()
         if gap > context.timing.blind:
-            context.detector.awoke(gap)
+            context.failure_detector.compensate_pause(gap)
 
     def _leave(self) -> list[Action]:
         context = self._context
@@ -254,7 +263,7 @@
             self._handle(outbox.local.popleft())
         if context.announce and self._started:
             self._heartbeats.send()
-        persist = context.disk.flush(context.now)
+        persist = context.record_writer.flush(context.now)
         if persist is not None:
             outbox.actions.append(persist)
         return outbox.take()
@@ -262,7 +271,7 @@
     def _handle(self, message: pb.CoreMessage) -> None:
         kind = message.WhichOneof("body")
         if kind is not None:
-            self._handlers[kind](message, identity_of(message.sender))
+            self._handlers[kind](message, identity_from_message(message.sender))
 
     def _begin(self) -> None:
         self._started = True
@@ -288,7 +297,7 @@
 
     def _make_handlers(self) -> dict[str, Callable[[pb.CoreMessage, Identity], None]]:
         acceptor, chain, confirmer, membership = self._acceptor, self._chain, self._confirmer, self._membership
-        grantor, proposer = self._grantor, membership.proposer
+        grantor, proposer = self._lease_grantor, membership.proposer
         return {
             "heartbeat": self._on_heartbeat,
             "prepare": lambda message, sender: acceptor.on_prepare(sender, message.prepare),
@@ -303,7 +312,7 @@
             "confirm": lambda message, sender: confirmer.on_confirm(sender, message.confirm),
             "confirmed": lambda message, sender: confirmer.on_confirmed(sender, message.confirmed),
             "lease_request": lambda message, sender: grantor.on_request(sender, message.boot, message.lease_request),
-            "lease_grant": lambda message, sender: self._holder.on_grant(sender, message.lease_grant),
+            "lease_grant": lambda message, sender: self._leader_lease.on_grant(sender, message.lease_grant),
             "lease_release": lambda message, sender: grantor.on_release(sender, message.boot, message.lease_release),
         }
 
--- a/rosechute/coordination/views.py
+++ b/rosechute/coordination/views.py
@@ -1,31 +1,48 @@
-"""Agreed values: views of the membership, ballots, terms and the state of the register, with their messages."""
+"""Values that the core machines agree on, each with its conversion to and from messages.
+
+- `View`: one configuration of the cluster, numbered by its epoch (reconfiguration as in Vertical Paxos; Lamport,
+  Malkhi & Zhou 2009).
+- `Ballot` and `Proposal`: number and value of a Paxos proposal for the next view (Lamport: Paxos Made Simple, 2001).
+- `LeaderTerm`: term of the leader lease and the process to which it was granted.
+- `RegisterState`: the replicated register, which holds the operator's newest configuration."""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
 from rosechute.coordination.types import CommittedConfiguration, Identity
 from rosechute.messages import coordination_pb2 as pb
 
-DIGEST_BYTES = 16  # kept of the digest of a taken order
-TAKEN_BYTES = 24  # of one taken order: digest and version
-TAKEN_ORDERS = 4096  # newest taken orders that are kept
+MACHINE_ID_CHARACTERS = 16  # of a machine id: 64 bits in hexadecimal
+DIGEST_PREFIX_BYTES = 16  # of a write's digest that the register remembers: enough to tell writes apart
+VERSION_BYTES = 8  # of a version in the register's list of applied writes
+APPLIED_WRITE_BYTES = DIGEST_PREFIX_BYTES + VERSION_BYTES  # of one entry in that list
+MAX_APPLIED_WRITES = 4096  # newest writes that the register remembers; bounds the size of its state
 
 
 def bootstrap_id(control_address: str) -> str:
-    """The id of a machine at the first start of the system, known to all that know its address."""
-    return hashlib.sha256(b"core machine " + control_address.encode()).hexdigest()[:16]
+    """Return the id of a machine of the initial cluster, which every machine derives from its control address.
+
+    Args:
+        control_address: host and port of the machine's control interface.
+    """
+    return hashlib.sha256(b"core machine " + control_address.encode()).hexdigest()[:MACHINE_ID_CHARACTERS]
 
 
 def random_id(draw: Callable[[], float]) -> str:
-    """An id for a machine whose disk was made later."""
+    """Return a random id for a machine that is added to a running cluster, or whose disk is new.
+
+    Args:
+        draw: source of uniform random numbers in [0, 1); called twice.
+    """
     return f"{int(draw() * 2**32):08x}{int(draw() * 2**32):08x}"
 
 
-def machine_of(identity: Identity) -> pb.Machine:
-    """The message for an identity."""
+def identity_to_message(identity: Identity) -> pb.Machine:
+    """Return the message for a machine's identity."""
     return pb.Machine(
         id=identity.id,
         name=identity.name,
@@ -35,207 +52,278 @@
     )
 
 
-def identity_of(machine: pb.Machine) -> Identity:
-    """The identity in a message."""
+def identity_from_message(machine: pb.Machine) -> Identity:
+    """Return the machine's identity that a message carries."""
     return Identity(machine.id, machine.name, machine.zone, machine.control, machine.peer)
 
 
+class StateTag(NamedTuple):
+    """Position of a register state: states are ordered by epoch, then by sequence."""
+
+    epoch: int
+    sequence: int
+
+
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """Order of the proposals for one view. No two processes use the same one."""
+    """Ballot number of a Paxos proposal; totally ordered, and unique to one process.
+
+    Attributes:
+        round: counter that each proposer raises above every round it has seen.
+        proposer: id of the proposing machine.
+        incarnation: incarnation of the proposing process.
+    """
 
     round: int
     proposer: str
-    boot: int
-
-    def message(self) -> pb.Ballot:
-        """As a message."""
-        return pb.Ballot(round=self.round, proposer=self.proposer, boot=self.boot)
+    incarnation: int
 
+    def to_message(self) -> pb.Ballot:
+        """Return the ballot as a message."""
+        return pb.Ballot(round=self.round, proposer=self.proposer, boot=self.incarnation)
 
-def ballot_of(message: pb.Ballot) -> Ballot:
-    """The ballot in a message."""
-    return Ballot(message.round, message.proposer, message.boot)
+    @staticmethod
+    def from_message(message: pb.Ballot) -> Ballot:
+        """Return the ballot that a message carries."""
+        return Ballot(message.round, message.proposer, message.boot)
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
-    """A term of the leader lease, and the process to which it was granted."""
+class LeaderTerm:
+    """Term of the leader lease and the process to which it was granted.
+
+    Attributes:
+        number: the term; 0 before the first one.
+        holder: id of the machine to which the term was granted; empty where none or more than one is known.
+        incarnation: incarnation of the process to which the term was granted.
+    """
 
     number: int = 0
     holder: str = ""
-    boot: int = 0
-
-    def message(self) -> pb.Term:
-        """As a message."""
-        return pb.Term(number=self.number, holder=self.holder, boot=self.boot)
+    incarnation: int = 0
 
+    def to_message(self) -> pb.Term:
+        """Return the term as a message."""
+        return pb.Term(number=self.number, holder=self.holder, boot=self.incarnation)
 
-def term_of(message: pb.Term) -> Term:
-    """The term in a message."""
-    return Term(message.number, message.holder, message.boot)
+    @staticmethod
+    def from_message(message: pb.Term) -> LeaderTerm:
+        """Return the term that a message carries."""
+        return LeaderTerm(message.number, message.holder, message.boot)
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """Who accepts and who stores, from one agreed change to the next. Epoch 0: none is known."""
+    """One agreed configuration of the cluster: its acceptors and its replication chain.
+
+    Attributes:
+        epoch: number of the view; 0 where no view is known.
+        acceptors: machines that vote on the next view and grant the leader lease.
+        chain: ids of the replicas in chain order, head first.
+        size: target number of acceptors; `acceptors` may exceed it while a machine is being replaced.
+        base_tag: tag of the register state that the view started from.
+        term: newest leader term among the promises by which the view was decided.
+    """
 
     epoch: int = 0
     acceptors: tuple[Identity, ...] = ()
-    chain: tuple[str, ...] = ()  # ids, head first
-    size: int = 0  # number of acceptors that is aimed at
-    base_tag: tuple[int, int] = (0, 0)  # of the state that the view started from
-    term: Term = Term()  # newest term of the leader lease among the promises
+    chain: tuple[str, ...] = ()
+    size: int = 0
+    base_tag: StateTag = StateTag(0, 0)
+    term: LeaderTerm = LeaderTerm()
 
     @property
     def majority(self) -> int:
-        """How many acceptors are more than half of them."""
+        """The quorum size: the smallest number of acceptors that is more than half of them."""
         return len(self.acceptors) // 2 + 1
 
     def acceptor(self, machine_id: str) -> Identity | None:
-        """The acceptor of this id."""
-        return next((each for each in self.acceptors if each.id == machine_id), None)
+        """Return the acceptor with this id, or None."""
+        return next((acceptor for acceptor in self.acceptors if acceptor.id == machine_id), None)
 
-    def accepts(self, machine_id: str) -> bool:
-        """Whether the machine is an acceptor."""
+    def is_acceptor(self, machine_id: str) -> bool:
+        """Return whether the machine is an acceptor of this view."""
         return self.acceptor(machine_id) is not None
 
     def head(self) -> Identity | None:
-        """The machine that takes orders."""
+        """Return the head of the chain, which accepts writes, or None where the chain is empty."""
         return self.acceptor(self.chain[0]) if self.chain else None
 
     def tail(self) -> Identity | None:
-        """The machine that answers reads."""
+        """Return the tail of the chain, which serves reads, or None where the chain is empty."""
         return self.acceptor(self.chain[-1]) if self.chain else None
 
     def successor(self, machine_id: str) -> Identity | None:
-        """The next member of the chain."""
-        place = self.chain.index(machine_id) + 1
-        return self.acceptor(self.chain[place]) if place < len(self.chain) else None
+        """Return the next member of the chain, or None for the tail.
+
+        Raises:
+            ValueError: the machine is not in the chain.
+        """
+        position = self.chain.index(machine_id) + 1
+        return self.acceptor(self.chain[position]) if position < len(self.chain) else None
 
     def predecessor(self, machine_id: str) -> str | None:
-        """Id of the member of the chain before this one."""
-        place = self.chain.index(machine_id) if machine_id in self.chain else 0
-        return self.chain[place - 1] if place else None
+        """Return the id of the previous member of the chain, or None for the head and for machines outside of it."""
+        position = self.chain.index(machine_id) if machine_id in self.chain else 0
+        return self.chain[position - 1] if position else None
 
-    def message(self) -> pb.View:
-        """As a message."""
+    def to_message(self) -> pb.View:
+        """Return the view as a message."""
         return pb.View(
             epoch=self.epoch,
-            acceptors=[machine_of(each) for each in self.acceptors],
+            acceptors=[identity_to_message(acceptor) for acceptor in self.acceptors],
             chain=self.chain,
             size=self.size,
-            base_epoch=self.base_tag[0],
-            base_sequence=self.base_tag[1],
-            term=self.term.message(),
+            base_epoch=self.base_tag.epoch,
+            base_sequence=self.base_tag.sequence,
+            term=self.term.to_message(),
         )
 
+    @staticmethod
+    def from_message(message: pb.View) -> View:
+        """Return the view that a message carries."""
+        return View(
+            message.epoch,
+            tuple(identity_from_message(acceptor) for acceptor in message.acceptors),
+            tuple(message.chain),
+            message.size,
+            StateTag(message.base_epoch, message.base_sequence),
+            LeaderTerm.from_message(message.term),
+        )
 
-def view_of(message: pb.View) -> View:
-    """The view in a message."""
-    return View(
-        message.epoch,
-        tuple(identity_of(each) for each in message.acceptors),
-        tuple(message.chain),
-        message.size,
-        (message.base_epoch, message.base_sequence),
-        term_of(message.term),
-    )
 
+def bootstrap_view(seeds: Sequence[tuple[str, str]]) -> View:
+    """Return the first view of a new cluster: all seeds are acceptors and in the chain.
 
-def first_view(seeds: Sequence[tuple[str, str]]) -> View:
-    """The view that all know at the first start: the seeds, whatever their order, accept and store."""
-    ordered = sorted(set(seeds))
-    acceptors = tuple(Identity(bootstrap_id(control), "", "", control, peer) for control, peer in ordered)
-    return View(1, acceptors, tuple(each.id for each in acceptors), len(acceptors), (1, 0))
+    Every machine derives the same view from the same seeds, whatever their order.
+
+    Args:
+        seeds: (control address, peer address) of each machine.
+    """
+    acceptors = tuple(Identity(bootstrap_id(control), "", "", control, peer) for control, peer in sorted(set(seeds)))
+    return View(1, acceptors, tuple(acceptor.id for acceptor in acceptors), len(acceptors), StateTag(1, 0))
 
 
 @dataclass(frozen=True, slots=True)
-class State:
-    """The register: the newest configuration, its place in the line, and the orders that were taken."""
+class RegisterState:
+    """State of the replicated register: the newest configuration and the writes that led to it.
+
+    Attributes:
+        epoch: epoch of the view in which the state was written, or that started from it.
+        sequence: number of writes so far; 0 before the first one.
+        version: the operator's version of the configuration.
+        body: the configuration.
+        digest: digest of the write request that set the configuration.
+        applied_writes: digest prefix and version of the newest writes, oldest first, each `APPLIED_WRITE_BYTES` long.
+            A write request that is repeated is recognized by them and acknowledged again.
+    """
 
     epoch: int = 0
     sequence: int = 0
     version: int = 0
     body: bytes = b""
     digest: bytes = b""
-    taken: bytes = b""  # TAKEN_BYTES for each order, oldest first
+    applied_writes: bytes = b""
 
     @property
-    def tag(self) -> tuple[int, int]:
-        """Order of the states over all epochs."""
-        return (self.epoch, self.sequence)
-
-    def version_taken(self, digest: bytes) -> int | None:
-        """The version that the order of this digest brought, if it was taken."""
-        key = digest[:DIGEST_BYTES]
-        found = self.taken.find(key)
-        while found >= 0 and found % TAKEN_BYTES:
-            found = self.taken.find(key, found + 1)
-        if found < 0:
+    def tag(self) -> StateTag:
+        """The position of this state in the order of all states."""
+        return StateTag(self.epoch, self.sequence)
+
+    def applied_version(self, digest: bytes) -> int | None:
+        """Return the version that a write request set, or None where it was not applied or is forgotten.
+
+        Args:
+            digest: digest of the write request.
+        """
+        prefix = digest[:DIGEST_PREFIX_BYTES]
+        start = self.applied_writes.find(prefix)
+        while start >= 0 and start % APPLIED_WRITE_BYTES:  # a match across two entries
+            start = self.applied_writes.find(prefix, start + 1)
+        if start < 0:
             return None
-        return int.from_bytes(self.taken[found + DIGEST_BYTES : found + TAKEN_BYTES], "big")
+        return int.from_bytes(self.applied_writes[start + DIGEST_PREFIX_BYTES : start + APPLIED_WRITE_BYTES], "big")
 
-    def may_have_forgotten(self, version: int) -> bool:
-        """Whether an order of this version may have been taken that is not remembered any more.
+    def may_have_evicted(self, version: int) -> bool:
+        """Return whether a write of this version may have been applied and then evicted from `applied_writes`.
 
-        The versions of taken orders only rise: none but those below the oldest one that is remembered can be missing.
+        Versions of applied writes only rise, so only versions below the oldest remembered one can have been evicted.
         """
-        full = len(self.taken) >= TAKEN_BYTES * TAKEN_ORDERS
-        return full and version < int.from_bytes(self.taken[DIGEST_BYTES:TAKEN_BYTES], "big")
+        is_full = len(self.applied_writes) >= APPLIED_WRITE_BYTES * MAX_APPLIED_WRITES
+        return is_full and version < int.from_bytes(
+            self.applied_writes[DIGEST_PREFIX_BYTES:APPLIED_WRITE_BYTES], "big"
+        )
+
+    def with_write(self, epoch: int, version: int, body: bytes, digest: bytes) -> RegisterState:
+        """Return the state after one more write.
 
-    def after(self, epoch: int, version: int, body: bytes, digest: bytes) -> State:
-        """The state after one more order."""
-        entry = digest[:DIGEST_BYTES].ljust(DIGEST_BYTES, b"\0") + version.to_bytes(8, "big")
-        taken = (self.taken + entry)[-TAKEN_BYTES * TAKEN_ORDERS :]
-        return State(epoch, self.sequence + 1, version, body, digest, taken)
+        Args:
+            epoch: epoch of the view in which it is written.
+            version: the operator's version of the new configuration.
+            body: the new configuration.
+            digest: digest of the write request.
+        """
+        entry = digest[:DIGEST_PREFIX_BYTES].ljust(DIGEST_PREFIX_BYTES, b"\0") + version.to_bytes(
+            VERSION_BYTES, "big"
+        )
+        applied_writes = (self.applied_writes + entry)[-APPLIED_WRITE_BYTES * MAX_APPLIED_WRITES :]
+        return RegisterState(epoch, self.sequence + 1, version, body, digest, applied_writes)
 
-    def in_epoch(self, epoch: int) -> State:
-        """The same state, as the start of a new epoch."""
+    def with_epoch(self, epoch: int) -> RegisterState:
+        """Return the same state as the start of a new epoch."""
         return replace(self, epoch=epoch)
 
-    def committed(self) -> CommittedConfiguration | None:
-        """The configuration, if there is one."""
+    def committed_configuration(self) -> CommittedConfiguration | None:
+        """Return the configuration, or None before the first write."""
         if not self.sequence:
             return None
         return CommittedConfiguration(self.sequence, self.version, self.body, self.digest)
 
-    def message(self) -> pb.State:
-        """As a message."""
+    def to_message(self) -> pb.State:
+        """Return the state as a message."""
         return pb.State(
             epoch=self.epoch,
             sequence=self.sequence,
             configuration=pb.Configuration(version=self.version, body=self.body, digest=self.digest),
-            taken=self.taken,
+            taken=self.applied_writes,
         )
 
-
-def state_of(message: pb.State) -> State:
-    """The state in a message."""
-    configuration = message.configuration
-    return State(
-        message.epoch,
-        message.sequence,
-        configuration.version,
-        configuration.body,
-        configuration.digest,
-        message.taken,
-    )
+    @staticmethod
+    def from_message(message: pb.State) -> RegisterState:
+        """Return the state that a message carries."""
+        configuration = message.configuration
+        return RegisterState(
+            message.epoch,
+            message.sequence,
+            configuration.version,
+            configuration.body,
+            configuration.digest,
+            message.taken,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """What is decided at once for an epoch: the view and the state that it starts from."""
+    """Value of a Paxos proposal: the next view together with the register state that it starts from.
+
+    Both are decided at once, so a machine that adopts a view holds at least the state that the view depends on.
+    """
 
     ballot: Ballot
     view: View
-    state: State
-
-    def message(self) -> pb.Proposal:
-        """As a message."""
-        return pb.Proposal(ballot=self.ballot.message(), view=self.view.message(), state=self.state.message())
+    state: RegisterState
 
+    def to_message(self) -> pb.Proposal:
+        """Return the proposal as a message."""
+        return pb.Proposal(
+            ballot=self.ballot.to_message(), view=self.view.to_message(), state=self.state.to_message()
+        )
 
-def proposal_of(message: pb.Proposal) -> Proposal:
-    """The proposal in a message."""
-    return Proposal(ballot_of(message.ballot), view_of(message.view), state_of(message.state))
+    @staticmethod
+    def from_message(message: pb.Proposal) -> Proposal:
+        """Return the proposal that a message carries."""
+        return Proposal(
+            Ballot.from_message(message.ballot),
+            View.from_message(message.view),
+            RegisterState.from_message(message.state),
+        )
--- a/tests/fleet/coordination_parts.py
+++ b/tests/fleet/coordination_parts.py
@@ -5,16 +5,24 @@
 from typing import Any
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.detector import Detector
-from rosechute.coordination.disk import Disk
+from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.coordination.memory import Memory
 from rosechute.coordination.outbox import Outbox
+from rosechute.coordination.record_writer import RecordWriter
 from rosechute.coordination.types import Action, Answer, Identity, Order, Outcome, Persist, Send, Timing
-from rosechute.coordination.views import Ballot, Proposal, State, Term, View, machine_of
+from rosechute.coordination.views import (
+    Ballot,
+    LeaderTerm,
+    Proposal,
+    RegisterState,
+    StateTag,
+    View,
+    identity_to_message,
+)
 from rosechute.messages import coordination_pb2 as pb
 
 NOW = 1000.0
-OWN_BOOT = 7
+OWN_INCARNATION = 7
 EPOCH = 3
 DIGEST = b"D" * 32
 TAKEN = b"D" * 16 + (50).to_bytes(8, "big")
@@ -28,18 +36,18 @@
 def view(members: str = "abc", epoch: int = EPOCH, chain: str | None = None, **fields: Any) -> View:
     """A view whose acceptors have ids of one letter."""
     fields.setdefault("size", len(members))
-    fields.setdefault("base_tag", (epoch, 0))
+    fields.setdefault("base_tag", StateTag(epoch, 0))
     return View(epoch, tuple(map(identity, members)), tuple(members if chain is None else chain), **fields)
 
 
-def state(sequence: int = 5, epoch: int = EPOCH, version: int = 50) -> State:
+def state(sequence: int = 5, epoch: int = EPOCH, version: int = 50) -> RegisterState:
     """A state some orders after the start."""
-    return State(epoch, sequence, version, b"body %d" % version, DIGEST, TAKEN)
+    return RegisterState(epoch, sequence, version, b"body %d" % version, DIGEST, TAKEN)
 
 
-def ballot(round: int, proposer: str = "b", boot: int = 8) -> Ballot:
+def ballot(round: int, proposer: str = "b", incarnation: int = 8) -> Ballot:
     """A ballot of another machine."""
-    return Ballot(round, proposer, boot)
+    return Ballot(round, proposer, incarnation)
 
 
 def proposal(round: int, proposer: str = "b", epoch: int = EPOCH + 1, sequence: int = 5) -> Proposal:
@@ -56,19 +64,19 @@
         self.memory.view = view(members, chain=chain)
         self.memory.committed = state()
         self.timing = Timing()
-        self.disk = Disk(self.timing, self.memory)
-        self.outbox = Outbox(self.own, OWN_BOOT)
-        self.detector = Detector(self.own, OWN_BOOT, self.timing, NOW - 60.0)
+        self.disk = RecordWriter(self.timing, self.memory)
+        self.outbox = Outbox(self.own, OWN_INCARNATION)
+        self.detector = FailureDetector(self.own, OWN_INCARNATION, self.timing, NOW - 60.0)
         self.context = Context(
             own=self.own,
-            boot=OWN_BOOT,
+            incarnation=OWN_INCARNATION,
             timing=self.timing,
             draw=lambda: 0.5,
             now=NOW,
             memory=self.memory,
-            disk=self.disk,
+            record_writer=self.disk,
             outbox=self.outbox,
-            detector=self.detector,
+            failure_detector=self.detector,
             joined=EPOCH,
             adopted=EPOCH,
         )
@@ -99,16 +107,16 @@
             "lease_free": True,
             "reached": ["a", "b", "c"],
             "echo": self.now,
-            "echo_boot": OWN_BOOT,
+            "echo_boot": OWN_INCARNATION,
         }
-        self.detector.heard(self.now, identity(name), boot, pb.Heartbeat(**(beat | fields)))
+        self.detector.on_heartbeat(self.now, identity(name), boot, pb.Heartbeat(**(beat | fields)))
 
     def sync(self) -> list[pb.Record]:
         """The disk syncs what is to be written; the records."""
         written: list[pb.Record] = []
         while (persist := self.flush()) is not None:
             written += [pb.Record.FromString(data) for data in persist.records]
-            self.disk.persisted(self.now, persist.token)
+            self.disk.on_persisted(self.now, persist.token)
         return written
 
     def flush(self) -> Persist | None:
@@ -158,9 +166,9 @@
 
 def machine(name: str) -> pb.Machine:
     """The message for a machine."""
-    return machine_of(identity(name))
+    return identity_to_message(identity(name))
 
 
-def term(number: int, holder: str = "b", boot: int = 8) -> Term:
+def term(number: int, holder: str = "b", incarnation: int = 8) -> LeaderTerm:
     """A term of another machine."""
-    return Term(number, holder, boot)
+    return LeaderTerm(number, holder, incarnation)
--- a/tests/fleet/exploration/invariants.py
+++ b/tests/fleet/exploration/invariants.py
@@ -16,7 +16,7 @@
 
 from rosechute.coordination import Acknowledged, Configuration, NoConfiguration, Order, Outcome, Stale
 from rosechute.coordination.memory import Memory, load
-from rosechute.coordination.views import Ballot, ballot_of
+from rosechute.coordination.views import Ballot
 from rosechute.messages.coordination_pb2 import CoreMessage
 from tests.fleet.simulation.checkers import History
 
@@ -118,7 +118,12 @@
     def _check_disk(self, machine: Machine) -> None:
         """A disk with nothing under way gives back what the process knows; also to one that starts."""
         replica = machine.replica
-        if replica is None or not machine.state.records or machine.state.queue or replica._context.disk.failed:
+        if (
+            replica is None
+            or not machine.state.records
+            or machine.state.queue
+            or replica._context.record_writer.has_failed
+        ):
             return
         found, known = on_disk(machine.state.records), replica._context.memory
         parts = ("view", "newest", "promised", "accepted", "term", "machine", "newcomer")
@@ -133,10 +138,10 @@
         kind = message.WhichOneof("body")
         found = on_disk(machine.state.records)
         if kind == "promise":
-            epoch, ballot = message.promise.epoch, ballot_of(message.promise.ballot)
+            epoch, ballot = message.promise.epoch, Ballot.from_message(message.promise.ballot)
             self._promised(machine, found, epoch, ballot)
         elif kind == "accepted":
-            epoch, ballot = message.accepted.epoch, ballot_of(message.accepted.ballot)
+            epoch, ballot = message.accepted.epoch, Ballot.from_message(message.accepted.ballot)
             self._promised(machine, found, epoch, ballot)
             if found.view.epoch == epoch and (found.accepted is None or found.accepted.ballot < ballot):
                 self._object("durable", f"{machine.name}: accepted {ballot}, which isn't on its disk")
--- a/tests/fleet/exploration/packing.py
+++ b/tests/fleet/exploration/packing.py
@@ -19,12 +19,23 @@
 
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import CommittedConfiguration, Identity, Order, ReplicaConfig, Timing
-from rosechute.coordination.views import Ballot, Proposal, State, Term, View
+from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2
 
 _values: list[Any] = []
 _numbers: dict[Hashable, int] = {}
-_BY_VALUE = (Identity, Timing, ReplicaConfig, Order, CommittedConfiguration, Ballot, Proposal, State, Term, View)
+_BY_VALUE = (
+    Identity,
+    Timing,
+    ReplicaConfig,
+    Order,
+    CommittedConfiguration,
+    Ballot,
+    Proposal,
+    RegisterState,
+    LeaderTerm,
+    View,
+)
 
 
 @dataclass(frozen=True)
--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -16,7 +16,7 @@
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.confirm import Confirmer
-from rosechute.coordination.lease import Grantor
+from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.memory import Memory
 from rosechute.coordination.views import View
 from rosechute.messages import coordination_pb2 as pb
@@ -55,7 +55,7 @@
 
     def write(self: Acceptor, record: pb.Record) -> None:
         right_write(self, record)
-        self._number = self._context.disk.durable
+        self._number = self._context.record_writer.synced_number
 
     def on_prepare(self: Acceptor, *arguments: Any) -> None:
         with mock.patch.object(Acceptor, "_write", write):
@@ -109,14 +109,14 @@
 
 
 def _grants_right_after_a_restart(stack: contextlib.ExitStack) -> None:
-    right = Grantor._may_grant
+    right = LeaseGrantor._may_grant
 
-    def may_grant(self: Grantor, *arguments: Any) -> bool:
+    def may_grant(self: LeaseGrantor, *arguments: Any) -> bool:
         self.abstain_until = 0.0
         return right(self, *arguments)
 
-    _replace(stack, Grantor, "_may_grant", may_grant)
-    _replace(stack, Grantor, "free", lambda self: self.context.now >= self.until)
+    _replace(stack, LeaseGrantor, "_may_grant", may_grant)
+    _replace(stack, LeaseGrantor, "is_free", lambda self: self.context.now >= self.granted_until)
 
 
 def _head_does_not_wait(stack: contextlib.ExitStack) -> None:
--- a/tests/fleet/exploration/roots.py
+++ b/tests/fleet/exploration/roots.py
@@ -173,9 +173,9 @@
     assert leader is not None
     new = world.machines[-1].replica
     assert new is not None
-    peer = leader._context.detector.peers.get(new.identity.id)
+    peer = leader._context.failure_detector.peers.get(new.identity.id)
     readmit = leader._context.timing.readmit
-    return peer is not None and peer.healthy and leader._context.now - peer.healthy_since > readmit - 0.06
+    return peer is not None and peer.is_healthy and leader._context.now - peer.healthy_since > readmit - 0.06
 
 
 def member_wiped(world: World) -> None:
--- a/tests/fleet/planted_faults/kinds.py
+++ b/tests/fleet/planted_faults/kinds.py
@@ -9,16 +9,19 @@
 from dataclasses import dataclass
 
 GENERATION_NAMES = re.compile(
-    r"term|epoch|ballot|boot|sequence|version|generation|stamp|digest|number|round|token|tag\b|checksum|"
+    r"term|epoch|ballot|boot|incarnation|sequence|version|generation|stamp|digest|number|round|token|tag\b|checksum|"
     r"_id\b|\.id\b|identity|attempt"
 )
 SECONDS_NAMES = re.compile(r"(_S|_SECONDS|HEARTBEATS)$")
 DURATIONS = re.compile(r"_S$|lease|margin|timing\.|timeout|deadline|grace")
 LEASES = re.compile(r"lease")
 TIMING_CLASSES = re.compile(r"Timing|Tuning")
-SAVING_FUNCTIONS = re.compile(r"^(_apply_\w+|message|whole|after|in_epoch|\w+_of|_?encode\w*|_?decode\w*)$")
+SAVING_FUNCTIONS = re.compile(
+    r"^(_apply_\w+|message|whole|after|in_epoch|\w+_of|with_write|with_epoch|(\w+_)?(to|from)_message|"
+    r"_?encode\w*|_?decode\w*)$"
+)
 SYNCS = {"sync", "fsync", "fdatasync", "sync_entries", "_sync_entries"}
-SAVES = {"CopyFrom", "write", "defer", "_record", "_note", "commit", "truncate"}
+SAVES = {"CopyFrom", "write", "defer", "_record", "_note", "_write_record", "_save_grantee", "commit", "truncate"}
 ENDS = {"abstain", "expire", "stop", "clear", "give_up", "release", "reset", "cancel", "close"}
 STEPS = SYNCS | SAVES | ENDS
 Function = ast.FunctionDef | ast.AsyncFunctionDef
--- a/tests/fleet/quota_world.py
+++ b/tests/fleet/quota_world.py
@@ -236,7 +236,7 @@
             self.events.at(now + self.draw.uniform(0.0, 0.4), lambda edge=edge: self.learn(edge, core))  # type: ignore[misc]
 
     def holders_known(self, core: int) -> frozenset[str] | None:
-        """What `coordination.lease` tells a machine that gains the lease: its note, where nobody led since."""
+        """What `coordination.leader_lease` tells a machine that gains the lease: its note, where nobody led since."""
         term, edges = self.notes[core]
         return edges if term == self.term else None
 
--- a/tests/fleet/simulation/worlds.py
+++ b/tests/fleet/simulation/worlds.py
@@ -98,7 +98,7 @@
             raise Violation("surplus", f"{len(view.acceptors)} acceptors, {len(there)} machines")
         for machine in there:
             replica = machine.replica
-            if replica is None or not view.accepts(replica.identity.id):
+            if replica is None or not view.is_acceptor(replica.identity.id):
                 raise Violation("joined", f"{machine.name} is no acceptor {CATCH_UP_S} s after the last return")
             known = replica._context.memory.newest.sequence
             if known < newest:
--- a/tests/fleet/test_coordination_boots.py
+++ b/tests/fleet/test_coordination_boots.py
@@ -72,8 +72,8 @@
                     cluster = Cluster(size, seed)
                     one, other = schedule(cluster)
                     for source, target in ((one, other), (other, one)):
-                        detector = cluster.replica(target)._context.detector
-                        self.assertIn(cluster.replica(source).identity.id, detector.reached(target.now()))
+                        detector = cluster.replica(target)._context.failure_detector
+                        self.assertIn(cluster.replica(source).identity.id, detector.reachable_ids(target.now()))
                     cluster.run(2.0)
                     self.assertEqual(len(cluster.newest_view().chain), size)
 
--- a/tests/fleet/test_coordination_planted.py
+++ b/tests/fleet/test_coordination_planted.py
@@ -20,10 +20,12 @@
     confirm,
     context,
     freshness,
-    lease,
+    leader_lease,
+    lease_grantor,
     membership,
     memory,
     proposer,
+    views,
 )
 from rosechute.coordination import replica as replica_module
 from tests.fleet.simulation.checkers import Violation
@@ -124,14 +126,14 @@
         self.objects({"view", "live"}, {"freeze_some", "cut_in_two", "bad_links", "kill_some"}, troubles=8)
 
     def test_grants_right_after_a_restart(self) -> None:
-        right = lease.Grantor._may_grant
+        right = lease_grantor.LeaseGrantor._may_grant
 
-        def may_grant(self: lease.Grantor, *arguments: Any) -> bool:
+        def may_grant(self: lease_grantor.LeaseGrantor, *arguments: Any) -> bool:
             self.abstain_until = 0.0
             return right(self, *arguments)
 
-        self.plant(lease.Grantor, "_may_grant", may_grant)
-        self.plant(lease.Grantor, "free", lambda self: self.context.now >= self.until)
+        self.plant(lease_grantor.LeaseGrantor, "_may_grant", may_grant)
+        self.plant(lease_grantor.LeaseGrantor, "is_free", lambda self: self.context.now >= self.granted_until)
         self.objects_to("lease", grantors_restart)
 
     def test_change_of_the_grantee_not_noted(self) -> None:
@@ -156,17 +158,19 @@
                 machine.__class__ = Stepping
 
         self.plant(
-            lease.Holder, "holds", lambda self, now: self.standing is lease.Standing.LEADER and now < self.until
+            leader_lease.LeaderLease,
+            "is_held",
+            lambda self, now: self.role is leader_lease.LeaseRole.LEADER and now < self.valid_until,
         )
         self.objects({"lease"}, {"freeze_one"}, change)
 
     def test_term_used_twice(self) -> None:
         self.plant(
-            lease.Holder,
+            leader_lease.LeaderLease,
             "_become_candidate",
-            _same_term(lease.Holder._become_candidate),
+            _same_term(leader_lease.LeaderLease._become_candidate),
         )
-        self.plant(lease.Grantor, "_may_grant", _any_term(lease.Grantor._may_grant))
+        self.plant(lease_grantor.LeaseGrantor, "_may_grant", _any_term(lease_grantor.LeaseGrantor._may_grant))
         self.objects({"term"}, {"kill_one", "freeze_one"})
 
     def test_written_counts_before_it_is_synced(self) -> None:
@@ -194,7 +198,7 @@
         self.objects({"lost", "line", "read", "back", "fresh"}, {"freeze_one", "cut_one", "kill_one"}, troubles=8)
 
     def test_taken_orders_forgotten(self) -> None:
-        self.plant(replica_module.State, "version_taken", lambda self, digest: None)
+        self.plant(replica_module.RegisterState, "applied_version", lambda self, digest: None)
         self.objects({"refused"}, {"kill_one"})
 
     def test_order_taken_twice(self) -> None:
@@ -206,7 +210,7 @@
                 object.__setattr__(pending.order, "version", self._context.memory.committed.version + 1)
             right(self)
 
-        self.plant(replica_module.State, "version_taken", lambda self, digest: None)
+        self.plant(replica_module.RegisterState, "applied_version", lambda self, digest: None)
         self.plant(chain.Chain, "_next", following)
         self.objects({"twice", "line", "refused"}, {"kill_one"})
 
@@ -239,8 +243,8 @@
         self.objects({"live"}, {"kill_one", "replace"})
 
 
-def _same_term(right: Callable[[lease.Holder], None]) -> Callable[[lease.Holder], None]:
-    def become_candidate(self: lease.Holder) -> None:
+def _same_term(right: Callable[[leader_lease.LeaderLease], None]) -> Callable[[leader_lease.LeaderLease], None]:
+    def become_candidate(self: leader_lease.LeaderLease) -> None:
         right(self)
         self.term = 7
 
@@ -248,8 +252,8 @@
 
 
 def _any_term(right: Callable[..., bool]) -> Callable[..., bool]:
-    def may_grant(self: lease.Grantor, *arguments: Any) -> bool:
-        self.context.memory.term = lease.Term()
+    def may_grant(self: lease_grantor.LeaseGrantor, *arguments: Any) -> bool:
+        self.context.memory.term = views.LeaderTerm()
         return right(self, *arguments)
 
     return may_grant
--- a/tests/fleet/test_coordination_planted_worlds.py
+++ b/tests/fleet/test_coordination_planted_worlds.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from rosechute.coordination import Stale, chain, confirm, membership, planning
-from rosechute.coordination.detector import Detector
+from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.storage.record_store import RecordStore
 from tests.fleet.simulated_disk import SimulatedDirectory
 from tests.fleet.simulation.checkers import Violation
@@ -118,20 +118,20 @@
         self.objects({"surplus"}, Kind.PACED)
 
     def test_returned_machine_does_not_catch_up(self) -> None:
-        self.plant(Detector, "settled", lambda self, now, machine_id: False)
+        self.plant(FailureDetector, "is_readmittable", lambda self, now, machine_id: False)
         self.plant(membership.Membership, "fetch_if_behind", lambda self, sender, beat: None)
         self.objects({"behind"}, Kind.PACED)
 
     def test_running_process_taken_for_an_ended_one_for_ever(self) -> None:
-        right = Detector.heard
+        right = FailureDetector.on_heartbeat
 
-        def heard(self: Detector, now: float, identity: Any, boot: int, beat: Any) -> Any:
+        def on_heartbeat(self: FailureDetector, now: float, identity: Any, incarnation: int, heartbeat: Any) -> Any:
             peer = self.peers.get(identity.id)
-            if peer is not None and boot in peer.past_boots:
+            if peer is not None and incarnation in peer.past_incarnations:
                 return peer
-            return right(self, now, identity, boot, beat)
+            return right(self, now, identity, incarnation, heartbeat)
 
-        self.plant(Detector, "heard", heard)
+        self.plant(FailureDetector, "on_heartbeat", on_heartbeat)
         self.objects({"joined", "behind", "surplus"}, Kind.RACES, first=36)
 
     def test_no_order_after_a_loss(self) -> None:
--- a/tests/fleet/test_coordination_repeats.py
+++ b/tests/fleet/test_coordination_repeats.py
@@ -72,7 +72,7 @@
         self.assertEqual(set(send_everywhere(cluster, one).values()), {Acknowledged(base + 1)})
 
     def test_orders_that_are_no_longer_remembered_get_no_certain_answer(self) -> None:
-        with mock.patch.object(views, "TAKEN_ORDERS", REMEMBERED):
+        with mock.patch.object(views, "MAX_APPLIED_WRITES", REMEMBERED):
             cluster = Cluster(3)
             first = cluster.settle()
             take(cluster, REMEMBERED - 1)
--- a/tests/fleet/test_coordination_schedules.py
+++ b/tests/fleet/test_coordination_schedules.py
@@ -727,7 +727,7 @@
         cluster.world.network.release(held)
         cluster.run(3.0)
         leader = cluster.role("leader")
-        self.assertEqual(cluster.replica(leader)._holder.granting(), 3)
+        self.assertEqual(cluster.replica(leader)._leader_lease.count_granting_acceptors(), 3)
 
     def test_planned_end_of_a_process(self) -> None:
         for size, role in itertools.product((3, 4), ("head", "middle", "tail", "leader")):
--- a/tests/fleet/test_coordination_snapshots.py
+++ b/tests/fleet/test_coordination_snapshots.py
@@ -146,7 +146,7 @@
 
 
 def reached_by(cluster: Cluster, machine: Machine) -> set[Machine]:
-    reached = cluster.replica(machine)._context.detector.reached(machine.now())
+    reached = cluster.replica(machine)._context.failure_detector.reachable_ids(machine.now())
     return {each for each in cluster.machines if cluster.replica(each).identity.id in reached}
 
 
--- a/tests/fleet/test_coordination_worst_days.py
+++ b/tests/fleet/test_coordination_worst_days.py
@@ -121,7 +121,7 @@
         self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
 
     def test_an_order_older_than_all_that_are_remembered_is_not_refused(self) -> None:
-        with mock.patch.object(views, "TAKEN_ORDERS", 4):
+        with mock.patch.object(views, "MAX_APPLIED_WRITES", 4):
             cluster = Cluster(3)
             orders = [cluster.settle() for _ in range(4)]
             unknown = cluster.make(orders[0].version - 1, orders[0].version)
@@ -304,9 +304,9 @@
 
     def test_a_whole_record_keeps_every_durable_field(self) -> None:
         machine = views.Identity("i", "n", "z", "10.0.0.1:1", "10.0.0.1:2")
-        term = views.Term(4, "i", 5)
-        view = views.View(7, (machine,), ("i",), 3, (6, 2), term)
-        state = views.State(7, 2, 3, b"body", b"d" * 16, b"t" * views.TAKEN_BYTES)
+        term = views.LeaderTerm(4, "i", 5)
+        view = views.View(7, (machine,), ("i",), 3, views.StateTag(6, 2), term)
+        state = views.RegisterState(7, 2, 3, b"body", b"d" * 16, b"t" * views.APPLIED_WRITE_BYTES)
         ballot = views.Ballot(8, "i", 9)
         later = dataclasses.replace(view, epoch=8)
         kept = Memory(
@@ -314,9 +314,9 @@
             newcomer=True,
             view=view,
             committed=state,
-            written=state.after(7, 4, b"next", b"e" * 16),
+            written=state.with_write(7, 4, b"next", b"e" * 16),
             promised=ballot,
-            accepted=views.Proposal(ballot, later, state.in_epoch(8)),
+            accepted=views.Proposal(ballot, later, state.with_epoch(8)),
             term=term,
             grantee="i",
             grantee_number=6,
@@ -331,10 +331,10 @@
         cluster = Cluster(3)
         tail = cluster.role("tail")
         replica = cluster.replica(tail)
-        replica._context.disk.defer(pb.Record(grantee=pb.GranteeRecord(holder="old", number=99)))
-        view = replica.view.message()
+        replica._context.record_writer.defer(pb.Record(grantee=pb.GranteeRecord(holder="old", number=99)))
+        view = replica.view.to_message()
         view.epoch += 2  # the epoch between is not known here, nor who had the lease in it
-        message = pb.CoreMessage(decided=pb.Decided(view=view, state=replica._context.memory.committed.message()))
+        message = pb.CoreMessage(decided=pb.Decided(view=view, state=replica._context.memory.committed.to_message()))
         message.sender.CopyFrom(view.acceptors[0])
         replica.receive(tail.now(), message)
         self.assertEqual(replica._context.memory.grantee, "")
--- a/tests/fleet/test_coordination_worst_planted.py
+++ b/tests/fleet/test_coordination_worst_planted.py
@@ -8,7 +8,17 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.coordination import chain, confirm, disk, lease, membership, memory, planning, views
+from rosechute.coordination import (
+    chain,
+    confirm,
+    leader_lease,
+    lease_grantor,
+    membership,
+    memory,
+    planning,
+    record_writer,
+    views,
+)
 from rosechute.coordination.planning import Situation
 from rosechute.coordination.views import View
 from rosechute.messages import coordination_pb2 as pb
@@ -49,7 +59,7 @@
     # Point 2
 
     def test_taken_orders_forgotten(self) -> None:
-        self.plant(views.State, "version_taken", lambda self, digest: None)
+        self.plant(views.RegisterState, "applied_version", lambda self, digest: None)
         self.assert_fails(days.SameNumber("test_a_taken_order_after_many_later_ones_and_restarts"))
 
     def test_taken_orders_lost_with_a_snapshot(self) -> None:
@@ -64,7 +74,7 @@
         self.assert_fails(days.SameNumber("test_a_taken_order_after_many_later_ones_and_restarts"))
 
     def test_oldest_taken_orders_refused(self) -> None:
-        self.plant(views.State, "may_have_forgotten", lambda self, version: False)
+        self.plant(views.RegisterState, "may_have_evicted", lambda self, version: False)
         self.assert_fails(days.SameNumber("test_an_order_older_than_all_that_are_remembered_is_not_refused"))
 
     def test_orders_refused_that_come_before_their_base(self) -> None:
@@ -122,24 +132,28 @@
         self.assert_fails(days.OldState("test_a_member_behind_by_hundreds_of_changes_catches_up_over_slow_links"))
 
     def test_lease_granted_whatever_the_epoch(self) -> None:
-        self.plant(lease.Grantor, "_may_grant", _whatever_the_epoch(lease.Grantor._may_grant))
-        self.plant(lease.Grantor, "_grant", _grant_whatever_the_epoch)
-        self.plant(lease, "free_grantors", lambda context, grantor: len(context.memory.view.acceptors))
+        self.plant(
+            lease_grantor.LeaseGrantor, "_may_grant", _whatever_the_epoch(lease_grantor.LeaseGrantor._may_grant)
+        )
+        self.plant(lease_grantor.LeaseGrantor, "_grant", _grant_whatever_the_epoch)
+        self.plant(
+            leader_lease, "count_available_grantors", lambda context, grantor: len(context.memory.view.acceptors)
+        )
         self.assert_fails(days.OldState("test_a_member_with_old_state_leads_only_once_it_has_caught_up"))
 
     def test_note_of_a_grantee_kept(self) -> None:
-        right = disk.Disk.defer
+        right = record_writer.RecordWriter.defer
 
-        def defer(self: disk.Disk, record: pb.Record | None) -> None:
+        def defer(self: record_writer.RecordWriter, record: pb.Record | None) -> None:
             if record is not None:
                 right(self, record)
 
-        self.plant(disk.Disk, "defer", defer)
+        self.plant(record_writer.RecordWriter, "defer", defer)
         self.assert_fails(days.OldState("test_a_grantee_noted_for_later_is_dropped_where_the_machine_joins_anew"))
 
 
 def _whatever_the_epoch(right: Callable[..., bool]) -> Callable[..., bool]:
-    def may_grant(self: lease.Grantor, sender: Any, request: pb.LeaseRequest, asked: Any) -> bool:
+    def may_grant(self: lease_grantor.LeaseGrantor, sender: Any, request: pb.LeaseRequest, asked: Any) -> bool:
         own = pb.LeaseRequest()
         own.CopyFrom(request)
         own.epoch = self.context.memory.view.epoch
@@ -148,7 +162,9 @@
     return may_grant
 
 
-def _grant_whatever_the_epoch(self: lease.Grantor, sender: Any, request: pb.LeaseRequest, asked: Any) -> None:
+def _grant_whatever_the_epoch(
+    self: lease_grantor.LeaseGrantor, sender: Any, request: pb.LeaseRequest, asked: Any
+) -> None:
     grant = pb.LeaseGrant(epoch=request.epoch, term=request.term, stamp=request.stamp, boot=asked.boot)
     self.context.outbox.send(sender, pb.CoreMessage(lease_grant=grant))
 
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -26,7 +26,14 @@
     Timing,
     Unsure,
 )
-from rosechute.coordination.views import TAKEN_ORDERS, State, View, bootstrap_id, identity_of, machine_of, view_of
+from rosechute.coordination.views import (
+    MAX_APPLIED_WRITES,
+    RegisterState,
+    View,
+    bootstrap_id,
+    identity_from_message,
+    identity_to_message,
+)
 from rosechute.messages import coordination_pb2 as pb
 
 from .coordination_parts import EPOCH, NOW, Parts, identity, order, state, term, view
@@ -168,14 +175,14 @@
         self.assertEqual(self.parts.memory.newest.version, 60)
 
     def test_an_order_that_may_be_forgotten_is_not_refused(self) -> None:
-        taken = b"".join(b"o" * 16 + (41 + number).to_bytes(8, "big") for number in range(TAKEN_ORDERS))
-        self.parts.memory.committed = replace(self.parts.memory.committed, taken=taken)
+        taken = b"".join(b"o" * 16 + (41 + number).to_bytes(8, "big") for number in range(MAX_APPLIED_WRITES))
+        self.parts.memory.committed = replace(self.parts.memory.committed, applied_writes=taken)
         self.chain.submit(order(1, 39, 40))
         self.assertEqual((self.parts.answers(), self.link.confirmer.waiting), ([(1, Unsure())], []))
         self.chain.submit(order(2, 39, 41))
         self.link.confirmer.confirm()
         self.assertEqual(self.parts.answers(), [(2, Stale(50))])
-        self.parts.memory.committed = replace(self.parts.memory.committed, taken=taken[24:])
+        self.parts.memory.committed = replace(self.parts.memory.committed, applied_writes=taken[24:])
         self.chain.submit(order(3, 39, 40))
         self.link.confirmer.confirm()
         self.assertEqual(self.parts.answers(), [(3, Stale(50))], "not so many were taken")
@@ -191,7 +198,7 @@
     def test_a_refusal_that_turns_out_to_be_taken(self) -> None:
         given = order(1, 49, 60)
         self.chain.submit(given)
-        self.parts.memory.committed = self.parts.memory.committed.after(EPOCH, 60, given.body, given.digest)
+        self.parts.memory.committed = self.parts.memory.committed.with_write(EPOCH, 60, given.body, given.digest)
         self.link.confirmer.confirm(False)
         self.assertEqual(self.parts.answers(), [(1, Acknowledged(60))])
 
@@ -301,11 +308,11 @@
         self.assertEqual(self.parts.answers(), [])
 
     def test_not_cut_off_right_after_the_start(self) -> None:
-        self.parts.detector.started = NOW
+        self.parts.detector.started_at = NOW
         self.parts.detector.peers.clear()
         self.chain.submit(order(1))
         self.assertEqual(self.parts.answers(), [])
-        self.parts.detector.started = NOW - TIMING.order_deadline - 0.01
+        self.parts.detector.started_at = NOW - TIMING.order_deadline - 0.01
         self.chain.submit(order(2))
         self.assertEqual(self.parts.answers(), [(1, Unsure()), (2, Unsure())])
 
@@ -362,17 +369,17 @@
     def test_known_orders_are_answered_anywhere(self) -> None:
         link = Link("b")
         given = order(1, 49, 50)
-        link.parts.memory.committed = link.parts.memory.committed.after(EPOCH, 50, given.body, given.digest)
+        link.parts.memory.committed = link.parts.memory.committed.with_write(EPOCH, 50, given.body, given.digest)
         link.chain.submit(given)
         self.assertEqual(link.parts.answers(), [(1, Acknowledged(50))])
 
     def test_an_order_that_waits_for_the_head_and_comes_into_force(self) -> None:
         link, given = Link("b"), order(1)
         del link.parts.detector.peers["a"]
-        link.parts.detector.started = NOW
+        link.parts.detector.started_at = NOW
         link.chain.submit(given)
         self.assertEqual(link.parts.answers(), [])
-        link.parts.memory.committed = link.parts.memory.committed.after(EPOCH, 51, given.body, given.digest)
+        link.parts.memory.committed = link.parts.memory.committed.with_write(EPOCH, 51, given.body, given.digest)
         link.pass_time(0.1, hearing="c")
         self.assertEqual(link.parts.answers(), [(1, Acknowledged(51))])
 
@@ -385,7 +392,7 @@
 
     def test_nobody_is_sent_to_a_machine_that_answers_nothing(self) -> None:
         link = Link("b")
-        link.parts.detector.peers["a"].answered = NOW - 2.0
+        link.parts.detector.peers["a"].last_answered_at = NOW - 2.0
         link.chain.submit(order(1))
         self.assertEqual(link.parts.answers(), [])
 
@@ -442,7 +449,7 @@
         for sequence in (8, 7, 8):
             link.write(sequence)
         assert first is not None
-        link.parts.disk.persisted(link.parts.now, first.token)
+        link.parts.disk.on_persisted(link.parts.now, first.token)
         self.assertEqual(link.parts.sent("chain_write"), [])
 
     def test_writes_that_are_not_taken(self) -> None:
@@ -507,7 +514,7 @@
 
     def test_no_configuration_yet(self) -> None:
         link = Link("c")
-        link.parts.memory.committed = State(epoch=EPOCH)
+        link.parts.memory.committed = RegisterState(epoch=EPOCH)
         link.chain.read(1)
         link.confirmer.confirm()
         self.assertEqual(link.parts.answers(), [(1, NoConfiguration())])
@@ -576,7 +583,7 @@
             details=lambda name: identity(name) if name in "abcdefgn" else None,
             leaving=leaving,
             returning=returning,
-            silent_for=lambda name: times.get(name, 0.0),
+            silence_s=lambda name: times.get(name, 0.0),
             silent_removed=1.0,
             suspect=0.7,
             conflicts=conflicts,
@@ -635,7 +642,7 @@
     def test_machines_without_a_name_are_not_the_same(self) -> None:
         nameless = Identity("c", "", "z", "c:8367", "c:7500")
         situation = self.situation("abn", joiners=[Joiner(Identity("n", "", "z", "n:8367", "n:7500"), False)])
-        object.__setattr__(situation, "silent_for", lambda name: 0.8 if name == "c" else 0.0)
+        object.__setattr__(situation, "silence_s", lambda name: 0.8 if name == "c" else 0.0)
         object.__setattr__(situation, "details", lambda name: nameless if name == "c" else identity(name))
         found = needed_view(view(), situation)
         assert found is not None
@@ -753,7 +760,7 @@
         return [parts.memory.whole().SerializeToString()]
 
     def handle(self, kind: str, body: Any, sender: str = "b", boot: int = 8, now: float = NOW) -> list[Any]:
-        message = pb.CoreMessage(**{kind: body}, boot=boot, sender=machine_of(identity(sender)))
+        message = pb.CoreMessage(**{kind: body}, boot=boot, sender=identity_to_message(identity(sender)))
         return self.replica.receive(now, message)
 
     def test_first_start_of_the_system(self) -> None:
@@ -764,11 +771,11 @@
         memory = load(persist.records)
         self.assertEqual(memory.machine, replica.identity)
         self.assertEqual((replica.identity.id, memory.view.epoch), (bootstrap_id("a:8367"), 1))
-        self.assertEqual(memory.committed, State(epoch=1))
+        self.assertEqual(memory.committed, RegisterState(epoch=1))
         sent = [each for each in self.sync() if isinstance(each, Send)]
         self.assertEqual({each.address for each in sent}, {"b:7500", "c:7500"})
         self.assertEqual(sent[0].message.heartbeat.epoch, 1)
-        self.assertEqual(identity_of(sent[0].message.sender), replica.identity)
+        self.assertEqual(identity_from_message(sent[0].message.sender), replica.identity)
         self.assertEqual(sent[0].message.boot, 2**51 + 1)
 
     def test_a_machine_outside_of_the_seeds_is_a_newcomer_or_not(self) -> None:
@@ -793,7 +800,7 @@
 
     def test_a_message_of_a_later_kind(self) -> None:
         self.start(self.saved())
-        message = pb.CoreMessage(boot=8, sender=machine_of(identity("b")))
+        message = pb.CoreMessage(boot=8, sender=identity_to_message(identity("b")))
         self.assertEqual(self.replica.receive(NOW, message), [])
 
     def test_a_restart_keeps_what_was_known(self) -> None:
@@ -807,7 +814,7 @@
         self.assertEqual([each.configuration.sequence for each in self.actions if isinstance(each, Committed)], [5])
 
     def test_a_restarted_tail_knows_that_its_write_counts(self) -> None:
-        written = state().after(EPOCH, 51, b"w", b"W" * 32)
+        written = state().with_write(EPOCH, 51, b"w", b"W" * 32)
         for own, sequence in (("c", 6), ("a", 5), ("b", 5)):
             replica = self.start(self.saved(own, written=written))
             committed = replica.committed
@@ -869,7 +876,7 @@
         self.assertEqual([each.message.heartbeat.healthy for each in beats], [False, False])
 
     def test_a_restart_without_a_view(self) -> None:
-        self.start(self.saved(view=View(), committed=State()))
+        self.start(self.saved(view=View(), committed=RegisterState()))
         self.assertEqual(self.replica.view.epoch, 0)
 
     def test_handed_over_once_nobody_counts_on_it(self) -> None:
@@ -913,7 +920,7 @@
             self.start(self.saved())
             self.hear("b")
             self.replica.tick(NOW + gap)
-            heard = self.replica._context.detector.silent_for(NOW + gap, "b")
+            heard = self.replica._context.failure_detector.silence_s(NOW + gap, "b")
             self.assertEqual(heard > 0.1, silent, gap)
 
     def test_time_does_not_go_back(self) -> None:
@@ -934,7 +941,7 @@
         self.start(self.saved("c"))
         told = []
         for later, sequence in enumerate((6, 6, 5, 7), 1):
-            decided = pb.Decided(view=view(epoch=EPOCH + later).message(), state=state(sequence).message())
+            decided = pb.Decided(view=view(epoch=EPOCH + later).to_message(), state=state(sequence).to_message())
             actions = self.handle("decided", decided)
             told += [each.configuration.sequence for each in actions if isinstance(each, Committed)]
         self.assertEqual(told, [6, 7])
@@ -971,7 +978,7 @@
         self.assertEqual([each.fetch.epoch for each in sent if each.HasField("fetch")], [EPOCH])
         actions = self.handle("fetch", pb.Fetch(epoch=EPOCH - 1))
         ((address, decided),) = [(each.address, each.message.decided) for each in actions if isinstance(each, Send)]
-        self.assertEqual((address, view_of(decided.view).epoch), ("b:7500", EPOCH))
+        self.assertEqual((address, View.from_message(decided.view).epoch), ("b:7500", EPOCH))
 
     def test_freshness_by_heartbeats(self) -> None:
         self.start(self.saved())
--- a/tests/fleet/test_planted_coordination_leases.py
+++ b/tests/fleet/test_planted_coordination_leases.py
@@ -7,16 +7,17 @@
 
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.confirm import Confirmer
-from rosechute.coordination.detector import NEVER, STRANGER_S, Detector
+from rosechute.coordination.failure_detector import FORGET_UNKNOWN_AFTER_S, NEVER, FailureDetector
 from rosechute.coordination.freshness import Freshness
 from rosechute.coordination.heartbeats import Heartbeats
-from rosechute.coordination.lease import Grantor, Holder, Standing, free_grantors
+from rosechute.coordination.leader_lease import LeaderLease, LeaseRole, count_available_grantors
+from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.memory import RateLeaseHolders
 from rosechute.coordination.types import LeaseGained, LeaseLost, Send, Timing
-from rosechute.coordination.views import Term
+from rosechute.coordination.views import LeaderTerm
 from rosechute.messages import coordination_pb2 as pb
 
-from .coordination_parts import EPOCH, NOW, OWN_BOOT, Parts, identity, term, view
+from .coordination_parts import EPOCH, NOW, OWN_INCARNATION, Parts, identity, term, view
 
 TIMING = Timing()
 
@@ -55,7 +56,7 @@
 
     def setUp(self) -> None:
         self.parts = Parts()
-        self.grantor = Grantor(self.parts.context, NOW - 1.0)
+        self.grantor = LeaseGrantor(self.parts.context, NOW - 1.0)
 
     def request(
         self, sender: str = "b", number: int = 1, renewal: bool = False, epoch: int = EPOCH, boot: int = 8
@@ -121,25 +122,25 @@
     def test_binds_for_a_whole_lease(self) -> None:
         self.request("b", 1)
         self.parts.pass_time(TIMING.lease - 0.01, hearing="bc")
-        self.assertFalse(self.grantor.free())
+        self.assertFalse(self.grantor.is_free())
         self.assertEqual(self.request("c", 2), [])
         self.parts.pass_time(0.02)
-        self.assertTrue(self.grantor.free())
+        self.assertTrue(self.grantor.is_free())
         self.assertEqual(len(self.request("c", 2)), 1)
 
     def test_binds_from_the_grant_on_where_the_sync_took_long(self) -> None:
         self.ask("b", 1)
         self.parts.pass_time(0.5, hearing="bc")
         self.parts.sync()
-        self.assertEqual(self.grantor.until, self.parts.now + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease)
 
     def test_binds_from_the_request_on_while_the_sync_is_under_way(self) -> None:
         self.ask("b", 1)
-        self.assertEqual(self.grantor.until, NOW + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease)
         self.ask("c", 2)
         self.parts.sync()
         self.assertEqual(self.parts.sent_to("lease_grant"), ["b"])
-        self.assertEqual(self.grantor.holder, term(1))
+        self.assertEqual(self.grantor.granted_term, term(1))
 
     def test_no_grant_to_one_that_another_has_overtaken_before_the_sync(self) -> None:
         self.ask("b", 1)
@@ -153,13 +154,13 @@
         self.ask("b", 1, renewal=True)
         self.assertEqual(len(self.parts.sent("lease_grant")), 1)
         self.assertEqual(self.parts.sync(), [])
-        self.assertEqual(self.grantor.until, self.parts.now + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease)
 
     def test_renewal_at_a_grantor_that_never_granted_is_noted_beside_the_next_record(self) -> None:
         self.ask("b", 4, renewal=True)
         self.assertEqual(len(self.parts.sent("lease_grant")), 1)
         self.assertIsNone(self.parts.flush())
-        self.assertEqual(self.parts.memory.term, Term(), "a renewal gains no term")
+        self.assertEqual(self.parts.memory.term, LeaderTerm(), "a renewal gains no term")
         self.parts.disk.write(pb.Record(probe=pb.ProbeRecord()))
         self.parts.sync()
         self.assertEqual(self.parts.memory.grantee, "b")
@@ -193,13 +194,15 @@
     def test_another_epoch_gets_no_grant(self) -> None:
         for epoch in (EPOCH - 1, EPOCH + 1):
             self.assertEqual(self.request(epoch=epoch), [])
-        self.assertEqual(self.grantor.until, 0.0)
+        self.assertEqual(self.grantor.granted_until, 0.0)
 
     def test_no_grant_in_a_sealed_epoch(self) -> None:
         self.parts.seal()
         self.ask()
-        self.assertEqual((self.grantor.until, self.parts.sync(), self.parts.sent("lease_grant")), (0.0, [], []))
-        self.assertFalse(self.grantor.free())
+        self.assertEqual(
+            (self.grantor.granted_until, self.parts.sync(), self.parts.sent("lease_grant")), (0.0, [], [])
+        )
+        self.assertFalse(self.grantor.is_free())
 
     def test_no_grant_of_an_epoch_sealed_before_the_sync(self) -> None:
         self.ask()
@@ -216,10 +219,10 @@
 
     def test_only_acceptors_grant(self) -> None:
         parts = Parts("z", "abc")
-        grantor = Grantor(parts.context, NOW + 1.0, kept="b")
+        grantor = LeaseGrantor(parts.context, NOW + 1.0, restored_grantee="b")
         grantor.on_request(identity("b"), 8, pb.LeaseRequest(epoch=EPOCH, term=1))
         parts.sync()
-        self.assertEqual((parts.sent("lease_grant"), grantor.free(), grantor.kept_for()), ([], False, ""))
+        self.assertEqual((parts.sent("lease_grant"), grantor.is_free(), grantor.reserved_for()), ([], False, ""))
 
     def test_a_machine_that_hears_no_answer_gets_no_grant(self) -> None:
         self.parts.pass_time(1.0, hearing="c")
@@ -227,25 +230,25 @@
         self.assertEqual(len(self.request("c")), 1)
 
     def test_after_a_restart_only_the_grantee_before_has_it_at_once(self) -> None:
-        grantor = self.grantor = Grantor(self.parts.context, NOW + TIMING.lease, kept="b")
-        self.assertEqual((grantor.free(), grantor.kept_for()), (False, "b"))
+        grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease, restored_grantee="b")
+        self.assertEqual((grantor.is_free(), grantor.reserved_for()), (False, "b"))
         self.assertEqual(self.request("c", 1), [])
         self.assertEqual(len(self.request("b", 2)), 1)
-        self.assertEqual(grantor.kept_for(), "b")
+        self.assertEqual(grantor.reserved_for(), "b")
 
     def test_after_a_restart_all_wait_for_a_lease(self) -> None:
-        grantor = self.grantor = Grantor(self.parts.context, NOW + TIMING.lease, kept="b")
+        grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease, restored_grantee="b")
         self.parts.pass_time(TIMING.lease - 0.01, hearing="bc")
         self.assertEqual(self.request("c", 1), [])
         self.parts.pass_time(0.02)
-        self.assertEqual((grantor.free(), grantor.kept_for()), (True, ""))
+        self.assertEqual((grantor.is_free(), grantor.reserved_for()), (True, ""))
         self.assertEqual(len(self.request("c", 1)), 1)
 
     def test_abstains_for_a_lease(self) -> None:
-        self.grantor = Grantor(self.parts.context, NOW - 1.0, kept="b")
+        self.grantor = LeaseGrantor(self.parts.context, NOW - 1.0, restored_grantee="b")
         self.grantor.abstain()
         self.assertEqual(self.request("b", 1), [])
-        self.assertEqual((self.grantor.free(), self.grantor.kept_for()), (False, ""))
+        self.assertEqual((self.grantor.is_free(), self.grantor.reserved_for()), (False, ""))
         self.assertEqual(self.grantor.abstain_until, NOW + TIMING.lease)
 
     def test_a_note_of_a_grantee_does_not_outlive_a_view_in_which_it_abstains(self) -> None:
@@ -262,15 +265,15 @@
 
     def test_kept_for_its_holder_while_the_grant_runs(self) -> None:
         self.request("b", 1)
-        self.assertEqual(self.grantor.kept_for(), "b")
+        self.assertEqual(self.grantor.reserved_for(), "b")
         self.parts.seal()
-        self.assertEqual(self.grantor.kept_for(), "")
+        self.assertEqual(self.grantor.reserved_for(), "")
 
     def test_release_frees_it_for_others(self) -> None:
         self.request("b", 1)
         self.grantor.on_release(identity("b"), 8, pb.LeaseRelease(term=1))
-        self.assertTrue(self.grantor.free())
-        self.assertEqual(self.grantor.holder, Term())
+        self.assertTrue(self.grantor.is_free())
+        self.assertEqual(self.grantor.granted_term, LeaderTerm())
         self.assertTrue(self.parts.context.announce)
         self.assertEqual(len(self.request("c", 2)), 1)
 
@@ -278,7 +281,7 @@
         self.request("b", 2)
         for sender, boot, number in (("b", 8, 1), ("b", 9, 2), ("c", 8, 2)):
             self.grantor.on_release(identity(sender), boot, pb.LeaseRelease(term=number))
-        self.assertFalse(self.grantor.free())
+        self.assertFalse(self.grantor.is_free())
 
     def test_no_grant_that_was_released_before_the_sync(self) -> None:
         self.ask("b", 1)
@@ -290,7 +293,7 @@
         self.request("b", 1)
         self.parts.pass_time(9.0)
         self.grantor.on_release(identity("b"), 8, pb.LeaseRelease(term=1))
-        self.assertEqual(self.grantor.until, NOW + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease)
 
 
 class HolderTest(unittest.TestCase):
@@ -298,11 +301,11 @@
 
     def setUp(self) -> None:
         self.parts = Parts()
-        self.grantor = Grantor(self.parts.context, NOW - 1.0)
-        self.holder = Holder(self.parts.context, self.grantor)
+        self.grantor = LeaseGrantor(self.parts.context, NOW - 1.0)
+        self.holder = LeaderLease(self.parts.context, self.grantor)
 
     def grant(self, sender: str, stamp: float | None = None, **fields: Any) -> None:
-        known: dict[str, Any] = {"epoch": EPOCH, "term": self.holder.term, "boot": OWN_BOOT}
+        known: dict[str, Any] = {"epoch": EPOCH, "term": self.holder.term, "boot": OWN_INCARNATION}
         message = pb.LeaseGrant(stamp=NOW if stamp is None else stamp, **(known | fields))
         self.holder.on_grant(identity(sender), message)
 
@@ -316,7 +319,7 @@
         self.parts.memory.term = term(3)
         self.parts.hear("c", term=6)
         self.holder.tick()
-        self.assertIs(self.holder.standing, Standing.CANDIDATE)
+        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
         requests = self.parts.messages("lease_request")
         self.assertEqual([to for to, _ in requests], ["b", "c", "a"])
         for _, each in requests:
@@ -326,7 +329,7 @@
         self.parts.memory.term = term(3)
         self.holder.tick()
         self.assertEqual(self.holder.term, 4)
-        self.holder.give_up()
+        self.holder.release()
         self.holder.tick()
         self.assertEqual(self.holder.term, 5)
 
@@ -334,10 +337,10 @@
         self.holder.tick()
         self.grant("b")
         self.grant("b")
-        self.assertFalse(self.holder.holds(NOW))
+        self.assertFalse(self.holder.is_held(NOW))
         self.parts.actions()
         self.grant("c")
-        self.assertTrue(self.holder.holds(NOW))
+        self.assertTrue(self.holder.is_held(NOW))
         self.assertEqual(self.parts.actions(), [LeaseGained(self.holder.term, frozenset())])
         self.assertTrue(self.parts.context.announce)
         self.grant("a")
@@ -351,76 +354,76 @@
                 self.holder.tick()
                 for acceptor, number in zip("bc", previous, strict=True):
                     grant = pb.LeaseGrant(
-                        epoch=EPOCH, term=self.holder.term, stamp=NOW, boot=OWN_BOOT, previous=number
+                        epoch=EPOCH, term=self.holder.term, stamp=NOW, boot=OWN_INCARNATION, previous=number
                     )
                     self.holder.on_grant(identity(acceptor), grant)
                 gained = [each for each in self.parts.actions() if isinstance(each, LeaseGained)]
                 self.assertEqual(gained, [LeaseGained(self.holder.term, known)])
-                self.holder.give_up()
-                self.holder.not_before = 0.0
+                self.holder.release()
+                self.holder.next_candidacy_at = 0.0
 
     def test_counts_from_the_request_of_the_slowest_of_a_majority(self) -> None:
         self.holder.tick()
         self.grant("a", NOW)
         self.grant("b", NOW - 0.4)
-        self.assertEqual(self.holder.until, NOW - 0.4 + TIMING.lease - TIMING.lease_margin)
+        self.assertEqual(self.holder.valid_until, NOW - 0.4 + TIMING.lease - TIMING.lease_margin)
         self.grant("c", NOW - 0.3)
-        self.assertEqual(self.holder.until, NOW - 0.3 + TIMING.lease - TIMING.lease_margin)
+        self.assertEqual(self.holder.valid_until, NOW - 0.3 + TIMING.lease - TIMING.lease_margin)
 
     def test_grants_with_old_stamps_shorten_nothing(self) -> None:
         self.lead()
-        until = self.holder.until
+        until = self.holder.valid_until
         for each in "abc":
             self.grant(each, NOW - 0.9)
-        self.assertEqual(self.holder.until, until)
-        self.assertEqual(self.holder.granting(), 3)
+        self.assertEqual(self.holder.valid_until, until)
+        self.assertEqual(self.holder.count_granting_acceptors(), 3)
         self.parts.memory.view = view(epoch=EPOCH + 1)
         for each in "abc":
             self.grant(each, NOW - 0.5, epoch=EPOCH + 1)
-        self.assertEqual(self.holder.until, until)
+        self.assertEqual(self.holder.valid_until, until)
 
     def test_grants_that_come_too_late_give_nothing(self) -> None:
         self.holder.tick()
         self.parts.pass_time(TIMING.lease - TIMING.lease_margin)
         self.grant("a")
         self.grant("b")
-        self.assertIs(self.holder.standing, Standing.CANDIDATE)
+        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
 
     def test_grants_that_do_not_count(self) -> None:
         self.grant("b")
         self.grant("c")
-        self.assertEqual((self.holder.standing, self.holder.until), (Standing.FOLLOWER, 0.0))
+        self.assertEqual((self.holder.role, self.holder.valid_until), (LeaseRole.FOLLOWER, 0.0))
         self.holder.tick()
         self.grant("a")
-        for fields in ({"term": self.holder.term - 1}, {"epoch": EPOCH - 1}, {"boot": OWN_BOOT + 1}):
+        for fields in ({"term": self.holder.term - 1}, {"epoch": EPOCH - 1}, {"boot": OWN_INCARNATION + 1}):
             self.grant("b", **fields)
         self.grant("z")
-        self.assertFalse(self.holder.holds(NOW))
+        self.assertFalse(self.holder.is_held(NOW))
 
     def test_grants_of_an_epoch_do_not_count_in_the_next(self) -> None:
         self.holder.tick()
         self.grant("a")
         self.parts.memory.view = view(epoch=EPOCH + 1)
         self.grant("b", epoch=EPOCH + 1)
-        self.assertFalse(self.holder.holds(NOW))
+        self.assertFalse(self.holder.is_held(NOW))
         self.grant("c", epoch=EPOCH + 1)
-        self.assertTrue(self.holder.holds(NOW))
+        self.assertTrue(self.holder.is_held(NOW))
 
     def test_ends_by_its_own_clock(self) -> None:
         self.lead()
         end = NOW + TIMING.lease - TIMING.lease_margin
-        self.assertTrue(self.holder.holds(end - 0.01))
-        self.assertFalse(self.holder.holds(end + 0.01))
+        self.assertTrue(self.holder.is_held(end - 0.01))
+        self.assertFalse(self.holder.is_held(end + 0.01))
         self.parts.pass_time(TIMING.lease - TIMING.lease_margin - 0.01)
         self.holder.expire()
         self.assertEqual(self.parts.actions(), [])
         self.parts.pass_time(0.02)
         self.holder.expire()
-        self.assertIs(self.holder.standing, Standing.FOLLOWER)
+        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
         self.assertEqual(self.parts.actions(), [LeaseLost()])
         self.holder.expire()
         self.assertEqual(self.parts.actions(), [])
-        self.assertFalse(self.holder.holds(NOW))
+        self.assertFalse(self.holder.is_held(NOW))
 
     def test_tells_when_it_ends(self) -> None:
         self.lead()
@@ -433,7 +436,7 @@
         self.holder.tick()
         self.parts.pass_time(0.3)
         self.holder.expire()
-        self.assertIs(self.holder.standing, Standing.CANDIDATE)
+        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
 
     def test_renews_in_time(self) -> None:
         self.lead()
@@ -457,27 +460,27 @@
         self.assertEqual(len(self.parts.sent("lease_request")), 3)
         self.parts.pass_time(TIMING.candidate_timeout - TIMING.resend + 0.01, hearing="bc")
         self.holder.tick()
-        self.assertIs(self.holder.standing, Standing.FOLLOWER)
+        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
         self.assertEqual([each.term for each in self.parts.sent("lease_release")], [1, 1, 1])
-        self.assertEqual(self.holder.not_before, self.parts.now + TIMING.candidate_step * 2.5)
+        self.assertEqual(self.holder.next_candidacy_at, self.parts.now + TIMING.candidate_step * 2.5)
         self.holder.tick()
-        self.assertIs(self.holder.standing, Standing.FOLLOWER, "not at once again")
+        self.assertIs(self.holder.role, LeaseRole.FOLLOWER, "not at once again")
         self.parts.pass_time(TIMING.candidate_step * 2.5, hearing="bc")
         self.holder.tick()
-        self.assertEqual((self.holder.standing, self.holder.term), (Standing.CANDIDATE, 2))
+        self.assertEqual((self.holder.role, self.holder.term), (LeaseRole.CANDIDATE, 2))
 
     def test_gives_the_grants_back(self) -> None:
-        self.holder.give_up()
+        self.holder.release()
         self.assertEqual(self.parts.sent("lease_release"), [])
         self.lead()
-        self.holder.give_up()
-        self.assertFalse(self.holder.holds(NOW))
+        self.holder.release()
+        self.assertFalse(self.holder.is_held(NOW))
         self.assertEqual(sorted(self.parts.sent_to("lease_release")), ["a", "b", "c"])
 
     def test_a_candidate_has_no_lease_to_lose(self) -> None:
         self.holder.tick()
         self.parts.actions()
-        self.holder.give_up()
+        self.holder.release()
         self.assertNotIn(LeaseLost(), self.parts.actions())
 
     def test_loses_it_with_its_place_in_the_chain_or_its_disk(self) -> None:
@@ -487,79 +490,79 @@
             if trouble == "chain":
                 self.parts.memory.view = view(chain="bc")
             else:
-                self.parts.disk.troubled = True
+                self.parts.disk.is_suspect = True
             self.holder.tick()
-            self.assertIs(self.holder.standing, Standing.FOLLOWER)
+            self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
             self.holder.tick()
-            self.assertIs(self.holder.standing, Standing.FOLLOWER)
+            self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
 
     def test_no_candidate_before_a_majority_would_grant(self) -> None:
         self.parts.hear("b", lease_free=False)
         self.parts.hear("c", lease_free=False)
         self.holder.tick()
-        self.assertIs(self.holder.standing, Standing.FOLLOWER)
+        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
         self.parts.hear("c")
         self.holder.tick()
-        self.assertIs(self.holder.standing, Standing.CANDIDATE)
+        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
 
     def test_no_candidate_in_a_sealed_epoch(self) -> None:
         self.parts.seal()
         self.holder.tick()
-        self.assertIs(self.holder.standing, Standing.FOLLOWER)
+        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
 
     def test_candidates_wait_by_their_place(self) -> None:
         parts = Parts("c")
-        holder = Holder(parts.context, Grantor(parts.context, NOW - 1.0))
+        holder = LeaderLease(parts.context, LeaseGrantor(parts.context, NOW - 1.0))
         for each in "ab":
             parts.hear(each, lease_free=False)
         holder.tick()
-        self.assertEqual(holder.not_before, NOW + 2 * TIMING.candidate_step)
+        self.assertEqual(holder.next_candidacy_at, NOW + 2 * TIMING.candidate_step)
         for each in "ab":
             parts.hear(each)
         holder.tick()
-        self.assertIs(holder.standing, Standing.FOLLOWER)
+        self.assertIs(holder.role, LeaseRole.FOLLOWER)
         parts.pass_time(2 * TIMING.candidate_step, hearing="ab")
         holder.tick()
-        self.assertIs(holder.standing, Standing.CANDIDATE)
+        self.assertIs(holder.role, LeaseRole.CANDIDATE)
 
     def test_waiting_is_not_shortened(self) -> None:
-        self.holder.not_before = NOW + 9.0
+        self.holder.next_candidacy_at = NOW + 9.0
         self.parts.seal()
         self.holder.tick()
-        self.assertEqual(self.holder.not_before, NOW + 9.0)
+        self.assertEqual(self.holder.next_candidacy_at, NOW + 9.0)
 
     def test_a_new_candidate_counts_no_old_grants(self) -> None:
         self.holder.tick()
         self.grant("b")
-        self.holder.give_up()
+        self.holder.release()
         self.holder.tick()
         self.grant("a")
-        self.assertFalse(self.holder.holds(NOW))
+        self.assertFalse(self.holder.is_held(NOW))
 
     def test_who_grants_lately(self) -> None:
         self.lead()
-        self.assertEqual(self.holder.granting(), 3)
+        self.assertEqual(self.holder.count_granting_acceptors(), 3)
         self.parts.pass_time(TIMING.suspect - 0.01)
-        self.assertEqual(self.holder.granting(), 3)
+        self.assertEqual(self.holder.count_granting_acceptors(), 3)
         self.grant("a", self.parts.now)
         self.parts.pass_time(0.02)
-        self.assertEqual(self.holder.granting(), 1)
+        self.assertEqual(self.holder.count_granting_acceptors(), 1)
 
     def test_free_grantors(self) -> None:
         context = self.parts.context
-        self.assertEqual(free_grantors(context, self.grantor), 3)
+        self.assertEqual(count_available_grantors(context, self.grantor), 3)
         self.parts.hear("b", epoch=EPOCH - 1)
-        self.assertEqual(free_grantors(context, self.grantor), 2)
+        self.assertEqual(count_available_grantors(context, self.grantor), 2)
         self.parts.hear("b", lease_free=False, lease_kept_for="c")
-        self.assertEqual(free_grantors(context, self.grantor), 2)
+        self.assertEqual(count_available_grantors(context, self.grantor), 2)
         self.parts.hear("b", lease_free=False, lease_kept_for="a")
-        self.assertEqual(free_grantors(context, self.grantor), 3)
-        self.grantor.until, self.grantor.holder = NOW + 1.0, term(1, "b")
-        self.assertEqual(free_grantors(context, self.grantor), 2)
-        self.grantor.holder = term(1, "a")
-        self.assertEqual(free_grantors(context, self.grantor), 3)
+        self.assertEqual(count_available_grantors(context, self.grantor), 3)
+        self.grantor.granted_until, self.grantor.granted_term = NOW + 1.0, term(1, "b")
+        self.assertEqual(count_available_grantors(context, self.grantor), 2)
+        self.grantor.granted_term = term(1, "a")
+        self.assertEqual(count_available_grantors(context, self.grantor), 3)
         self.parts.pass_time(1.0, hearing="b")
-        self.assertEqual(free_grantors(context, self.grantor), 2, "c is not reached")
+        self.assertEqual(count_available_grantors(context, self.grantor), 2, "c is not reached")
 
 
 class DetectorTest(unittest.TestCase):
@@ -572,53 +575,55 @@
     def test_healthy_while_answers_come(self) -> None:
         limit = TIMING.suspect + TIMING.heartbeat
         self.parts.pass_time(limit - 0.01)
-        self.detector.tick(self.parts.now, "abc", False)
-        self.assertTrue(self.detector.healthy("b"))
-        self.assertEqual(sorted(self.detector.reached(self.parts.now)), ["b", "c"])
+        self.detector.tick(self.parts.now, "abc", is_planning=False)
+        self.assertTrue(self.detector.is_healthy("b"))
+        self.assertEqual(sorted(self.detector.reachable_ids(self.parts.now)), ["b", "c"])
         self.parts.pass_time(0.02, hearing="c")
-        self.detector.tick(self.parts.now, "abc", False)
-        self.assertEqual([self.detector.healthy(each) for each in "bcz"], [False, True, False])
-        self.assertEqual(self.detector.reached(self.parts.now), ["c"])
-        self.assertTrue(self.detector.reaches(self.parts.now, "a"))
-        self.assertFalse(self.detector.reaches(self.parts.now, "z"))
+        self.detector.tick(self.parts.now, "abc", is_planning=False)
+        self.assertEqual([self.detector.is_healthy(each) for each in "bcz"], [False, True, False])
+        self.assertEqual(self.detector.reachable_ids(self.parts.now), ["c"])
+        self.assertTrue(self.detector.is_reachable(self.parts.now, "a"))
+        self.assertFalse(self.detector.is_reachable(self.parts.now, "z"))
 
     def test_heartbeats_that_answer_nothing_are_no_answer(self) -> None:
         self.parts.pass_time(1.0)
-        for fields in ({"echo_boot": OWN_BOOT + 1}, {"echo": self.parts.now + 5.0}, {"echo": NOW}):
+        for fields in ({"echo_boot": OWN_INCARNATION + 1}, {"echo": self.parts.now + 5.0}, {"echo": NOW}):
             self.parts.hear("b", **fields)
-            self.assertFalse(self.detector.healthy("b"), fields)
-            self.assertFalse(self.detector.reaches(self.parts.now, "b"), fields)
+            self.assertFalse(self.detector.is_healthy("b"), fields)
+            self.assertFalse(self.detector.is_reachable(self.parts.now, "b"), fields)
 
     def test_told_unhealthy(self) -> None:
         self.parts.hear("b", healthy=False)
-        self.assertFalse(self.detector.healthy("b"))
-        self.assertTrue(self.detector.reaches(NOW, "b"))
+        self.assertFalse(self.detector.is_healthy("b"))
+        self.assertTrue(self.detector.is_reachable(NOW, "b"))
 
     def test_late_heartbeats_change_nothing(self) -> None:
         self.parts.hear("b", boot=9, sequence=7)
         peer = self.detector.peers["b"]
         self.parts.hear("b", boot=8, sequence=9, stamp=NOW + 1)
         self.parts.hear("b", boot=9, sequence=9, stamp=NOW - 1)
-        self.assertEqual((peer.boot, peer.beat.sequence), (9, 7))
+        self.assertEqual((peer.incarnation, peer.heartbeat.sequence), (9, 7))
 
     def test_a_process_taken_for_an_ended_one_is_heard_again_after_its_successors_silence(self) -> None:
         silence = self.parts.context.timing.suspect + self.parts.context.timing.heartbeat
         self.parts.hear("b", boot=9)
         self.parts.pass_time(silence - 0.01)
         self.parts.hear("b", boot=8, stamp=NOW + 1)
-        self.assertEqual(self.detector.peers["b"].boot, 9)
+        self.assertEqual(self.detector.peers["b"].incarnation, 9)
         self.parts.pass_time(0.02)
         self.parts.hear("b", boot=8, stamp=NOW + 2)
         peer = self.detector.peers["b"]
-        self.assertEqual((peer.boot, peer.past_boots, peer.heard), (8, {9}, self.parts.now))
+        self.assertEqual((peer.incarnation, peer.past_incarnations, peer.last_received_at), (8, {9}, self.parts.now))
 
     def test_another_process_has_answered_nothing_so_far(self) -> None:
         self.parts.pass_time(0.1)
         self.parts.hear("b", boot=9, echo_boot=0, echo=0.0, stamp=1.0)
         peer = self.detector.peers["b"]
-        self.assertEqual((peer.boot, peer.echo, peer.answered, peer.healthy), (9, NEVER, NEVER, False))
-        self.assertEqual(peer.past_boots, {8})
-        self.assertEqual((peer.beat.stamp, peer.heard), (1.0, self.parts.now))
+        self.assertEqual(
+            (peer.incarnation, peer.echoed_stamp, peer.last_answered_at, peer.is_healthy), (9, NEVER, NEVER, False)
+        )
+        self.assertEqual(peer.past_incarnations, {8})
+        self.assertEqual((peer.heartbeat.stamp, peer.last_received_at), (1.0, self.parts.now))
 
     def test_healthy_anew_since_the_new_process(self) -> None:
         self.parts.pass_time(0.1)
@@ -631,75 +636,75 @@
     def test_answers_go_forward_only(self) -> None:
         self.parts.hear("b", echo=NOW - 5.0)
         peer = self.detector.peers["b"]
-        self.assertEqual((peer.echo, peer.answered), (NOW, NOW))
+        self.assertEqual((peer.echoed_stamp, peer.last_answered_at), (NOW, NOW))
 
     def test_new_identity_of_a_machine(self) -> None:
         new = type(identity("b"))("b", "other", "z", "other:8367", "other:7500")
-        self.detector.heard(NOW, new, 8, pb.Heartbeat(stamp=NOW + 1))
+        self.detector.on_heartbeat(NOW, new, 8, pb.Heartbeat(stamp=NOW + 1))
         self.assertEqual(self.detector.peers["b"].identity, new)
 
     def test_own_freeze_is_nobodys_silence(self) -> None:
         self.parts.pass_time(5.0)
-        self.detector._conflicts[("b", "c")] = NOW
-        self.detector.awoke(5.0)
-        self.assertEqual(self.detector.silent_for(self.parts.now, "b"), 0.0)
-        self.assertTrue(self.detector.reaches(self.parts.now, "b"))
+        self.detector._unreachable_since[("b", "c")] = NOW
+        self.detector.compensate_pause(5.0)
+        self.assertEqual(self.detector.silence_s(self.parts.now, "b"), 0.0)
+        self.assertTrue(self.detector.is_reachable(self.parts.now, "b"))
         peer = self.detector.peers["b"]
-        self.assertEqual((peer.healthy_since, peer.echo), (NOW + 5.0, NOW), "an answer is as old as it is")
-        self.assertEqual(self.detector.conflicts(self.parts.now + 9), set())
+        self.assertEqual((peer.healthy_since, peer.echoed_stamp), (NOW + 5.0, NOW), "an answer is as old as it is")
+        self.assertEqual(self.detector.unreachable_pairs(self.parts.now + 9), set())
 
     def test_strangers_are_forgotten(self) -> None:
         self.parts.hear("z")
-        self.parts.pass_time(STRANGER_S - 0.01)
-        self.detector.tick(self.parts.now, "abc", False)
+        self.parts.pass_time(FORGET_UNKNOWN_AFTER_S - 0.01)
+        self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertIn("z", self.detector.peers)
         self.parts.pass_time(0.02)
-        self.detector.tick(self.parts.now, "abc", False)
+        self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertEqual(sorted(self.detector.peers), ["b", "c"])
 
     def test_reached_by_another(self) -> None:
         self.parts.hear("c", reached=["b"])
-        self.assertTrue(self.detector.reached_by_another(NOW, "b"))
+        self.assertTrue(self.detector.is_reachable_from_another(NOW, "b"))
         self.parts.hear("c", reached=["a"])
         self.parts.hear("b", reached=["a"])
-        self.assertFalse(self.detector.reached_by_another(NOW, "b"))
+        self.assertFalse(self.detector.is_reachable_from_another(NOW, "b"))
         self.parts.hear("c", reached=["b"])
-        self.assertFalse(self.detector.reached_by_another(NOW + 2.0, "b"), "c itself is not reached")
+        self.assertFalse(self.detector.is_reachable_from_another(NOW + 2.0, "b"), "c itself is not reached")
 
     def settles_after(self, removals: int) -> float:
         """How long a machine has to be healthy before it may come back."""
         peer = self.detector.peers["b"]
         peer.removals = [NOW - 1.0] * removals
         for tenths in range(1, 80):
-            if self.detector.settled(NOW + tenths / 10 + 0.001, "b"):
+            if self.detector.is_readmittable(NOW + tenths / 10 + 0.001, "b"):
                 return tenths / 10
         return 8.0
 
     def test_a_machine_that_was_removed_often_waits_longer(self) -> None:
         waits = [self.settles_after(removals) for removals in (0, 1, 2, 3, 4, 5, 9)]
         self.assertEqual(waits, [0.3, 0.3, 0.6, 1.2, 2.4, 4.8, 5.0])
-        self.assertFalse(self.detector.settled(NOW + 9, "z"))
-        self.detector.peers["b"].healthy = False
-        self.assertFalse(self.detector.settled(NOW + 9, "b"))
+        self.assertFalse(self.detector.is_readmittable(NOW + 9, "z"))
+        self.detector.peers["b"].is_healthy = False
+        self.assertFalse(self.detector.is_readmittable(NOW + 9, "b"))
 
     def test_old_removals_do_not_count(self) -> None:
         peer = self.detector.peers["b"]
         peer.removals = [NOW - TIMING.removal_memory - 1.0] * 5
-        self.assertTrue(self.detector.settled(NOW + 0.31, "b"))
-        self.detector.removed(NOW, "b")
+        self.assertTrue(self.detector.is_readmittable(NOW + 0.31, "b"))
+        self.detector.record_removal(NOW, "b")
         self.assertEqual(peer.removals, [NOW])
-        self.detector.removed(NOW, "b")
-        self.detector.removed(NOW, "z")
+        self.detector.record_removal(NOW, "b")
+        self.detector.record_removal(NOW, "z")
         self.assertEqual(peer.removals, [NOW, NOW])
 
     def test_silence(self) -> None:
-        self.assertEqual(self.detector.silent_for(NOW + 1, "a"), 0.0)
-        self.assertEqual(self.detector.silent_for(NOW + 1, "b"), 1.0)
-        self.assertEqual(self.detector.silent_for(NOW, "z"), 60.0)
+        self.assertEqual(self.detector.silence_s(NOW + 1, "a"), 0.0)
+        self.assertEqual(self.detector.silence_s(NOW + 1, "b"), 1.0)
+        self.assertEqual(self.detector.silence_s(NOW, "z"), 60.0)
 
     def conflicts(self, now: float) -> set[tuple[str, str]]:
-        self.detector.tick(now, "abc", True)
-        return self.detector.conflicts(now)
+        self.detector.tick(now, "abc", is_planning=True)
+        return self.detector.unreachable_pairs(now)
 
     def test_conflicts_count_after_a_while(self) -> None:
         for reached in ({"b": ["a"], "c": ["a", "b"]}, {"b": ["a", "c"], "c": ["a"]}):
@@ -721,7 +726,7 @@
     def test_conflicts_count_from_when_views_are_planned(self) -> None:
         self.parts.hear("b", reached=["a"])
         self.conflicts(NOW)
-        self.detector.tick(NOW + 0.3, "abc", False)
+        self.detector.tick(NOW + 0.3, "abc", is_planning=False)
         self.assertEqual(self.conflicts(NOW + 0.6), set())
 
     def test_no_conflicts_of_unhealthy_machines(self) -> None:
@@ -730,13 +735,13 @@
         self.assertEqual(self.conflicts(NOW + TIMING.conflict), set())
 
     def test_pairs_have_one_order(self) -> None:
-        detector = Detector(identity("a"), OWN_BOOT, TIMING, NOW)
+        detector = FailureDetector(identity("a"), OWN_INCARNATION, TIMING, NOW)
         for each in "cb":
-            detector.heard(
-                NOW, identity(each), 1, pb.Heartbeat(stamp=NOW, healthy=True, echo=NOW, echo_boot=OWN_BOOT)
+            detector.on_heartbeat(
+                NOW, identity(each), 1, pb.Heartbeat(stamp=NOW, healthy=True, echo=NOW, echo_boot=OWN_INCARNATION)
             )
-        detector.tick(NOW, "abc", True)
-        self.assertEqual(list(detector._conflicts), [("b", "c")])
+        detector.tick(NOW, "abc", is_planning=True)
+        self.assertEqual(list(detector._unreachable_since), [("b", "c")])
 
 
 class FreshnessTest(unittest.TestCase):
@@ -950,8 +955,8 @@
 
     def make(self, parts: Parts) -> None:
         self.parts = parts
-        self.grantor = Grantor(parts.context, NOW - 1.0)
-        self.holder = Holder(parts.context, self.grantor)
+        self.grantor = LeaseGrantor(parts.context, NOW - 1.0)
+        self.holder = LeaderLease(parts.context, self.grantor)
         self.told: list[int] = []
         self.chain = Chain(parts.context, Confirmer(parts.context), lambda: self.told.append(1))
         seeds = [("s:8367", "s:7500"), ("b:8367", "b:7500")]
@@ -977,7 +982,7 @@
         self.parts.context.leaving = True
         self.parts.context.joined = 0
         self.chain.active = True
-        self.parts.memory.written = self.parts.memory.committed.after(EPOCH, 51, b"", b"")
+        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"", b"")
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.sealed, beat.joined, beat.active, beat.healthy), (True, False, True, False))
         self.assertTrue(beat.leaving)
@@ -994,15 +999,15 @@
 
     def test_the_term_told_by_the_leader(self) -> None:
         self.parts.memory.term = term(4)
-        self.holder.standing, self.holder.term, self.holder.until = Standing.LEADER, 9, NOW + 1.0
+        self.holder.role, self.holder.term, self.holder.valid_until = LeaseRole.LEADER, 9, NOW + 1.0
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.term, beat.leads), (9, True))
-        self.holder.until = NOW
+        self.holder.valid_until = NOW
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.term, beat.leads), (4, False))
 
     def test_to_whom_the_lease_is_kept(self) -> None:
-        self.grantor.until, self.grantor.holder = NOW + 1.0, term(1, "c")
+        self.grantor.granted_until, self.grantor.granted_term = NOW + 1.0, term(1, "c")
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.lease_free, beat.lease_kept_for), (False, "c"))
 
@@ -1047,7 +1052,7 @@
         self.assertNotIn("a", self.parts.detector.peers)
 
     def test_what_the_tail_has_stored_counts(self) -> None:
-        written = self.parts.memory.written = self.parts.memory.committed.after(EPOCH, 51, b"", b"")
+        written = self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"", b"")
         for name, fields in (("b", {}), ("c", {"sealed": True}), ("c", {"epoch": EPOCH - 1}), ("c", {"sequence": 5})):
             self.receive(name, **fields)
             self.assertEqual(self.parts.memory.written, written, (name, fields))
--- a/tests/fleet/test_planted_coordination_records.py
+++ b/tests/fleet/test_planted_coordination_records.py
@@ -5,24 +5,22 @@
 import unittest
 from dataclasses import replace
 
-from rosechute.coordination.disk import Disk
 from rosechute.coordination.memory import Memory, load, write_message
+from rosechute.coordination.record_writer import RecordWriter
 from rosechute.coordination.types import Identity, Timing
 from rosechute.coordination.views import (
-    TAKEN_BYTES,
-    TAKEN_ORDERS,
-    State,
-    Term,
+    APPLIED_WRITE_BYTES,
+    MAX_APPLIED_WRITES,
+    LeaderTerm,
+    Proposal,
+    RegisterState,
+    StateTag,
     View,
     bootstrap_id,
-    first_view,
-    identity_of,
-    machine_of,
-    proposal_of,
+    bootstrap_view,
+    identity_from_message,
+    identity_to_message,
     random_id,
-    state_of,
-    term_of,
-    view_of,
 )
 from rosechute.messages import coordination_pb2 as pb
 
@@ -32,11 +30,11 @@
 def full_memory() -> Memory:
     """Every field has a value of its own."""
     memory = Memory(machine=identity("a"), newcomer=True)
-    memory.view = view(term=term(4), size=5, base_tag=(2, 4))
+    memory.view = view(term=term(4), size=5, base_tag=StateTag(2, 4))
     memory.committed = state()
-    memory.written = memory.committed.after(EPOCH, 51, b"written", b"W" * 32)
+    memory.written = memory.committed.with_write(EPOCH, 51, b"written", b"W" * 32)
     memory.promised, memory.accepted = ballot(9), proposal(8, "c")
-    memory.term = Term(6, "b", 11)
+    memory.term = LeaderTerm(6, "b", 11)
     memory.grantee, memory.grantee_number = "c", 13
     return memory
 
@@ -45,27 +43,29 @@
     """Values go through their messages unchanged."""
 
     def test_view(self) -> None:
-        value = view(term=term(4), size=5, base_tag=(2, 4))
-        self.assertEqual(view_of(pb.View.FromString(value.message().SerializeToString())), value)
+        value = view(term=term(4), size=5, base_tag=StateTag(2, 4))
+        self.assertEqual(View.from_message(pb.View.FromString(value.to_message().SerializeToString())), value)
 
     def test_state(self) -> None:
-        value = State(3, 4, 5, b"body", DIGEST, b"t" * TAKEN_BYTES)
-        self.assertEqual(state_of(pb.State.FromString(value.message().SerializeToString())), value)
+        value = RegisterState(3, 4, 5, b"body", DIGEST, b"t" * APPLIED_WRITE_BYTES)
+        self.assertEqual(
+            RegisterState.from_message(pb.State.FromString(value.to_message().SerializeToString())), value
+        )
 
     def test_term(self) -> None:
-        value = Term(4, "b", 11)
-        self.assertEqual(term_of(value.message()), value)
+        value = LeaderTerm(4, "b", 11)
+        self.assertEqual(LeaderTerm.from_message(value.to_message()), value)
 
     def test_proposal(self) -> None:
         value = proposal(9)
-        self.assertEqual(proposal_of(value.message()), value)
+        self.assertEqual(Proposal.from_message(value.to_message()), value)
 
     def test_identity(self) -> None:
         value = Identity("id", "name", "zone", "control", "peer")
-        self.assertEqual(identity_of(machine_of(value)), value)
+        self.assertEqual(identity_from_message(identity_to_message(value)), value)
 
     def test_chain_write(self) -> None:
-        written = state().after(EPOCH, 51, b"new", b"W" * 32)
+        written = state().with_write(EPOCH, 51, b"new", b"W" * 32)
         memory = Memory(view=view(), committed=state())
         memory.apply(pb.Record(write=write_message(written)))
         self.assertEqual(memory.written, written)
@@ -92,11 +92,11 @@
         self.assertEqual(self.found.committed, self.memory.committed)
 
     def test_snapshot_keeps_the_taken_orders(self) -> None:
-        self.assertEqual(self.found.newest.version_taken(DIGEST), 50)
-        self.assertEqual(self.found.newest.version_taken(b"W" * 32), 51)
+        self.assertEqual(self.found.newest.applied_version(DIGEST), 50)
+        self.assertEqual(self.found.newest.applied_version(b"W" * 32), 51)
 
     def test_snapshot_keeps_the_term_and_its_holder(self) -> None:
-        self.assertEqual(self.found.term, Term(6, "b", 11))
+        self.assertEqual(self.found.term, LeaderTerm(6, "b", 11))
 
     def test_snapshot_keeps_the_grantee(self) -> None:
         self.assertEqual((self.found.grantee, self.found.grantee_number), ("c", 13))
@@ -116,21 +116,21 @@
         memory.newcomer = False
         for record in (
             pb.Record(machine=pb.MachineRecord(machine=machine("a"), newcomer=True)),
-            pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(8).message())),
-            pb.Record(promise=pb.PromiseRecord(epoch=EPOCH - 1, ballot=ballot(12).message())),
-            pb.Record(promise=pb.PromiseRecord(epoch=EPOCH + 1, ballot=ballot(12).message())),
-            pb.Record(accepted=proposal(8).message()),
-            pb.Record(accepted=proposal(12, epoch=EPOCH).message()),
-            pb.Record(accepted=proposal(12, epoch=EPOCH + 2).message()),
-            pb.Record(learn=pb.LearnRecord(state=state(5).message())),
-            pb.Record(learn=pb.LearnRecord(state=state(4).message())),
-            pb.Record(learn=pb.LearnRecord(state=state(7, EPOCH - 1).message())),
-            pb.Record(term=term(6, "c").message()),
-            pb.Record(term=term(5).message()),
+            pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(8).to_message())),
+            pb.Record(promise=pb.PromiseRecord(epoch=EPOCH - 1, ballot=ballot(12).to_message())),
+            pb.Record(promise=pb.PromiseRecord(epoch=EPOCH + 1, ballot=ballot(12).to_message())),
+            pb.Record(accepted=proposal(8).to_message()),
+            pb.Record(accepted=proposal(12, epoch=EPOCH).to_message()),
+            pb.Record(accepted=proposal(12, epoch=EPOCH + 2).to_message()),
+            pb.Record(learn=pb.LearnRecord(state=state(5).to_message())),
+            pb.Record(learn=pb.LearnRecord(state=state(4).to_message())),
+            pb.Record(learn=pb.LearnRecord(state=state(7, EPOCH - 1).to_message())),
+            pb.Record(term=term(6, "c").to_message()),
+            pb.Record(term=term(5).to_message()),
             pb.Record(grantee=pb.GranteeRecord(holder="b", number=13)),
             pb.Record(grantee=pb.GranteeRecord(holder="b", number=12)),
-            pb.Record(adopt=pb.AdoptRecord(view=view("bcd").message(), state=state(9).message())),
-            pb.Record(adopt=pb.AdoptRecord(accepted=ballot(7).message())),
+            pb.Record(adopt=pb.AdoptRecord(view=view("bcd").to_message(), state=state(9).to_message())),
+            pb.Record(adopt=pb.AdoptRecord(accepted=ballot(7).to_message())),
             pb.Record(write=write_message(state(5))),
             pb.Record(write=write_message(state(7))),
             pb.Record(write=write_message(state(6, EPOCH - 1))),
@@ -155,42 +155,42 @@
 
     def test_promise_seals_the_epoch(self) -> None:
         self.assertFalse(self.memory.sealed)
-        self.memory.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(1).message())))
+        self.memory.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(1).to_message())))
         self.assertEqual(self.memory.promised, ballot(1))
         self.assertTrue(self.memory.sealed)
-        self.memory.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(2).message())))
+        self.memory.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(2).to_message())))
         self.assertEqual(self.memory.promised, ballot(2))
 
     def test_acceptance_promises_its_ballot_too(self) -> None:
-        self.memory.apply(pb.Record(accepted=proposal(3).message()))
+        self.memory.apply(pb.Record(accepted=proposal(3).to_message()))
         self.assertEqual((self.memory.promised, self.memory.accepted), (ballot(3), proposal(3)))
 
     def test_acceptance_of_the_promised_ballot(self) -> None:
         self.memory.promised = ballot(3)
-        self.memory.apply(pb.Record(accepted=proposal(3).message()))
+        self.memory.apply(pb.Record(accepted=proposal(3).to_message()))
         self.assertEqual(self.memory.accepted, proposal(3))
 
     def test_learned_state_counts(self) -> None:
-        self.memory.written = self.memory.committed.after(EPOCH, 51, b"", b"")
-        self.memory.apply(pb.Record(learn=pb.LearnRecord(state=state(8).message())))
+        self.memory.written = self.memory.committed.with_write(EPOCH, 51, b"", b"")
+        self.memory.apply(pb.Record(learn=pb.LearnRecord(state=state(8).to_message())))
         self.assertEqual((self.memory.committed, self.memory.written), (state(8), None))
 
     def test_learned_state_older_than_a_write(self) -> None:
-        written = self.memory.written = self.memory.committed.after(EPOCH, 51, b"", b"")
-        self.memory.apply(pb.Record(learn=pb.LearnRecord(state=state(6).message())))
+        written = self.memory.written = self.memory.committed.with_write(EPOCH, 51, b"", b"")
+        self.memory.apply(pb.Record(learn=pb.LearnRecord(state=state(6).to_message())))
         self.assertEqual((self.memory.committed, self.memory.written), (state(5), written))
 
     def test_write_commits_the_one_before(self) -> None:
-        first = self.memory.committed.after(EPOCH, 51, b"1", b"1" * 32)
-        second = first.after(EPOCH, 52, b"2", b"2" * 32)
+        first = self.memory.committed.with_write(EPOCH, 51, b"1", b"1" * 32)
+        second = first.with_write(EPOCH, 52, b"2", b"2" * 32)
         for each in (first, second):
             self.memory.apply(pb.Record(write=write_message(each)))
         self.assertEqual((self.memory.committed, self.memory.written), (first, second))
 
     def test_term_goes_up_only(self) -> None:
-        self.memory.apply(pb.Record(term=term(6, "c").message()))
-        self.memory.apply(pb.Record(term=term(6, "b").message()))
-        self.memory.apply(pb.Record(term=term(5, "b").message()))
+        self.memory.apply(pb.Record(term=term(6, "c").to_message()))
+        self.memory.apply(pb.Record(term=term(6, "b").to_message()))
+        self.memory.apply(pb.Record(term=term(5, "b").to_message()))
         self.assertEqual(self.memory.term, term(6, "c"))
 
     def test_grantee_by_number(self) -> None:
@@ -206,8 +206,8 @@
     def setUp(self) -> None:
         self.memory = full_memory()
 
-    def adopt(self, adopted: View, found: State) -> None:
-        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(view=adopted.message(), state=found.message())))
+    def adopt(self, adopted: View, found: RegisterState) -> None:
+        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(view=adopted.to_message(), state=found.to_message())))
 
     def test_takes_view_and_state_and_opens_the_epoch(self) -> None:
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
@@ -217,19 +217,19 @@
         self.assertFalse(memory.sealed)
 
     def test_takes_the_accepted_proposal_of_the_ballot(self) -> None:
-        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").message())))
+        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
         self.assertEqual((self.memory.view, self.memory.committed), (proposal(8).view, proposal(8).state))
 
     def test_not_without_the_proposal(self) -> None:
         self.memory.accepted = None
-        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").message())))
+        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
         self.assertEqual(self.memory.view.epoch, EPOCH)
 
     def test_takes_a_higher_term_only(self) -> None:
-        self.adopt(view(epoch=EPOCH + 1, term=Term(5, "c", 1)), state(9, EPOCH + 1))
-        self.assertEqual(self.memory.term, Term(6, "b", 11))
-        self.adopt(view(epoch=EPOCH + 2, term=Term(7, "c", 1)), state(9, EPOCH + 2))
-        self.assertEqual(self.memory.term, Term(7, "c", 1))
+        self.adopt(view(epoch=EPOCH + 1, term=LeaderTerm(5, "c", 1)), state(9, EPOCH + 1))
+        self.assertEqual(self.memory.term, LeaderTerm(6, "b", 11))
+        self.adopt(view(epoch=EPOCH + 2, term=LeaderTerm(7, "c", 1)), state(9, EPOCH + 2))
+        self.assertEqual(self.memory.term, LeaderTerm(7, "c", 1))
 
     def test_grantee_is_kept_by_an_acceptor_that_stays(self) -> None:
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
@@ -261,38 +261,38 @@
 
 class TakenOrders(unittest.TestCase):
     def test_each_is_found_by_its_digest(self) -> None:
-        found = State()
+        found = RegisterState()
         for version in range(1, 20):
-            found = found.after(1, version, b"", bytes([version]) * 32)
-        self.assertEqual([found.version_taken(bytes([each]) * 32) for each in range(1, 20)], list(range(1, 20)))
-        self.assertIsNone(found.version_taken(b"z" * 32))
+            found = found.with_write(1, version, b"", bytes([version]) * 32)
+        self.assertEqual([found.applied_version(bytes([each]) * 32) for each in range(1, 20)], list(range(1, 20)))
+        self.assertIsNone(found.applied_version(b"z" * 32))
 
     def test_a_digest_across_two_entries_is_none(self) -> None:
         # The second half of one digest with its version, and the first bytes of the next entry.
-        found = State().after(1, 1, b"", b"A" * 16).after(1, 2, b"", b"B" * 16)
-        across = found.taken[12:28]
-        self.assertIsNone(found.version_taken(across))
-        third = found.after(1, 3, b"", across)
-        self.assertEqual(third.version_taken(across), 3)
+        found = RegisterState().with_write(1, 1, b"", b"A" * 16).with_write(1, 2, b"", b"B" * 16)
+        across = found.applied_writes[12:28]
+        self.assertIsNone(found.applied_version(across))
+        third = found.with_write(1, 3, b"", across)
+        self.assertEqual(third.applied_version(across), 3)
 
     def test_the_newest_are_kept(self) -> None:
-        found = State()
-        for version in range(1, TAKEN_ORDERS + 2):
-            found = found.after(1, version, b"", version.to_bytes(16, "big"))
-        self.assertEqual(len(found.taken), TAKEN_ORDERS * TAKEN_BYTES)
-        self.assertIsNone(found.version_taken((1).to_bytes(16, "big")))
-        self.assertEqual(found.version_taken((2).to_bytes(16, "big")), 2)
-        self.assertEqual(found.version_taken((TAKEN_ORDERS + 1).to_bytes(16, "big")), TAKEN_ORDERS + 1)
+        found = RegisterState()
+        for version in range(1, MAX_APPLIED_WRITES + 2):
+            found = found.with_write(1, version, b"", version.to_bytes(16, "big"))
+        self.assertEqual(len(found.applied_writes), MAX_APPLIED_WRITES * APPLIED_WRITE_BYTES)
+        self.assertIsNone(found.applied_version((1).to_bytes(16, "big")))
+        self.assertEqual(found.applied_version((2).to_bytes(16, "big")), 2)
+        self.assertEqual(found.applied_version((MAX_APPLIED_WRITES + 1).to_bytes(16, "big")), MAX_APPLIED_WRITES + 1)
 
     def test_sequence_and_epoch(self) -> None:
-        found = state().after(EPOCH + 1, 51, b"new", b"N" * 32)
+        found = state().with_write(EPOCH + 1, 51, b"new", b"N" * 32)
         self.assertEqual((found.tag, found.version, found.body), ((EPOCH + 1, 6), 51, b"new"))
         self.assertEqual(found.digest, b"N" * 32)
-        self.assertEqual(found.in_epoch(9), replace(found, epoch=9))
+        self.assertEqual(found.with_epoch(9), replace(found, epoch=9))
 
     def test_no_configuration_before_the_first_order(self) -> None:
-        self.assertIsNone(State(epoch=1).committed())
-        told = state().committed()
+        self.assertIsNone(RegisterState(epoch=1).committed_configuration())
+        told = state().committed_configuration()
         assert told is not None
         self.assertEqual((told.sequence, told.version, told.body, told.digest), (5, 50, b"body 50", DIGEST))
 
@@ -310,8 +310,8 @@
 
     def test_first_view_is_the_same_from_seeds_in_any_order(self) -> None:
         seeds = [("b:1", "b:2"), ("a:1", "a:2"), ("b:1", "b:2")]
-        found = first_view(seeds)
-        self.assertEqual(found, first_view(seeds[::-1]))
+        found = bootstrap_view(seeds)
+        self.assertEqual(found, bootstrap_view(seeds[::-1]))
         self.assertEqual((found.epoch, found.size, found.base_tag), (1, 2, (1, 0)))
         self.assertEqual(found.chain, (bootstrap_id("a:1"), bootstrap_id("b:1")))
         self.assertEqual([each.peer_address for each in found.acceptors], ["a:2", "b:2"])
@@ -340,22 +340,22 @@
         assert persist is not None
         self.assertFalse(persist.replaces)
         self.assertEqual(self.done, [])
-        self.disk.persisted(self.parts.now, persist.token)
+        self.disk.on_persisted(self.parts.now, persist.token)
         self.assertEqual(self.done, ["x"])
         self.assertIsNone(self.parts.flush())
 
     def test_after_waits_for_its_number_and_in_order(self) -> None:
         self.write("x")
-        self.disk.after(1, lambda: self.done.append("after x"))
+        self.disk.call_when_synced(1, lambda: self.done.append("after x"))
         first = self.parts.flush()
         self.write("y", 2)
         second = self.parts.flush()
         assert first is not None and second is not None
-        self.disk.after(1, lambda: self.done.append("after x, behind y"))
-        self.disk.persisted(self.parts.now, first.token)
+        self.disk.call_when_synced(1, lambda: self.done.append("after x, behind y"))
+        self.disk.on_persisted(self.parts.now, first.token)
         self.assertEqual(self.done, ["x", "after x"])
-        self.disk.after(1, lambda: self.done.append("at once"))
-        self.disk.persisted(self.parts.now, second.token)
+        self.disk.call_when_synced(1, lambda: self.done.append("at once"))
+        self.disk.on_persisted(self.parts.now, second.token)
         self.assertEqual(self.done, ["x", "after x", "at once", "y", "after x, behind y"])
 
     def test_one_report_stands_for_all_before(self) -> None:
@@ -364,16 +364,16 @@
         self.write("y", 2)
         second = self.parts.flush()
         assert second is not None
-        self.disk.persisted(self.parts.now, second.token)
+        self.disk.on_persisted(self.parts.now, second.token)
         self.assertEqual(self.done, ["x", "y"])
-        self.assertEqual(self.disk.oldest_age(self.parts.now + 9), 0.0)
+        self.assertEqual(self.disk.oldest_write_age_s(self.parts.now + 9), 0.0)
 
     def test_report_of_an_unknown_batch(self) -> None:
         self.write("x")
         self.parts.flush()
-        self.disk.persisted(self.parts.now, 0)
-        self.disk.persist_failed(self.parts.now, 9)
-        self.assertEqual((self.done, self.disk.healthy()), ([], True))
+        self.disk.on_persisted(self.parts.now, 0)
+        self.disk.on_persist_failed(self.parts.now, 9)
+        self.assertEqual((self.done, self.disk.is_healthy()), ([], True))
 
     def test_refusal_counts_nothing_until_the_whole_state_is_written(self) -> None:
         self.write("x")
@@ -381,9 +381,9 @@
         self.write("y", 2)
         second = self.parts.flush()
         assert first is not None and second is not None
-        self.disk.persist_failed(self.parts.now, first.token)
-        self.assertFalse(self.disk.healthy())
-        self.disk.persisted(self.parts.now, second.token)  # was on its way: nothing is known of it
+        self.disk.on_persist_failed(self.parts.now, first.token)
+        self.assertFalse(self.disk.is_healthy())
+        self.disk.on_persisted(self.parts.now, second.token)  # was on its way: nothing is known of it
         self.assertEqual(self.done, [])
         self.write("z", 3)
         self.assertIsNone(self.parts.flush(), "nothing is appended to a log that failed")
@@ -397,7 +397,7 @@
         self.assertTrue(whole.replaces)
         self.assertEqual(load(whole.records), self.parts.memory)
         self.assertEqual(self.done, [])
-        self.disk.persisted(self.parts.now, whole.token)
+        self.disk.on_persisted(self.parts.now, whole.token)
         self.assertEqual(self.done, ["x", "y", "z"])
         self.write("later", 4)
         later = self.parts.flush()
@@ -408,40 +408,40 @@
         self.write("x")
         first = self.parts.flush()
         assert first is not None
-        self.disk.persist_failed(self.parts.now, first.token)
+        self.disk.on_persist_failed(self.parts.now, first.token)
         self.parts.pass_time(self.parts.timing.disk_retry)
         self.disk.tick(self.parts.now)
         whole = self.parts.flush()
         assert whole is not None
-        self.assertFalse(self.disk.healthy())
-        self.disk.persisted(self.parts.now, whole.token)
-        self.assertFalse(self.disk.healthy())
+        self.assertFalse(self.disk.is_healthy())
+        self.disk.on_persisted(self.parts.now, whole.token)
+        self.assertFalse(self.disk.is_healthy())
         self.disk.tick(self.parts.now)
         self.assertIsNone(self.parts.flush(), "not at once")
         self.parts.pass_time(self.parts.timing.disk_retry)
         self.disk.tick(self.parts.now)
         probe = self.parts.flush()
         assert probe is not None
-        self.disk.persisted(self.parts.now, probe.token)
-        self.assertTrue(self.disk.healthy())
+        self.disk.on_persisted(self.parts.now, probe.token)
+        self.assertTrue(self.disk.is_healthy())
 
     def test_other_records_are_no_probe(self) -> None:
-        self.disk.troubled = True
+        self.disk.is_suspect = True
         self.disk.tick(self.parts.now)
         probe = self.parts.flush()
         assert probe is not None
         self.parts.pass_time(self.parts.timing.disk_healthy + 0.01)
-        self.disk.persisted(self.parts.now, probe.token)
+        self.disk.on_persisted(self.parts.now, probe.token)
         self.write("x")
         self.parts.sync()
-        self.assertFalse(self.disk.healthy())
+        self.assertFalse(self.disk.is_healthy())
 
     def test_unwritten_records_do_not_follow_a_refusal(self) -> None:
         self.write("x")
         first = self.parts.flush()
         assert first is not None
         self.write("y", 2)
-        self.disk.persist_failed(self.parts.now, first.token)
+        self.disk.on_persist_failed(self.parts.now, first.token)
         self.assertIsNone(self.parts.flush())
 
     def test_disk_is_trusted_again_after_a_quick_probe(self) -> None:
@@ -451,13 +451,13 @@
         assert batch is not None
         self.parts.pass_time(timing.suspect - 0.01)
         self.disk.tick(self.parts.now)
-        self.assertTrue(self.disk.healthy())
+        self.assertTrue(self.disk.is_healthy())
         self.parts.pass_time(0.02)
         self.disk.tick(self.parts.now)
-        self.assertFalse(self.disk.healthy())
+        self.assertFalse(self.disk.is_healthy())
         self.assertIsNone(self.parts.flush(), "no probe while a batch is under way")
-        self.disk.persisted(self.parts.now, batch.token)
-        self.assertEqual((self.done, self.disk.healthy()), (["x"], False))
+        self.disk.on_persisted(self.parts.now, batch.token)
+        self.assertEqual((self.done, self.disk.is_healthy()), (["x"], False))
         for slow in (True, False):
             self.parts.pass_time(timing.disk_retry)
             self.disk.tick(self.parts.now)
@@ -466,18 +466,18 @@
             self.assertFalse(probe.replaces)
             self.assertEqual(pb.Record.FromString(probe.records[0]).WhichOneof("body"), "probe")
             self.parts.pass_time(timing.disk_healthy + (0.01 if slow else -0.01))
-            self.disk.persisted(self.parts.now, probe.token)
-            self.assertEqual(self.disk.healthy(), not slow)
+            self.disk.on_persisted(self.parts.now, probe.token)
+            self.assertEqual(self.disk.is_healthy(), not slow)
         self.disk.tick(self.parts.now + 9)
         self.assertIsNone(self.parts.flush())
 
     def test_probes_are_spaced(self) -> None:
-        self.disk.troubled = True
+        self.disk.is_suspect = True
         self.disk.tick(self.parts.now)
         probe = self.parts.flush()
         assert probe is not None
         self.parts.pass_time(self.parts.timing.disk_healthy + 0.01)
-        self.disk.persisted(self.parts.now, probe.token)
+        self.disk.on_persisted(self.parts.now, probe.token)
         self.disk.tick(self.parts.now)
         self.assertIsNone(self.parts.flush())
 
@@ -490,15 +490,15 @@
         assert persist is not None
         self.assertEqual(pb.Record.FromString(persist.records[-1]), deferred)
         self.assertEqual(self.parts.memory.grantee, "deferred")
-        self.disk.persisted(self.parts.now, persist.token)
-        self.assertEqual(self.disk.durable, 2)
+        self.disk.on_persisted(self.parts.now, persist.token)
+        self.assertEqual(self.disk.synced_number, 2)
         self.write("y", 3)
         again = self.parts.flush()
         assert again is not None
         self.assertEqual(len(again.records), 1)
 
     def test_first_batch_of_an_empty_disk_replaces(self) -> None:
-        disk = Disk(Timing(), Memory(), replace_next=True)
+        disk = RecordWriter(Timing(), Memory(), replace_next=True)
         flags = []
         for number in (1, 2):
             disk.write(pb.Record(grantee=pb.GranteeRecord(holder="x", number=number)))
@@ -508,7 +508,7 @@
         self.assertEqual(flags, [True, False])
 
     def test_age_of_the_oldest(self) -> None:
-        self.assertEqual(self.disk.oldest_age(self.parts.now), 0.0)
+        self.assertEqual(self.disk.oldest_write_age_s(self.parts.now), 0.0)
         self.write("x")
         self.parts.flush()
-        self.assertEqual(self.disk.oldest_age(self.parts.now + 2), 2.0)
+        self.assertEqual(self.disk.oldest_write_age_s(self.parts.now + 2), 2.0)
