--- a/tests/fleet/test_planted_coordination_views.py
+++ b/tests/fleet/test_planted_coordination_views.py
@@ -9,14 +9,15 @@
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.confirm import Confirmer
-from rosechute.coordination.lease import Grantor, Holder
+from rosechute.coordination.leader_lease import LeaderLease
+from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.membership import FETCH_PAUSE_S, Membership
 from rosechute.coordination.proposer import PAUSE_LEAST_S, PAUSE_SPREAD_S, Phase, Proposer
 from rosechute.coordination.types import Acknowledged, Order
-from rosechute.coordination.views import Ballot, Proposal, State, Term, View, ballot_of, proposal_of, state_of
+from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
-from .coordination_parts import EPOCH, NOW, OWN_BOOT, Parts, ballot, identity, proposal, state, term, view
+from .coordination_parts import EPOCH, NOW, OWN_INCARNATION, Parts, ballot, identity, proposal, state, term, view
 
 
 class AcceptorTest(unittest.TestCase):
@@ -28,21 +29,21 @@
 
     def prepare(self, round: int, sender: str = "b", epoch: int = EPOCH, known: tuple[int, int] = (EPOCH, 5)) -> None:
         message = pb.Prepare(
-            epoch=epoch, ballot=ballot(round, sender).message(), state_epoch=known[0], state_sequence=known[1]
+            epoch=epoch, ballot=ballot(round, sender).to_message(), state_epoch=known[0], state_sequence=known[1]
         )
         self.acceptor.on_prepare(identity(sender), message)
 
     def accept(self, value: Proposal, sender: str = "b", epoch: int = EPOCH) -> None:
-        self.acceptor.on_accept(identity(sender), pb.Accept(epoch=epoch, proposal=value.message()))
+        self.acceptor.on_accept(identity(sender), pb.Accept(epoch=epoch, proposal=value.to_message()))
 
     def test_promise_is_sent_once_synced(self) -> None:
         self.prepare(1)
         self.assertEqual(self.parts.memory.promised, ballot(1))
         self.assertEqual(self.parts.sent("promise"), [])
         (record,) = self.parts.sync()
-        self.assertEqual((record.promise.epoch, ballot_of(record.promise.ballot)), (EPOCH, ballot(1)))
+        self.assertEqual((record.promise.epoch, Ballot.from_message(record.promise.ballot)), (EPOCH, ballot(1)))
         (promise,) = self.parts.sent("promise")
-        self.assertEqual((promise.epoch, ballot_of(promise.ballot)), (EPOCH, ballot(1)))
+        self.assertEqual((promise.epoch, Ballot.from_message(promise.ballot)), (EPOCH, ballot(1)))
         self.assertFalse(promise.HasField("accepted") or promise.HasField("state"))
 
     def test_promise_goes_to_the_proposer(self) -> None:
@@ -73,8 +74,8 @@
         self.parts.sync()
         (refused,) = self.parts.sent("refused")
         self.assertEqual(self.parts.memory.promised, ballot(2))
-        self.assertEqual(ballot_of(refused.ballot), ballot(1, "c"))
-        self.assertEqual((refused.epoch, ballot_of(refused.promised)), (EPOCH, ballot(2)))
+        self.assertEqual(Ballot.from_message(refused.ballot), ballot(1, "c"))
+        self.assertEqual((refused.epoch, Ballot.from_message(refused.promised)), (EPOCH, ballot(2)))
 
     def test_refusal_is_all_that_a_lower_ballot_gets(self) -> None:
         self.prepare(2)
@@ -105,15 +106,15 @@
         self.prepare(2, "c")
         self.parts.sync()
         (promise,) = self.parts.sent("promise")
-        self.assertEqual(proposal_of(promise.accepted), proposal(1))
+        self.assertEqual(Proposal.from_message(promise.accepted), proposal(1))
 
     def test_promise_brings_a_newer_state_and_the_term(self) -> None:
-        self.parts.memory.written = self.parts.memory.committed.after(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
         self.parts.memory.term = term(4)
         self.prepare(1, known=(EPOCH, 5))
         self.parts.sync()
         (promise,) = self.parts.sent("promise")
-        self.assertEqual(state_of(promise.state), self.parts.memory.written)
+        self.assertEqual(RegisterState.from_message(promise.state), self.parts.memory.written)
         self.assertEqual((promise.term.number, promise.term.holder, promise.term.boot), (4, "b", 8))
 
     def test_acceptance_is_sent_once_synced(self) -> None:
@@ -123,9 +124,9 @@
         self.accept(proposal(1))
         self.assertEqual(self.parts.sent("accepted"), [])
         (record,) = self.parts.sync()
-        self.assertEqual(proposal_of(record.accepted), proposal(1))
+        self.assertEqual(Proposal.from_message(record.accepted), proposal(1))
         (accepted,) = self.parts.sent("accepted")
-        self.assertEqual((accepted.epoch, ballot_of(accepted.ballot)), (EPOCH, ballot(1)))
+        self.assertEqual((accepted.epoch, Ballot.from_message(accepted.ballot)), (EPOCH, ballot(1)))
 
     def test_acceptance_is_repeated_without_another_record(self) -> None:
         self.accept(proposal(1))
@@ -160,7 +161,7 @@
         self.assertEqual((self.parts.memory.promised, self.parts.sync()), (None, []))
         outside = Parts("z", "abc")
         acceptor = Acceptor(outside.context)
-        acceptor.on_prepare(identity("b"), pb.Prepare(epoch=EPOCH, ballot=ballot(1).message()))
+        acceptor.on_prepare(identity("b"), pb.Prepare(epoch=EPOCH, ballot=ballot(1).to_message()))
         self.assertEqual((outside.memory.promised, outside.sync()), (None, []))
 
     def test_a_proposer_that_hears_no_answer_seals_nothing(self) -> None:
@@ -200,20 +201,20 @@
         self.parts.actions()
         self.proposer.begin()
         (message, *_) = self.parts.sent("prepare")
-        return ballot_of(message.ballot)
+        return Ballot.from_message(message.ballot)
 
     def promise(self, sender: str, to: Ballot, epoch: int = EPOCH, **fields: Any) -> None:
-        fields.setdefault("term", Term().message())
-        message = pb.Promise(epoch=epoch, ballot=to.message(), **fields)
+        fields.setdefault("term", LeaderTerm().to_message())
+        message = pb.Promise(epoch=epoch, ballot=to.to_message(), **fields)
         self.proposer.on_promise(identity(sender), message)
 
     def accepted(self, sender: str, to: Ballot, epoch: int = EPOCH) -> None:
-        self.proposer.on_accepted(identity(sender), pb.Accepted(epoch=epoch, ballot=to.message()))
+        self.proposer.on_accepted(identity(sender), pb.Accepted(epoch=epoch, ballot=to.to_message()))
 
     def proposed(self) -> Proposal:
         (message, *_) = self.parts.sent("accept")
         self.assertEqual(message.epoch, EPOCH)
-        return proposal_of(message.proposal)
+        return Proposal.from_message(message.proposal)
 
     def test_asks_all_acceptors(self) -> None:
         self.proposer.begin()
@@ -221,7 +222,7 @@
         self.assertEqual(sorted(self.parts.sent_to("prepare")), ["a", "b", "c"])
 
     def test_tells_the_state_that_it_has(self) -> None:
-        self.parts.memory.written = self.parts.memory.committed.after(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
         self.proposer.begin()
         for each in self.parts.sent("prepare"):
             self.assertEqual((each.epoch, each.state_epoch, each.state_sequence), (EPOCH, EPOCH, 6))
@@ -229,8 +230,10 @@
     def test_ballot_is_its_own_and_above_all_seen(self) -> None:
         self.parts.memory.promised = ballot(4)
         first = self.begin()
-        self.assertEqual(first, Ballot(5, "a", OWN_BOOT))
-        self.proposer.on_refused(pb.Refused(epoch=EPOCH, ballot=first.message(), promised=ballot(9, "c").message()))
+        self.assertEqual(first, Ballot(5, "a", OWN_INCARNATION))
+        self.proposer.on_refused(
+            pb.Refused(epoch=EPOCH, ballot=first.to_message(), promised=ballot(9, "c").to_message())
+        )
         self.assertEqual(self.proposer.phase, Phase.IDLE)
         for wait in (0.0, 0.14):  # of a twentieth to a fourth of a second, here in the middle
             self.parts.pass_time(wait)
@@ -242,16 +245,16 @@
     def test_lower_refusal_keeps_the_highest_round(self) -> None:
         first = self.begin()
         for promised in (9, 2):
-            message = pb.Refused(epoch=EPOCH, ballot=first.message(), promised=ballot(promised, "c").message())
+            message = pb.Refused(epoch=EPOCH, ballot=first.to_message(), promised=ballot(promised, "c").to_message())
             self.proposer.on_refused(message)
         self.parts.pass_time(1.0)
         self.assertEqual(self.begin().round, 10)
 
     def test_refusal_of_another_ballot_or_epoch_ends_nothing(self) -> None:
         first = self.begin()
-        higher = ballot(9, "c").message()
-        self.proposer.on_refused(pb.Refused(epoch=EPOCH, ballot=ballot(1, "c").message(), promised=higher))
-        self.proposer.on_refused(pb.Refused(epoch=EPOCH - 1, ballot=first.message(), promised=higher))
+        higher = ballot(9, "c").to_message()
+        self.proposer.on_refused(pb.Refused(epoch=EPOCH, ballot=ballot(1, "c").to_message(), promised=higher))
+        self.proposer.on_refused(pb.Refused(epoch=EPOCH - 1, ballot=first.to_message(), promised=higher))
         self.assertEqual(self.proposer.phase, Phase.PREPARING)
 
     def test_one_proposal_at_a_time(self) -> None:
@@ -272,8 +275,8 @@
         own = self.begin()
         self.parts.hear("z")
         self.promise("z", own)
-        self.promise("b", ballot(own.round, "a", OWN_BOOT + 1))
-        self.promise("b", ballot(own.round + 1, "a", OWN_BOOT))
+        self.promise("b", ballot(own.round, "a", OWN_INCARNATION + 1))
+        self.promise("b", ballot(own.round + 1, "a", OWN_INCARNATION))
         self.promise("b", own, epoch=EPOCH - 1)
         self.promise("c", own)
         self.assertEqual(self.parts.sent("accept"), [])
@@ -285,17 +288,17 @@
     def test_new_value_from_the_newest_promised_state(self) -> None:
         newest = state(6, EPOCH, 51)
         own = self.begin()
-        self.promise("b", own, state=newest.message(), term=term(4, "b").message())
-        self.promise("c", own, term=term(5, "c").message())
+        self.promise("b", own, state=newest.to_message(), term=term(4, "b").to_message())
+        self.promise("c", own, term=term(5, "c").to_message())
         value = self.proposed()
         self.assertEqual(value.ballot, own)
-        self.assertEqual(value.state, newest.in_epoch(EPOCH + 1))
+        self.assertEqual(value.state, newest.with_epoch(EPOCH + 1))
         self.assertEqual((value.view.chain, value.view.base_tag), (("a", "b"), (EPOCH, 6)))
         self.assertEqual(value.view.term, term(5, "c"))
 
     def test_newest_state_by_epoch_first(self) -> None:
         own = self.begin()
-        self.promise("b", own, state=state(9, EPOCH - 1).message())
+        self.promise("b", own, state=state(9, EPOCH - 1).to_message())
         self.promise("c", own)
         self.assertEqual(self.proposed().state, state(5, EPOCH + 1))
 
@@ -307,27 +310,27 @@
 
     def test_newest_term_whoever_answers_first(self) -> None:
         own = self.begin()
-        self.promise("b", own, term=term(5, "c").message())
-        self.promise("c", own, term=term(4, "b").message())
+        self.promise("b", own, term=term(5, "c").to_message())
+        self.promise("c", own, term=term(4, "b").to_message())
         self.assertEqual(self.proposed().view.term, term(5, "c"))
 
     def test_term_of_two_holders_is_nobodys(self) -> None:
         own = self.begin()
-        self.promise("b", own, term=term(5, "b").message())
-        self.promise("c", own, term=term(5, "c").message())
-        self.assertEqual(self.proposed().view.term, Term(5))
+        self.promise("b", own, term=term(5, "b").to_message())
+        self.promise("c", own, term=term(5, "c").to_message())
+        self.assertEqual(self.proposed().view.term, LeaderTerm(5))
 
     def test_term_of_one_holder(self) -> None:
         own = self.begin()
-        self.promise("b", own, term=term(5, "b").message())
-        self.promise("c", own, term=term(5, "b").message())
+        self.promise("b", own, term=term(5, "b").to_message())
+        self.promise("c", own, term=term(5, "b").to_message())
         self.assertEqual(self.proposed().view.term, term(5, "b"))
 
     def test_value_accepted_under_the_highest_ballot_is_proposed_again(self) -> None:
         own = self.begin()
         high, low = proposal(9, "c", sequence=8), proposal(8, "b", sequence=7)
-        self.promise("c", own, accepted=high.message())
-        self.promise("b", own, accepted=low.message(), state=state(99).message())
+        self.promise("c", own, accepted=high.to_message())
+        self.promise("b", own, accepted=low.to_message(), state=state(99).to_message())
         value = self.proposed()
         self.assertEqual((value.ballot, value.view, value.state), (own, high.view, high.state))
         self.assertEqual(self.asked, [])
@@ -337,7 +340,7 @@
         self.promise("a", own)
         self.promise("b", own)
         self.parts.actions()
-        self.promise("c", own, accepted=proposal(9, "c").message())
+        self.promise("c", own, accepted=proposal(9, "c").to_message())
         self.assertEqual(self.parts.sent("accept"), [])
 
     def decide(self) -> Proposal:
@@ -360,7 +363,7 @@
         self.chosen = view("abd", EPOCH + 1)
         value = self.decide()
         ((target, chosen),) = self.parts.messages("chosen")
-        self.assertEqual((target, chosen.epoch, ballot_of(chosen.ballot)), ("b", EPOCH, value.ballot))
+        self.assertEqual((target, chosen.epoch, Ballot.from_message(chosen.ballot)), ("b", EPOCH, value.ballot))
 
     def test_decision_goes_whole_to_those_that_have_not_accepted(self) -> None:
         self.chosen = view("abd", EPOCH + 1)
@@ -368,7 +371,7 @@
         decided = dict(self.parts.messages("decided"))
         self.assertEqual(sorted(decided), ["c", "d"])
         for each in decided.values():
-            self.assertEqual((each.view, each.state), (value.view.message(), value.state.message()))
+            self.assertEqual((each.view, each.state), (value.view.to_message(), value.state.to_message()))
 
     def test_acceptances_that_do_not_count(self) -> None:
         own = self.begin()
@@ -440,8 +443,8 @@
         self.acceptor = Acceptor(parts.context)
         self.confirmer = Confirmer(parts.context)
         self.chain = Chain(parts.context, self.confirmer, self._tell)
-        self.grantor = Grantor(parts.context, NOW - 1.0)
-        self.holder = Holder(parts.context, self.grantor)
+        self.grantor = LeaseGrantor(parts.context, NOW - 1.0)
+        self.holder = LeaderLease(parts.context, self.grantor)
         self.membership = Membership(
             parts.context, self.acceptor, self.chain, self.confirmer, self.grantor, self.holder, self._tell
         )
@@ -454,9 +457,11 @@
         holder, parts = self.holder, self.parts
         holder.tick()
         for each in parts.memory.view.acceptors:
-            grant = pb.LeaseGrant(epoch=parts.memory.view.epoch, term=holder.term, stamp=parts.now, boot=OWN_BOOT)
+            grant = pb.LeaseGrant(
+                epoch=parts.memory.view.epoch, term=holder.term, stamp=parts.now, boot=OWN_INCARNATION
+            )
             holder.on_grant(each, grant)
-        assert holder.holds(parts.now)
+        assert holder.is_held(parts.now)
         parts.actions()
 
     def tick(self) -> list[str]:
@@ -474,7 +479,7 @@
         self.membership = self.member.membership
 
     def decided(self, epoch: int, sequence: int = 9, members: str = "abc", chain: str | None = None) -> None:
-        message = pb.Decided(view=view(members, epoch, chain).message(), state=state(sequence, epoch).message())
+        message = pb.Decided(view=view(members, epoch, chain).to_message(), state=state(sequence, epoch).to_message())
         self.membership.on_decided(message)
 
     def test_adopted_once_synced(self) -> None:
@@ -484,7 +489,7 @@
         self.assertEqual((context.adopted, context.joined, context.settled), (EPOCH, EPOCH, False))
         (record,) = self.parts.sync()
         self.assertEqual(record.adopt.view.epoch, EPOCH + 1)
-        self.assertEqual(state_of(record.adopt.state), state(9, EPOCH + 1))
+        self.assertEqual(RegisterState.from_message(record.adopt.state), state(9, EPOCH + 1))
         self.assertEqual((context.adopted, context.joined, context.settled), (EPOCH + 1, EPOCH + 1, True))
         self.assertTrue(context.announce)
         self.assertEqual(self.member.told, [9])
@@ -494,7 +499,7 @@
         first = self.parts.flush()
         self.decided(EPOCH + 2)
         assert first is not None
-        self.parts.disk.persisted(self.parts.now, first.token)
+        self.parts.disk.on_persisted(self.parts.now, first.token)
         self.assertEqual(self.parts.context.adopted, EPOCH)
         self.parts.sync()
         self.assertEqual(self.parts.context.adopted, EPOCH + 2)
@@ -507,19 +512,19 @@
     def test_view_by_its_ballot(self) -> None:
         value = proposal(2, sequence=8)
         self.parts.memory.promised, self.parts.memory.accepted = ballot(2), value
-        self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(1).message()))
-        self.membership.on_chosen(pb.Chosen(epoch=EPOCH + 1, ballot=ballot(2).message()))
-        self.membership.on_chosen(pb.Chosen(epoch=EPOCH - 1, ballot=ballot(2).message()))
+        self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(1).to_message()))
+        self.membership.on_chosen(pb.Chosen(epoch=EPOCH + 1, ballot=ballot(2).to_message()))
+        self.membership.on_chosen(pb.Chosen(epoch=EPOCH - 1, ballot=ballot(2).to_message()))
         self.assertEqual(self.parts.memory.view.epoch, EPOCH)
-        self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(2).message()))
+        self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(2).to_message()))
         self.assertEqual((self.parts.memory.view, self.parts.memory.committed), (value.view, value.state))
         (record,) = self.parts.sync()
-        self.assertEqual(ballot_of(record.adopt.accepted), ballot(2))
-        self.membership.on_chosen(pb.Chosen(epoch=EPOCH + 1, ballot=ballot(2).message()))
+        self.assertEqual(Ballot.from_message(record.adopt.accepted), ballot(2))
+        self.membership.on_chosen(pb.Chosen(epoch=EPOCH + 1, ballot=ballot(2).to_message()))
         self.assertEqual(self.parts.memory.view.epoch, EPOCH + 1)
 
     def test_chosen_without_the_proposal(self) -> None:
-        self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(2).message()))
+        self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(2).to_message()))
         self.assertEqual(self.parts.memory.view.epoch, EPOCH)
 
     def test_the_old_epochs_questions_and_proposals_end(self) -> None:
@@ -539,16 +544,16 @@
     def test_an_order_under_way_is_carried_over(self) -> None:
         self.membership.check_active()
         self.member.chain.submit(Order(4, 50, 51, b"new", b"N" * 32))
-        taken = state(9, EPOCH + 1).taken + b"N" * 16 + (51).to_bytes(8, "big")
-        decided = State(EPOCH + 1, 6, 51, b"new", b"N" * 32, taken)
+        taken = state(9, EPOCH + 1).applied_writes + b"N" * 16 + (51).to_bytes(8, "big")
+        decided = RegisterState(EPOCH + 1, 6, 51, b"new", b"N" * 32, taken)
         self.parts.actions()
-        self.membership.on_decided(pb.Decided(view=view(epoch=EPOCH + 1).message(), state=decided.message()))
+        self.membership.on_decided(pb.Decided(view=view(epoch=EPOCH + 1).to_message(), state=decided.to_message()))
         self.assertEqual(self.parts.answers(), [(4, Acknowledged(51))])
 
     def test_a_machine_that_joins_the_acceptors_grants_nothing_for_a_lease(self) -> None:
         member = Member("a", "bcd")
         member.membership.on_decided(
-            pb.Decided(view=view("abc", EPOCH + 1).message(), state=state(9, EPOCH + 1).message())
+            pb.Decided(view=view("abc", EPOCH + 1).to_message(), state=state(9, EPOCH + 1).to_message())
         )
         self.assertEqual(member.grantor.abstain_until, NOW + member.parts.timing.lease)
         self.decided(EPOCH + 1)
@@ -603,11 +608,11 @@
 
     def test_learns_a_newer_state_outside_of_the_chain(self) -> None:
         member = Member("c", chain="ab")
-        member.membership.on_decided(pb.Decided(view=view(chain="ab").message(), state=state(9).message()))
+        member.membership.on_decided(pb.Decided(view=view(chain="ab").to_message(), state=state(9).to_message()))
         self.assertEqual((member.parts.memory.committed.sequence, member.told), (9, [9]))
         (record,) = member.parts.sync()
-        self.assertEqual(state_of(record.learn.state), state(9))
-        member.membership.on_decided(pb.Decided(view=view(chain="ab").message(), state=state(9).message()))
+        self.assertEqual(RegisterState.from_message(record.learn.state), state(9))
+        member.membership.on_decided(pb.Decided(view=view(chain="ab").to_message(), state=state(9).to_message()))
         self.assertEqual((member.parts.sync(), member.told), ([], [9]))
 
     def test_members_of_the_chain_learn_through_the_chain_only(self) -> None:
@@ -642,14 +647,14 @@
         self.assertEqual(self.parts.sent_to("fetch"), ["c"])
 
     def test_answers_a_fetch_with_what_counts_only(self) -> None:
-        self.parts.memory.written = self.parts.memory.committed.after(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
         for epoch, sequence in ((EPOCH, 5), (EPOCH, 6), (EPOCH + 1, 0)):
             self.membership.on_fetch(identity("b"), pb.Fetch(epoch=epoch, sequence=sequence))
         self.assertEqual(self.parts.sent("decided"), [])
         self.membership.on_fetch(identity("b"), pb.Fetch(epoch=EPOCH, sequence=4))
         (decided,) = self.parts.sent("decided")
-        self.assertEqual(state_of(decided.state), state())
-        self.assertEqual(decided.view, view().message())
+        self.assertEqual(RegisterState.from_message(decided.state), state())
+        self.assertEqual(decided.view, view().to_message())
         self.membership.on_fetch(identity("b"), pb.Fetch(epoch=EPOCH - 1, sequence=9))
         self.assertEqual(self.parts.sent_to("decided"), ["b"])
 
@@ -706,7 +711,7 @@
         self.assertEqual(self.parts.detector.peers["c"].removals, [])
 
     def test_only_a_sick_machine_that_is_left_out_counts_as_removed(self) -> None:
-        self.parts.detector._conflicts[("b", "c")] = NOW - 9.0
+        self.parts.detector._unreachable_since[("b", "c")] = NOW - 9.0
         self.assertEqual(self.proposed_view(self.member, "abc").chain, ("a", "b"))
         self.assertEqual(self.parts.detector.peers["c"].removals, [], "healthy, its path to b is cut")
         for each in "bc":
@@ -731,7 +736,7 @@
             member.parts.memory.view = view("abcd", size=3)
             answer = NOW if reached else NOW - 5.0
             member.parts.hear("d", healthy=False, leaving=True)
-            member.parts.detector.peers["d"].answered = answer
+            member.parts.detector.peers["d"].last_answered_at = answer
             found = self.proposed_view(member, "abc")
             self.assertEqual("".join(each.id for each in found.acceptors), members)
 
@@ -742,10 +747,10 @@
 
     def test_a_stranger_replaces_the_wiped_machine_at_its_address(self) -> None:
         self.parts.hear("c", healthy=False)
-        stranger = pb.Heartbeat(stamp=NOW, healthy=True, echo=NOW, echo_boot=OWN_BOOT, reached=["a", "b"])
+        stranger = pb.Heartbeat(stamp=NOW, healthy=True, echo=NOW, echo_boot=OWN_INCARNATION, reached=["a", "b"])
         wiped = identity("c")
         new = type(wiped)("n", wiped.name, wiped.zone, wiped.control_address, wiped.peer_address)
-        self.parts.detector.heard(NOW, new, 1, stranger)
+        self.parts.detector.on_heartbeat(NOW, new, 1, stranger)
         self.parts.pass_time(self.parts.timing.readmit + 0.01, hearing="b")
         found = self.proposed_view(self.member, "ab")
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "n"])
@@ -774,10 +779,10 @@
     def test_members_not_heard_yet_are_kept_at_first(self) -> None:
         self.member.lead()
         detector = self.parts.detector
-        detector.started = NOW - self.parts.timing.suspect + 0.01
+        detector.started_at = NOW - self.parts.timing.suspect + 0.01
         del detector.peers["c"]
         self.assertEqual(self.member.tick(), [])
-        detector.started = NOW - self.parts.timing.suspect
+        detector.started_at = NOW - self.parts.timing.suspect
         self.assertEqual(len(self.member.tick()), 3)
 
     def test_decision_of_its_own_proposal_is_adopted(self) -> None:
