--- a/tests/fleet/planted_faults/kinds.py
+++ b/tests/fleet/planted_faults/kinds.py
@@ -23,6 +23,7 @@
 SYNCS = {"sync", "fsync", "fdatasync", "sync_entries", "_sync_entries"}
 SAVES = {"CopyFrom", "write", "defer", "_record", "_note", "_write_record", "_save_grantee", "commit", "truncate"}
 ENDS = {"abstain", "expire", "stop", "clear", "give_up", "release", "reset", "cancel", "close"}
+WAITS = {"after", "call_when_synced"}
 STEPS = SYNCS | SAVES | ENDS
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
@@ -146,12 +147,12 @@
 
 def _waits(node: ast.Call) -> Iterator[Found]:
     """What should wait for a sync is done at once."""
-    if not isinstance(node.func, ast.Attribute) or not ast.unparse(node.func.value).endswith("disk"):
+    if not isinstance(node.func, ast.Attribute) or not ast.unparse(node.func.value).endswith(("disk", "writer")):
         return
-    if len(node.args) != 2 or node.func.attr not in {"after", "write"}:
+    if len(node.args) != 2 or node.func.attr not in {*WAITS, "write"}:
         return
     first, then = ast.unparse(node.args[0]), ast.unparse(node.args[1])
-    if node.func.attr == "after":
+    if node.func.attr in WAITS:
         yield "no-sync", ast.unparse(node), node, f"({then})()"
     else:
         yield "no-sync", ast.unparse(node), node, f"({ast.unparse(node.func)}({first}), ({then})())"
