--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -15,6 +15,7 @@
 from benchmarks.fitting import Slope, microseconds
 from benchmarks.fleet_size import SIZE, ZONES, servers, service_name
 from benchmarks.fleet_size import configuration as body_of
+from rosechute.configuration.operator import parse_configuration
 from rosechute.configuration.process import Bounds
 from rosechute.control_plane.endpoint_list_page import decode_endpoint_list_page
 from rosechute.control_plane.quota_service import QuotaService
--- a/benchmarks/fleet_slopes_links.py
+++ b/benchmarks/fleet_slopes_links.py
@@ -18,7 +18,8 @@
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.messages.framing import MessageKind
-from rosechute.messages.link import LinkConnection, LinkServer
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_server import LinkServer
 
 MEMBERS = (50, 100, 350)
 PORT = 7599
--- a/benchmarks/hollow_edges.py
+++ b/benchmarks/hollow_edges.py
@@ -27,8 +27,11 @@
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import CONFIG_TOPIC
 from rosechute.messages import distribution_pb2 as pb
+from rosechute.messages.errors import LinkError
 from rosechute.messages.framing import MessageKind
-from rosechute.messages.link import LinkConnection, LinkError, LinkPool, LinkServer
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_pool import LinkPool
+from rosechute.messages.link_server import LinkServer
 
 LIFE_S = 185.0
 FRAME_BYTES = 5
--- a/benchmarks/replay/hooks.py
+++ b/benchmarks/replay/hooks.py
@@ -32,10 +32,22 @@
         ("tests.fleet.simulation.world", "World", "on_lease"),
         ("tests.fleet.simulation.world", "World", "on_leadership"),
     ),
-    "disk write": (("tests.fleet.simulated_disk", "SimulatedFolder", "write"),),
-    "disk truncate": (("tests.fleet.simulated_disk", "SimulatedFolder", "truncate"),),
-    "disk sync": (("tests.fleet.simulated_disk", "SimulatedFolder", "sync"),),
-    "disk names": (("tests.fleet.simulated_disk", "SimulatedFolder", "sync_names"),),
+    "disk write": (
+        ("tests.fleet.simulated_disk", "SimulatedFolder", "write"),
+        ("tests.fleet.simulated_disk", "SimulatedDirectory", "write"),
+    ),
+    "disk truncate": (
+        ("tests.fleet.simulated_disk", "SimulatedFolder", "truncate"),
+        ("tests.fleet.simulated_disk", "SimulatedDirectory", "truncate"),
+    ),
+    "disk sync": (
+        ("tests.fleet.simulated_disk", "SimulatedFolder", "sync"),
+        ("tests.fleet.simulated_disk", "SimulatedDirectory", "sync"),
+    ),
+    "disk names": (
+        ("tests.fleet.simulated_disk", "SimulatedFolder", "sync_names"),
+        ("tests.fleet.simulated_disk", "SimulatedDirectory", "sync_entries"),
+    ),
 }
 DISTRIBUTION: dict[str, Alternatives] = {
     "dial": (("tests.fleet.distribution_network", "Network", "dial"),),
--- a/rosechute/messages/__init__.py
+++ b/rosechute/messages/__init__.py
@@ -1,1 +1,5 @@
-"""Messages between processes: protobuf, framing and TCP links."""
+"""The internal protocol between processes: protobuf messages, frames, and the TCP links that carry them.
+
+`framing` encodes and decodes frames. `link_connection` is one open connection; `link_server` accepts connections;
+`link_pool` holds a `client_link` for each address, which connects, and connects again under `backoff`.
+"""
--- a/rosechute/messages/framing.py
+++ b/rosechute/messages/framing.py
@@ -1,6 +1,6 @@
-"""Frames of the internal protocol: a 4-byte big-endian length, one byte for the kind, then the message.
+"""Frames of the internal protocol: a 4-byte big-endian length, one byte for the kind, then the message. No I/O.
 
-The length counts the message only. Nothing here does I/O.
+The length counts the message only.
 """
 
 from __future__ import annotations
@@ -8,24 +8,38 @@
 import enum
 import struct
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from rosechute.messages.errors import FrameError
 
 MESSAGE_LIMIT_BYTES = 20 * 1024 * 1024  # a promise may hold two states, each with a configuration of up to 8 MiB
-_HEADER = struct.Struct(">IB")
+_HEADER = struct.Struct(">IB")  # length of the message, kind
 
 
 class MessageKind(enum.IntEnum):
-    """To which plane a message belongs."""
+    """The plane that a message belongs to."""
 
     COORDINATION = 1
     DISTRIBUTION = 2
 
 
-class FrameError(ValueError):
-    """The bytes that came are no frames; the connection can't be read any further."""
+class Frame(NamedTuple):
+    """A decoded frame."""
+
+    kind: MessageKind
+    message: bytes
 
 
 def encode_frame(kind: MessageKind, data: bytes) -> bytes:
-    """One frame; FrameError where the message is over the bound."""
+    """Return the frame of a message.
+
+    Args:
+        kind: The plane that the message belongs to.
+        data: The serialized message.
+
+    Raises:
+        FrameError: The message is over `MESSAGE_LIMIT_BYTES`.
+    """
     if len(data) > MESSAGE_LIMIT_BYTES:
         raise FrameError(f"message of {len(data)} bytes is over the bound")
     return _HEADER.pack(len(data), kind) + data
@@ -33,14 +47,18 @@
 
 @dataclass(slots=True)
 class FrameReader:
-    """Cuts a stream of bytes into frames, whatever the pieces it comes in."""
+    """Decodes the frames of a stream of bytes that arrives in pieces of any size."""
 
     _buffer: bytearray = field(default_factory=bytearray)
 
-    def feed(self, data: bytes) -> list[tuple[MessageKind, bytes]]:
-        """The frames that are whole now. FrameError: the stream is broken."""
+    def feed(self, data: bytes) -> list[Frame]:
+        """Add bytes of the stream; return the frames that are complete.
+
+        Raises:
+            FrameError: The stream is invalid and cannot be read any further.
+        """
         self._buffer += data
-        frames: list[tuple[MessageKind, bytes]] = []
+        frames: list[Frame] = []
         start = 0
         while len(self._buffer) - start >= _HEADER.size:
             length, kind = _HEADER.unpack_from(self._buffer, start)
@@ -49,7 +67,7 @@
             end = start + _HEADER.size + length
             if len(self._buffer) < end:
                 break
-            frames.append((MessageKind(kind), bytes(self._buffer[start + _HEADER.size : end])))
+            frames.append(Frame(MessageKind(kind), bytes(self._buffer[start + _HEADER.size : end])))
             start = end
         del self._buffer[:start]
         return frames
--- /dev/null
+++ b/rosechute/messages/link_connection.py
@@ -0,0 +1,117 @@
+"""One open TCP connection of a link: frames in both directions, for the client and the server side alike."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from loguru import logger
+
+from rosechute.messages.errors import FrameError
+from rosechute.messages.frame_queue import FrameQueue
+from rosechute.messages.framing import FrameReader, MessageKind, encode_frame
+from rosechute.messages.socket_options import set_link_options
+
+WRITE_BUFFER_HIGH_BYTES = 256 * 1024  # of the transport; frames beyond it wait in a queue that drops the oldest
+
+OnMessage = Callable[["LinkConnection", MessageKind, bytes], None]
+"""Called with the connection, the kind and the data of each message that arrives."""
+OnClosed = Callable[["LinkConnection", str], None]
+"""Called once with the connection and the reason for its end."""
+
+
+class LinkConnection(asyncio.Protocol):
+    """An open connection. Delivery is not promised: frames that cannot be sent are dropped, the oldest first."""
+
+    def __init__(self, address: str, on_message: OnMessage, on_closed: OnClosed) -> None:
+        """Create the protocol of a connection that is about to open.
+
+        Args:
+            address: Address of the peer, `host:port`; empty for an accepted connection, whose peer is then looked up.
+            on_message: Called with each message.
+            on_closed: Called when the connection has ended.
+        """
+        self.address = address
+        self._on_message = on_message
+        self._on_closed = on_closed
+        self._reader = FrameReader()
+        self._queue = FrameQueue()
+        self._transport: asyncio.Transport | None = None
+        self._is_paused = False
+
+    @property
+    def is_open(self) -> bool:
+        """Whether frames can still be sent."""
+        return self._transport is not None and not self._transport.is_closing()
+
+    def send(self, kind: MessageKind, data: bytes) -> bool:
+        """Send a message; return whether the connection is open and the message within the size limit."""
+        if not self.is_open:
+            return False
+        try:
+            frame = encode_frame(kind, data)
+        except FrameError as error:
+            logger.error("link message not sent peer={} error={}", self.address, error)
+            return False
+        self.send_frame(frame)
+        return True
+
+    def send_frame(self, frame: bytes) -> None:
+        """Send a frame that is already encoded; drop it if the connection is closed."""
+        if self._transport is None or self._transport.is_closing():
+            return
+        if self._is_paused:
+            self._queue.push(frame)
+        else:
+            self._transport.write(frame)
+
+    def close(self) -> None:
+        """Close the connection at once and drop the frames in the queue."""
+        self._queue.clear()
+        if self._transport is not None:
+            self._transport.abort()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Set up an opened connection; called by asyncio."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_BYTES)
+        if not self.address:
+            peer = transport.get_extra_info("peername") or ("", 0)
+            self.address = f"{peer[0]}:{peer[1]}"
+        link_socket = transport.get_extra_info("socket")
+        if link_socket is not None:
+            set_link_options(link_socket)
+
+    def data_received(self, data: bytes) -> None:
+        """Hand over the messages that are complete; called by asyncio."""
+        try:
+            messages = self._reader.feed(data)
+        except FrameError as error:
+            logger.warning("link closed after an invalid frame peer={} error={}", self.address, error)
+            self.close()
+            return
+        for kind, message in messages:
+            self._handle(kind, message)
+
+    def pause_writing(self) -> None:
+        """Queue frames from here on: the peer reads slower than this side sends; called by asyncio."""
+        self._is_paused = True
+
+    def resume_writing(self) -> None:
+        """Send the frames in the queue; called by asyncio."""
+        self._is_paused = False
+        while self._queue and not self._is_paused and self._transport is not None:
+            self._transport.write(self._queue.pop())
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Report the end of the connection; called by asyncio."""
+        self._transport = None
+        self._queue.clear()
+        self._on_closed(self, str(error) if error else "closed")
+
+    def _handle(self, kind: MessageKind, message: bytes) -> None:
+        try:
+            self._on_message(self, kind, message)
+        except Exception:  # the handler may fail in any way; the connection and the next messages must survive it
+            logger.exception("link message handler failed peer={} kind={}", self.address, kind.name)
--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -13,8 +13,11 @@
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.messages import distribution_pb2 as pb
+from rosechute.messages.errors import LinkError
 from rosechute.messages.framing import MessageKind
-from rosechute.messages.link import LinkConnection, LinkError, LinkPool, LinkServer
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_pool import LinkPool
+from rosechute.messages.link_server import LinkServer
 from rosechute.processes.quota_client import QuotaClient
 from rosechute.routing.counts import Counts
 
@@ -151,4 +154,4 @@
         kept = self.subscriber.addresses()
         for address in self._pool.addresses():
             if address not in kept:
-                self._pool.forget(address)
+                self._pool.remove(address)
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -14,7 +14,7 @@
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind
-from rosechute.messages.link import LinkConnection
+from rosechute.messages.link_connection import LinkConnection
 
 OWN = Identity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
 OTHER = Identity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
--- a/tests/fleet/test_distribution_link.py
+++ b/tests/fleet/test_distribution_link.py
@@ -7,9 +7,12 @@
 import unittest
 from unittest import mock
 
-from rosechute.messages import framing, link
-from rosechute.messages.framing import FrameError, FrameReader, MessageKind, encode_frame
-from rosechute.messages.link import LinkConnection, LinkError, LinkPool, LinkServer
+from rosechute.messages import backoff, client_link, framing
+from rosechute.messages.errors import FrameError, LinkError
+from rosechute.messages.framing import FrameReader, MessageKind, encode_frame
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_pool import LinkPool
+from rosechute.messages.link_server import LinkServer
 
 
 def free_address() -> str:
@@ -137,7 +140,7 @@
 
         with (
             mock.patch.object(loop, "sock_connect", connect_late),
-            mock.patch.object(link, "CONNECT_TIMEOUT_S", 0.01),
+            mock.patch.object(client_link, "CONNECT_TIMEOUT_S", 0.01),
         ):
             pool.send(address, MessageKind.DISTRIBUTION, b"dropped")
             async with asyncio.timeout(5):
@@ -171,15 +174,15 @@
         loop = asyncio.get_running_loop()
         with (
             mock.patch.object(loop, "sock_connect", never),
-            mock.patch.object(link, "CONNECT_TIMEOUT_S", 0.001),
-            mock.patch.object(link, "BACKOFF_FIRST_S", 0.001),
-            mock.patch.object(link, "BACKOFF_LIMIT_S", 0.001),
+            mock.patch.object(client_link, "CONNECT_TIMEOUT_S", 0.001),
+            mock.patch.object(backoff, "INITIAL_BACKOFF_S", 0.001),
+            mock.patch.object(backoff, "MAX_BACKOFF_S", 0.001),
         ):
             async with asyncio.timeout(5):
                 for _ in range(8):
                     pool.send("127.0.0.1:9", MessageKind.DISTRIBUTION, b"lost")
                     await closed.get()
-            self.assertEqual(most, link.ATTEMPTS_AT_ONCE)
+            self.assertEqual(most, client_link.MAX_CONCURRENT_ATTEMPTS)
             pool.close()
             while running:
                 await asyncio.sleep(0)
--- a/tests/fleet/test_distribution_loopback.py
+++ b/tests/fleet/test_distribution_loopback.py
@@ -21,7 +21,8 @@
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind
-from rosechute.messages.link import LinkConnection, LinkServer
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_server import LinkServer
 from rosechute.processes.edge_links import EdgeLinks
 
 WITHIN_S = 10.0
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -32,7 +32,9 @@
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.messages.framing import MessageKind
-from rosechute.messages.link import LinkConnection, LinkPool, LinkServer
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_pool import LinkPool
+from rosechute.messages.link_server import LinkServer
 
 from .data_site import SiteCase
 
