--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -11,12 +11,20 @@
 from pathlib import Path
 from typing import Any
 
+from rosechute.data_plane.request_state import TRANSITIONS
+from rosechute.distribution.home_subscriptions import SubscriptionState
+from rosechute.distribution.leader_search import SearchState
+from rosechute.distribution.publisher import PublisherState
+from rosechute.messages.client_link import LinkState
+
 ROOT = Path(__file__).resolve().parents[2]
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
 GLOSSARY = ROOT / "docs" / "glossary.md"
 CONTRIBUTING = ROOT / "CONTRIBUTING.md"
 README = ROOT / "README.md"
 RUN = ROOT / "docs" / "fleet" / "run.md"
+DATA_PLANE = ROOT / "docs" / "fleet" / "data-plane.md"
+DISTRIBUTION = ROOT / "docs" / "fleet" / "distribution.md"
 PAGES = (ARCHITECTURE, GLOSSARY, CONTRIBUTING)
 BASES = (ROOT, ROOT / "rosechute")  # paths of modules are given below either
 
@@ -153,6 +161,30 @@
         return True
 
 
+class PackagePages(unittest.TestCase):
+    """The pages of single packages: their modules and states."""
+
+    def test_every_module_of_the_package_has_a_row(self) -> None:
+        for page, package in ((DATA_PLANE, "data_plane"), (DISTRIBUTION, "distribution")):
+            rows = table_rows(read(page).partition("\n## ")[0])
+            named = {name for row in rows for name in NAME.findall(row[0])}
+            files = {path.stem for path in (ROOT / "rosechute" / package).glob("*.py")} - {"__init__"}
+            with self.subTest(package=package):
+                self.assertEqual(sorted(named), sorted(files))
+
+    def test_states_of_a_request(self) -> None:
+        section = read(DATA_PLANE).partition("\n## States of a request\n")[2].partition("\n## ")[0]
+        states = {row[0].strip("`"): set(re.findall(r"`([a-z ]+)`", row[2])) for row in table_rows(section)}
+        expected = {state.value: {after.value for after in following} for state, following in TRANSITIONS.items()}
+        self.assertEqual(states, expected)
+
+    def test_states_of_the_distribution(self) -> None:
+        section = read(DISTRIBUTION).partition("\n## States\n")[2].partition("\n## ")[0]
+        states = [set(re.findall(r"`([a-z ]+)`", row[1])) for row in table_rows(section)]
+        enums = (PublisherState, SearchState, SubscriptionState, LinkState)
+        self.assertEqual(states, [{state.value for state in each} for each in enums])
+
+
 class Glossary(unittest.TestCase):
     """The table of terms."""
 
