--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -14,7 +14,7 @@
 from benchmarks.fitting import Slope, microseconds
 from benchmarks.fleet_size import SIZE, configuration, servers
 from rosechute.configuration.process import Bounds
-from rosechute.data_plane.connection_pool import Servers
+from rosechute.data_plane.connection_pool import ConnectionPool
 from rosechute.data_plane.dispatcher import Dispatcher
 from rosechute.distribution.actions import Action, SendMessage
 from rosechute.distribution.membership import EdgeIdentity
@@ -150,22 +150,22 @@
         turns = [other, entries]
         firsts = []
         for _ in range(3):
-            dispatcher, plane_servers = _dispatcher(loop)
+            dispatcher, pool = _dispatcher(loop)
             began = time.thread_time_ns()
-            plane_servers.apply(SERVICE, entries)
+            pool.apply(SERVICE, entries)
             dispatcher.apply_servers(SERVICE, entries)
             firsts.append((time.thread_time_ns() - began) / 1e3)
 
         def change() -> None:
             turns.reverse()
-            plane_servers.apply(SERVICE, turns[0])
+            pool.apply(SERVICE, turns[0])
             dispatcher.apply_servers(SERVICE, turns[0])
 
         numbers = [SIZE.edges, SIZE.edges - 1]
 
         def count_edges() -> None:
             numbers.reverse()
-            plane_servers.share(SERVICE, 830 // numbers[0])
+            pool.set_server_limit(SERVICE, 830 // numbers[0])
             dispatcher.apply_limits(SERVICE, 830, numbers[0])
 
         return statistics.median(firsts), microseconds(change, rounds=3), microseconds(count_edges, rounds=3)
@@ -173,15 +173,15 @@
         loop.close()
 
 
-def _dispatcher(loop: asyncio.AbstractEventLoop) -> tuple[Dispatcher, Servers]:
+def _dispatcher(loop: asyncio.AbstractEventLoop) -> tuple[Dispatcher, ConnectionPool]:
     """Router and connections with their limits told."""
     from hollyport.core.flow import Budget
 
-    plane_servers = Servers(loop, Budget(200), 1000)
-    dispatcher = Dispatcher(loop, Router(random.Random(1).random, RouterTuning()), plane_servers)
+    pool = ConnectionPool(loop, Budget(200), 1000)
+    dispatcher = Dispatcher(loop, Router(random.Random(1).random, RouterTuning()), pool)
     dispatcher.apply_retry_budget(Bounds(), SIZE.edges)
     dispatcher.apply_limits(SERVICE, 830, SIZE.edges)
-    return dispatcher, plane_servers
+    return dispatcher, pool
 
 
 def _request(ticket: int, draw: random.Random, prefixes: int, sessions: int) -> RoutingRequest:
@@ -322,7 +322,7 @@
     from hollyport.core.flow import Budget
 
     loop = asyncio.new_event_loop()
-    plane_servers = Servers(loop, Budget(200), 1000)
-    plane_servers.apply(SERVICE, _entries(count))
+    pool = ConnectionPool(loop, Budget(200), 1000)
+    pool.apply(SERVICE, _entries(count))
     loop.close()
-    return plane_servers
+    return pool
--- a/rosechute/data_plane/client_response.py
+++ b/rosechute/data_plane/client_response.py
@@ -15,8 +15,10 @@
 from hollyport.core.flow import Source
 from hollyport.http1.connection import Reply
 from hollyport.http1.message import HOP_BY_HOP, Headers, Message
-from rosechute.data_plane.admission import REQUEST_ID, AdmittedRequest, ResumePoint
+from rosechute.data_plane.admission import AdmittedRequest
 from rosechute.data_plane.event_stream import VERSIONS, BrokenStreamError, EventStream
+from rosechute.data_plane.request_headers import REQUEST_ID
+from rosechute.data_plane.server_request import ResumePoint
 
 NOT_FORWARDED_TO_CLIENTS = HOP_BY_HOP | {b"content-length"}
 MAX_EVENT_BYTES = 256 * 1024  # of one event, where only complete ones are forwarded
--- a/rosechute/data_plane/client_statistics.py
+++ b/rosechute/data_plane/client_statistics.py
@@ -1,4 +1,4 @@
-"""What the data plane tells of its clients when an operator asks."""
+"""Figures of an edge's clients, for the state page and the metrics."""
 
 from __future__ import annotations
 
@@ -7,15 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientStatistics:
-    """Clients of this edge at a moment."""
+    """Clients of this edge at a moment.
+
+    Attributes:
+        ready: What the readiness address answers.
+        config_version: Of the configuration in force; 0 for none.
+        connections: Open connections of clients.
+        requests: Accepted and not finished.
+        body_bytes: Of bodies held in memory.
+        body_bytes_most: The limit of `body_bytes`.
+    """
 
     ready: bool
-    """What the readiness address answers."""
     config_version: int
-    """In force here; 0 for none."""
     connections: int
     requests: int
-    """Taken and not ended."""
     body_bytes: int
-    """Of bodies that are held in memory."""
     body_bytes_most: int
--- a/rosechute/data_plane/event_stream.py
+++ b/rosechute/data_plane/event_stream.py
@@ -1,4 +1,7 @@
-"""Framing of event streams: whole events, the ids they carry and the versions they name. Pure."""
+"""Framing of event streams: complete events, their ids, and the version of the weights. Pure.
+
+The format is that of server-sent events (WHATWG HTML, 9.2).
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,24 @@
 
 
 class BrokenStreamError(Exception):
-    """What a server sends can't be the continuation of its stream."""
+    """The bytes of a server can't continue its event stream."""
 
 
 class EventStream:
-    """The events of one answer, over all runs that it is joined from: whole ones, whose ids rise without a gap or
-    a repeat. What a run has sent of an event that it never ended is dropped with that run."""
+    """The events of one response that may be joined from those of several servers.
+
+    Only complete events are forwarded, with ids that rise without a gap or a repeat. An incomplete event is dropped
+    with the response that it came in.
+
+    Args:
+        last_id: Of the last event that the client has; None for none.
+        version: Of the weights by which the response is made; None where it is not known.
+        max_event_bytes: Of one event.
+
+    Attributes:
+        last_id: Of the last event that was forwarded, or the client's own before that.
+        version: Of the weights, as of that event.
+    """
 
     __slots__ = (
         "last_id",
@@ -25,64 +40,74 @@
         "_number",
         "_ids_are_consecutive",
         "_partial",
-        "_begun",
+        "_has_forwarded",
         "_last_event_has_id",
         "_may_repeat_events",
-        "_most",
+        "_max_event_bytes",
     )
 
-    def __init__(self, last_id: bytes | None, version: bytes | None, most_bytes: int) -> None:
-        self.last_id = last_id  # of the last event that was passed on; the client's where none was
-        self.version = version  # of the weights, as of that event
+    def __init__(self, last_id: bytes | None, version: bytes | None, max_event_bytes: int) -> None:
+        self.last_id = last_id
+        self.version = version
         self._number = _as_number(last_id)
-        self._ids_are_consecutive: bool | None = None  # whether ids rise by one; None where none has followed another
-        self._partial = b""
-        self._begun = False  # whether an event was passed on
-        self._last_event_has_id = True  # whether the last one that was passed on carries an id
-        self._may_repeat_events = False  # whether the events to come may repeat some that were passed on
-        self._most = most_bytes
+        self._ids_are_consecutive: bool | None = None  # None until one id has followed another
+        self._partial = b""  # of an event that is not complete
+        self._has_forwarded = False  # whether an event was forwarded
+        self._last_event_has_id = True  # of those that were forwarded
+        self._may_repeat_events = False  # whether another server may send events again that were forwarded
+        self._max_event_bytes = max_event_bytes
 
     def feed(self, data: bytes) -> bytes:
-        """Take what has come; return the whole events that it completes. Raises `BrokenStreamError`."""
+        """Take bytes of the stream; return the events that they complete and that are to be forwarded.
+
+        Raises:
+            BrokenStreamError: an event is too long, or its id can't follow the last one.
+        """
         if self._partial:
             data = self._partial + data
         end = max(data.rfind(b"\n\n") + 2, data.rfind(b"\n\r\n") + 3)
         if end < 3 and not data.startswith(b"\n\n"):
             end = 0
-        if len(data) - end > self._most:
+        if len(data) - end > self._max_event_bytes:
             raise BrokenStreamError("an event is too long")
-        whole, self._partial = (data, b"") if end == len(data) else (data[:end], data[end:])
-        return self._checked(whole) if whole else b""
-
-    def finish(self, framed: bool = True) -> bytes:
-        """The run has ended whole: what it has sent last is the end of the answer, with a blank line or without.
-        Raises `BrokenStreamError` where only the close of its connection says so (not `framed`), inside an event."""
-        rest, self._partial = self._partial, b""
-        if rest and not framed:
+        complete, self._partial = (data, b"") if end == len(data) else (data[:end], data[end:])
+        return self._filtered(complete) if complete else b""
+
+    def finish(self, has_explicit_length: bool = True) -> bytes:
+        """Return the last events: the server's response is complete, with a final blank line or without.
+
+        Args:
+            has_explicit_length: Whether its headers delimit it; otherwise only the close of its connection did.
+
+        Raises:
+            BrokenStreamError: a response without explicit length was closed inside an event.
+        """
+        remaining, self._partial = self._partial, b""
+        if remaining and not has_explicit_length:
             raise BrokenStreamError("closed inside an event")
-        return self._checked(rest) if rest else b""
+        return self._filtered(remaining) if remaining else b""
 
     def resumable(self) -> bool:
-        """Whether another run can go on exactly where this answer stands."""
+        """Return whether another server can continue exactly after the last forwarded event."""
         return self._last_event_has_id
 
     def start_next_response(self) -> None:
-        """Another run goes on behind the last event that was passed on."""
+        """Continue with the response of another server, which starts after the last forwarded event."""
         self._partial = b""
-        self._may_repeat_events = self._begun
-
-    def _checked(self, whole: bytes) -> bytes:
-        """Look through whole events; return those that go on."""
-        if whole.find(b"\n\n") == len(whole) - 2:  # the usual case: one event
-            return whole if self._check(whole) else b""
-        passed = []
-        for event in _split(whole):
-            if self._check(event):
-                passed.append(event)
-        return b"".join(passed)
-
-    def _check(self, event: bytes) -> bool:
-        """Note one event; whether it goes on. One that repeats what was passed on is dropped where a run begins."""
+        self._may_repeat_events = self._has_forwarded
+
+    def _filtered(self, complete: bytes) -> bytes:
+        """Return those complete events that are to be forwarded."""
+        if complete.find(b"\n\n") == len(complete) - 2:  # the usual case: one event
+            return complete if self._accept(complete) else b""
+        forwarded = []
+        for event in _split(complete):
+            if self._accept(event):
+                forwarded.append(event)
+        return b"".join(forwarded)
+
+    def _accept(self, event: bytes) -> bool:
+        """Record one event; return False where it repeats one that was forwarded from another server."""
         version = _VERSION.match(event)
         found = _ID.search(event)
         if found is None:
@@ -93,14 +118,14 @@
             self.last_id, self._last_event_has_id = found[1], True
         if version is not None:
             self.version = version[1]
-        self._begun, self._may_repeat_events = True, False
+        self._has_forwarded, self._may_repeat_events = True, False
         return True
 
     def _follows_last_id(self, event_id: bytes) -> bool:
-        """Whether this id follows the last one; raises `BrokenStreamError` where it can't."""
+        """Return whether this id follows the last one; raise `BrokenStreamError` where neither is possible."""
         number, before = _as_number(event_id), self._number
         if number is None or before is None:
-            if event_id == self.last_id and self._begun:
+            if event_id == self.last_id and self._has_forwarded:
                 if self._may_repeat_events:
                     return False
                 raise BrokenStreamError("an id repeats")
@@ -110,10 +135,10 @@
             if self._may_repeat_events:
                 return False
             raise BrokenStreamError("ids do not rise")
-        one = number == before + 1
-        if not one and self._may_repeat_events and self._ids_are_consecutive:
+        is_next = number == before + 1
+        if not is_next and self._may_repeat_events and self._ids_are_consecutive:
             raise BrokenStreamError("ids leave a gap")
-        self._ids_are_consecutive = one and self._ids_are_consecutive is not False
+        self._ids_are_consecutive = is_next and self._ids_are_consecutive is not False
         self._number = number
         return True
 
@@ -122,13 +147,13 @@
     return int(event_id) if event_id is not None and _NUMBER.fullmatch(event_id) is not None else None
 
 
-def _split(whole: bytes) -> list[bytes]:
-    """Whole events, one by one."""
+def _split(complete: bytes) -> list[bytes]:
+    """Return complete events one by one."""
     events, at = [], 0
-    for end in _END.finditer(whole):
+    for end in _END.finditer(complete):
         if end.end() > at:
-            events.append(whole[at : end.end()])
+            events.append(complete[at : end.end()])
             at = end.end()
-    if at < len(whole):
-        events.append(whole[at:])
+    if at < len(complete):
+        events.append(complete[at:])
     return events
--- a/rosechute/data_plane/ports.py
+++ b/rosechute/data_plane/ports.py
@@ -1,4 +1,4 @@
-"""What the data plane needs of the rest of an edge process, as typed protocols."""
+"""Protocols that the data plane needs the rest of an edge process to implement."""
 
 from __future__ import annotations
 
--- a/rosechute/data_plane/request.py
+++ b/rosechute/data_plane/request.py
@@ -1,4 +1,4 @@
-"""One client request from its admission to its one answer: what each event does in each of its states.
+"""One client request from its admission to its one response: what each event does in each state.
 
 `request_state` has the states and their transitions, `client_response` what the client is sent, `inactivity` the
 time-out of a server that sends nothing.
@@ -14,19 +14,21 @@
 from hollyport.http1.connection import Reply
 from hollyport.http1.message import Message
 from rosechute.data_plane import attempt_outcome
-from rosechute.data_plane.admission import REQUEST_ID, AdmittedRequest, Rejection, serialize_attempt
+from rosechute.data_plane.admission import AdmittedRequest, Rejection
 from rosechute.data_plane.attempt import Attempt
 from rosechute.data_plane.attempt_outcome import AttemptOutcome
 from rosechute.data_plane.client_response import ClientResponse
-from rosechute.data_plane.connection_pool import Server, Servers
+from rosechute.data_plane.connection_pool import ConnectionPool, ServerConnections
 from rosechute.data_plane.event_stream import BrokenStreamError
 from rosechute.data_plane.inactivity import InactivityWatch
+from rosechute.data_plane.request_headers import REQUEST_ID
 from rosechute.data_plane.request_state import NOT_SENT_STATES, SENT_STATES, RequestState, validated_transition
+from rosechute.data_plane.server_request import serialize_attempt
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
-DEFAULT_RETRY_AFTER_S = 0.25  # when to come back where nothing else tells
-SHUTDOWN_RETRY_AFTER_S = 0.05  # when to come back, to another edge
-CLIENT_CHECK_AFTER_S = 0.02  # a request that was read so lately has a client
+DEFAULT_RETRY_AFTER_S = 0.25  # `Retry-After` where nothing better is known
+SHUTDOWN_RETRY_AFTER_S = 0.05  # `Retry-After` while this edge shuts down: another edge can serve at once
+CLIENT_CHECK_AFTER_S = 0.02  # from this age on the client of a request is checked before the request is sent
 
 
 # Outcomes beside `server_<status>` (a server's complete response) and `own_<status>` (a status of the edge's own).
@@ -39,32 +41,40 @@
     """What a request needs of the data plane."""
 
     loop: asyncio.AbstractEventLoop
-    servers: Servers
+    pool: ConnectionPool
 
     def request_quota(self, request: ClientRequest) -> None:
-        """Ask whether its tenant's quota allows it; it is told by `on_quota_decision`."""
+        """Request the tokens of its tenant's quota; `on_quota_decision` is called once."""
 
     def dispatch(self, request: ClientRequest) -> None:
-        """Hand it to the router."""
+        """Hand the request to the router, which calls `on_server_selected` or `on_rejected`."""
 
-    def report_attempt(self, request: ClientRequest, server_id: str, result: AttemptResult, again: bool) -> None:
-        """Tell the router how an attempt ended or went on."""
+    def report_attempt(self, request: ClientRequest, server_id: str, result: AttemptResult, will_retry: bool) -> None:
+        """Report the progress or the end of an attempt to the router; `will_retry` asks for another server."""
 
     def can_retry_elsewhere(self, request: ClientRequest) -> bool:
-        """Whether the router would send it to another server now if the one that it is at failed it."""
+        """Return whether the router would select another server now if the current one failed."""
 
     def cancel(self, request: ClientRequest) -> None:
-        """Tell the router that nothing more is wanted for it."""
+        """Take the request back from the router."""
 
     def current_rejection(self, admitted: AdmittedRequest) -> Rejection | None:
-        """Why it may not be sent now, by the configuration in force."""
+        """Return why the request may not be sent by the configuration in force; None where it may."""
 
     def on_request_finished(self, request: ClientRequest) -> None:
-        """It is over: nothing more comes of it."""
+        """Forget the request."""
 
 
 class ClientRequest:
-    """One request of a client."""
+    """One request of a client.
+
+    Attributes:
+        message: The request as it was received.
+        admitted: What routing and servers need of it.
+        ticket: Names the request at the router.
+        state: Changed by `_change` only.
+        outcome: What the client was sent; valid once the request is finished.
+    """
 
     __slots__ = (
         "message",
@@ -89,20 +99,20 @@
         self.message, self.admitted = message, admitted
         self.ticket = admitted.routing.ticket
         self.state = RequestState.AWAITING_QUOTA
-        self.outcome = CLIENT_DISCONNECTED  # what its client got; of use once it is over
+        self.outcome = CLIENT_DISCONNECTED
         self._context, self._loop = context, context.loop
         self._attempt: Attempt | None = None
         self._response = ClientResponse(message, admitted)
         self._inactivity = InactivityWatch(self._loop, admitted)
-        self._may_have_executed = False  # at some server, in an attempt that has ended
-        self._last_error_response: Reply | None = None  # the last failure of a server that may be passed on
-        self._last_result: AttemptResult | None = None  # how the last attempt ended
-        self._client_paused = False  # whether the client does not take what is passed on
-        self._deadline = admitted.answer_deadline  # when it is ended, whatever is under way
+        self._may_have_executed = False  # at a server, in an attempt that has ended
+        self._last_error_response: Reply | None = None  # of a server, to be sent where no retry succeeds
+        self._last_result: AttemptResult | None = None  # of the last attempt that has ended
+        self._client_paused = False  # whether the client accepts no more bytes for now
+        self._deadline = admitted.answer_deadline  # when the request is aborted, whatever its state
         self._deadline_timer = self._loop.call_at(admitted.answer_deadline, self._on_deadline)
 
     def _change(self, state: RequestState) -> None:
-        """The one place where the state changes."""
+        """Change the state. Nothing else does."""
         self.state = validated_transition(self.state, state)
         if state is RequestState.FINISHED:
             self._deadline_timer.cancel()
@@ -111,19 +121,19 @@
             self._context.on_request_finished(self)
 
     def _release_body(self) -> None:
-        """Count what no server got of a body as held no longer. While more of it comes, its connection does that."""
+        """Release the memory of a body that no server was sent. An incomplete one is released by its connection."""
         stream = self.message.stream
         if stream is not None and self.message.complete:
             stream.drop()
 
-    # --- before the router
+    # --- quota
 
     def start(self) -> None:
-        """Ask whether its tenant may, and have it routed."""
+        """Request the tenant's quota; the router follows."""
         self._context.request_quota(self)
 
     def on_quota_decision(self, allowed: bool, retry_after_s: float) -> None:
-        """The tenant's quota has told."""
+        """Queue the request at the router, or reject it with 429."""
         if self.state is not RequestState.AWAITING_QUOTA:
             return
         if not allowed:
@@ -135,17 +145,17 @@
     # --- from the router
 
     def on_server_selected(self, action: Send) -> None:
-        """Send it to this server now."""
+        """Start an attempt at the selected server."""
         if self.state is not RequestState.QUEUED:
             return
-        server = self._context.servers.find(action.server_id)
+        server = self._context.pool.find(action.server_id)
         if server is None or not server.ready:
             self._context.report_attempt(self, action.server_id, AttemptResult.CONNECT_FAILED, True)
             return
         self._change(RequestState.CONNECTING)
         admitted = self.admitted
         self._attempt = Attempt(
-            self._context.servers,
+            self._context.pool,
             self._loop,
             server,
             self,
@@ -156,27 +166,30 @@
         self._attempt.start()
 
     def on_rejected(self, reason: RejectReason, retry_after_s: float) -> None:
-        """The router gives it up."""
+        """Finish the request: the router has no server for it."""
         if self.state is RequestState.QUEUED:
             self._finish_without_server(self._last_result, retry_after_s or DEFAULT_RETRY_AFTER_S)
 
-    # --- from its attempt
+    # --- from its attempt (AttemptOwner)
 
     def build_request(self, attempt: Attempt) -> bytes | None:
-        """See `AttemptOwner`."""
+        """See `AttemptOwner`. Checks once more that the request may be sent: time has passed since its admission."""
         admitted, server = self.admitted, attempt.server
-        refusal = self._context.current_rejection(admitted)
-        if refusal is None and (self._is_body_partly_sent() or (self._may_have_executed and not admitted.repeatable)):
-            refusal = Rejection(503)  # its body is gone, or a configuration since its first attempt says so
-        if refusal is not None:
+        rejection = self._context.current_rejection(admitted)
+        if rejection is None and (
+            self._is_body_partly_sent() or (self._may_have_executed and not admitted.repeatable)
+        ):
+            # Its body is gone, or a configuration since its first attempt has made the route non-repeatable.
+            rejection = Rejection(503)
+        if rejection is not None:
             self._cancel()
-            self._finish_rejected(refusal)
+            self._finish_rejected(rejection)
             return None
         if not server.ready:
             self._requeue_not_sent(server)
             return None
-        waited = self._loop.time() - admitted.arrived > CLIENT_CHECK_AFTER_S
-        if waited and not self._is_client_waiting():
+        check_client = self._loop.time() - admitted.arrived > CLIENT_CHECK_AFTER_S
+        if check_client and not self._is_client_waiting():
             return None
         if not self._has_time_left():
             self._abort_request()
@@ -188,18 +201,15 @@
         return serialize_attempt(admitted, server.id, left_s, self._response.resume_point(), self.message.body)
 
     def on_response_head(self, attempt: Attempt, reply: Reply, length: int | None) -> Sink | None:
-        """See `AttemptOwner`. The head of the first server's answer is the client's."""
+        """See `AttemptOwner`. Starts the client's response, or resumes it with that of another server."""
         if (
             attempt is not self._attempt
             or self.state is not RequestState.SENT
             or not attempt_outcome.is_trusted(reply)
         ):
             return None
-        if not (
-            self._response.resume_from(reply)
-            if self._response.is_started
-            else self._response.start(reply, length, self)
-        ):
+        response = self._response
+        if not (response.resume_from(reply) if response.is_started else response.start(reply, length, self)):
             return None
         self._change(RequestState.STREAMING)
         self._inactivity.is_response_started = True
@@ -210,7 +220,7 @@
         return self
 
     def pass_on(self, data: bytes) -> None:
-        """Some more of the answer that is passed on."""
+        """Forward bytes of the server's response to the client. See `hollyport.core.flow.Sink`."""
         if self.state is not RequestState.STREAMING:
             return
         self._inactivity.on_bytes_received()
@@ -220,27 +230,27 @@
         except BrokenStreamError as error:
             self._abandon_invalid_stream(error)
 
-    def on_attempt_finished(self, attempt: Attempt, ending: AttemptOutcome) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """See `AttemptOwner`."""
         if attempt is not self._attempt or self.state is RequestState.FINISHED:
             return
         self._attempt = None
         self._inactivity.stop()
-        self._last_result = ending.result
-        self._may_have_executed = self._may_have_executed or ending.may_have_executed
+        self._last_result = outcome.result
+        self._may_have_executed = self._may_have_executed or outcome.may_have_executed
         if self.state is RequestState.STREAMING:
-            self._on_streamed_response_end(attempt.server, ending)
-        elif ending.result is not AttemptResult.DONE or ending.reply is None:
-            self._on_attempt_failed(attempt.server, ending)
+            self._on_streamed_response_end(attempt.server, outcome)
+        elif outcome.result is not AttemptResult.DONE or outcome.reply is None:
+            self._on_attempt_failed(attempt.server, outcome)
         elif not self._response.is_started:
-            self._context.report_attempt(self, attempt.server.id, ending.result, False)
-            self._finish_with_response(ending.reply)
-        elif attempt_outcome.is_success(ending.reply.status):
-            self._complete_resumed_stream(attempt.server, ending.reply)
+            self._context.report_attempt(self, attempt.server.id, outcome.result, False)
+            self._finish_with_response(outcome.reply)
+        elif attempt_outcome.is_success(outcome.reply.status):
+            self._complete_resumed_stream(attempt.server, outcome.reply)
         else:
             self._on_attempt_failed(attempt.server, attempt_outcome.SERVER_ERROR)
 
-    # --- from the watch over its server
+    # --- from the inactivity time-out (InactivityListener)
 
     def can_retry_elsewhere(self) -> bool:
         """See `InactivityListener`."""
@@ -254,7 +264,7 @@
         """See `InactivityListener`."""
         attempt = self._attempt
         assert attempt is not None
-        self._drop_attempt()
+        self._abort_attempt()
         self._last_result, self._may_have_executed = AttemptResult.TIMEOUT, True
         if self.state is RequestState.STREAMING:
             self._on_stream_interrupted(attempt.server, AttemptResult.TIMEOUT)
@@ -264,8 +274,11 @@
     # --- from the client's connection
 
     def on_client_disconnected(self) -> None:
-        """Nobody waits for it any more, or the rest of its body will not come: the server is to drop it. In the
-        second case the client is still there, and answered here: its connection's own 408 would be a promise."""
+        """Abort the request: its client has disconnected, or the rest of its body will not come.
+
+        In the second case the client is still connected and is answered here: the 408 of its connection would promise
+        that the request has not run, which a server with part of the body can't be held to.
+        """
         if self.state is RequestState.FINISHED:
             return
         if self._is_body_partly_sent() and not self.message.complete:
@@ -275,48 +288,48 @@
         self._change(RequestState.FINISHED)
 
     def pause(self) -> None:
-        """The client takes no more for now."""
+        """Pause the server's response: the client accepts no more for now. See `hollyport.core.flow.Source`."""
         self._client_paused = self._inactivity.is_client_paused = True
         if self._attempt is not None and self.state is RequestState.STREAMING:
             self._attempt.pause()
 
     def resume(self) -> None:
-        """It does again."""
+        """Resume the server's response."""
         self._client_paused = self._inactivity.is_client_paused = False
         self._inactivity.on_bytes_received()
         if self._attempt is not None and self.state is RequestState.STREAMING:
             self._attempt.resume()
 
-    # --- at the end of the process
+    # --- from the shutdown of the process
 
     def reject_if_not_sent(self) -> None:
-        """Answer it now if it has not run and does not run."""
+        """Reject the request with 503 unless a server may have executed it or may be executing it."""
         if self.state in NOT_SENT_STATES and not self._response.is_started and not self._may_have_executed:
             self._cancel()
             self._finish_with_local_response(503, SHUTDOWN_RETRY_AFTER_S)
 
     def abort_at_shutdown(self) -> None:
-        """The process ends: what can't be answered whole is cut."""
+        """Abort the request: the process ends. A started response is truncated."""
         self._abort_request()
 
     # --- ends of attempts
 
-    def _on_streamed_response_end(self, server: Server, ending: AttemptOutcome) -> None:
-        """The answer that is passed on has come to its end, or broken off."""
-        if ending.result is not AttemptResult.DONE:
-            self._on_stream_interrupted(server, ending.result)
+    def _on_streamed_response_end(self, server: ServerConnections, outcome: AttemptOutcome) -> None:
+        """Finish the forwarded response, or resume it at another server where it was interrupted."""
+        if outcome.result is not AttemptResult.DONE:
+            self._on_stream_interrupted(server, outcome.result)
             return
         try:
-            rest = self._response.remaining_bytes()
+            remaining = self._response.remaining_bytes()
         except BrokenStreamError as error:
             LOG.warning("streams.broken", server=server.id, reason=str(error))
             self._on_stream_interrupted(server, AttemptResult.RESET)
             return
         self._context.report_attempt(self, server.id, AttemptResult.DONE, False)
-        self._finish_streamed(rest)
+        self._finish_streamed(remaining)
 
-    def _on_stream_interrupted(self, server: Server, result: AttemptResult) -> None:
-        """Go on at another server where that is allowed, else cut."""
+    def _on_stream_interrupted(self, server: ServerConnections, result: AttemptResult) -> None:
+        """Resume the response at another server where that is allowed, else truncate it."""
         resumable = self._response.is_resumable() and not self._is_body_partly_sent() and self._has_time_left()
         if resumable:
             self._change(RequestState.QUEUED)
@@ -324,72 +337,74 @@
         if not resumable:
             self._finish_truncated()
 
-    def _complete_resumed_stream(self, server: Server, reply: Reply) -> None:
-        """The rest of a stream came in one piece."""
+    def _complete_resumed_stream(self, server: ServerConnections, reply: Reply) -> None:
+        """Finish a resumed stream whose remaining events came as a complete response."""
         try:
-            rest = self._response.resume_with_complete_response(reply)
+            remaining = self._response.resume_with_complete_response(reply)
         except BrokenStreamError:
-            rest = None
-        if rest is None:
+            remaining = None
+        if remaining is None:
             self._on_attempt_failed(server, attempt_outcome.RESET)
             return
         self._change(RequestState.STREAMING)
         self._context.report_attempt(self, server.id, AttemptResult.DONE, False)
-        self._finish_streamed(rest)
-
-    def _on_attempt_failed(self, server: Server, ending: AttemptOutcome) -> None:
-        """An attempt has brought no answer: another one, where the request may be repeated or has not run."""
-        if ending.reply is not None:
-            self._last_error_response = ending.reply
-        again = self._can_retry(ending) and self._has_time_left()
-        if again:
+        self._finish_streamed(remaining)
+
+    def _on_attempt_failed(self, server: ServerConnections, outcome: AttemptOutcome) -> None:
+        """Retry at another server if the request is repeatable or has not been executed, else finish it."""
+        if outcome.reply is not None:
+            self._last_error_response = outcome.reply
+        will_retry = self._can_retry(outcome) and self._has_time_left()
+        if will_retry:
             self._change(RequestState.QUEUED)
-        self._context.report_attempt(self, server.id, ending.result, again)
-        if not again:
-            self._finish_without_server(ending.result, DEFAULT_RETRY_AFTER_S)
+        self._context.report_attempt(self, server.id, outcome.result, will_retry)
+        if not will_retry:
+            self._finish_without_server(outcome.result, DEFAULT_RETRY_AFTER_S)
 
-    def _can_retry(self, ending: AttemptOutcome) -> bool:
-        """Whether it may be sent to another server."""
+    def _can_retry(self, outcome: AttemptOutcome) -> bool:
+        """Return whether the request may be sent to another server after this outcome."""
         if self._is_body_partly_sent():
             return False
-        return self.admitted.repeatable or not (ending.may_have_executed or self._may_have_executed)
+        return self.admitted.repeatable or not (outcome.may_have_executed or self._may_have_executed)
 
     def _is_body_partly_sent(self) -> bool:
-        """Whether part of a body has gone that is not held here: it can't be sent again."""
+        """Return whether part of a streamed body was sent. It is not kept: the request can't be sent again."""
         stream = self.message.stream
         return stream is not None and stream.begun
 
     def _abandon_invalid_stream(self, error: BrokenStreamError) -> None:
-        """What the server sends can't be passed on."""
+        """Abort an attempt whose server sends events that can't continue the stream."""
         attempt = self._attempt
         assert attempt is not None
         LOG.warning("streams.broken", server=attempt.server.id, reason=str(error))
-        self._drop_attempt()
+        self._abort_attempt()
         self._may_have_executed = True
         self._on_stream_interrupted(attempt.server, AttemptResult.RESET)
 
-    def _requeue_not_sent(self, server: Server) -> None:
-        """Nothing was sent to this server, which drains or is gone: back to the router."""
-        self._drop_attempt()
+    def _requeue_not_sent(self, server: ServerConnections) -> None:
+        """Return the request to the router: the server drains or has left, and nothing was sent to it."""
+        self._abort_attempt()
         self._change(RequestState.QUEUED)
         self._context.report_attempt(self, server.id, AttemptResult.CONNECT_FAILED, True)
 
     def _is_client_waiting(self) -> bool:
-        """Whether the client still waits; else it is over. Its end may not have been read yet, which is asked of
-        the kernel."""
+        """Return whether the client is still connected; finish the request where it is not.
+
+        The kernel is asked, as the client's close may not have been read yet.
+        """
         if self.message.connection.look():
             self.on_client_disconnected()
         return self.state is not RequestState.FINISHED
 
-    def _drop_attempt(self) -> None:
+    def _abort_attempt(self) -> None:
         self._inactivity.stop()
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.abort()
 
     def _cancel(self) -> None:
-        """Take it back from the server and from the router."""
-        self._drop_attempt()
+        """Take the request back from its server and from the router."""
+        self._abort_attempt()
         if self.state is not RequestState.AWAITING_QUOTA:
             self._context.cancel(self)
 
@@ -399,21 +414,23 @@
         return self._loop.time() < self._deadline
 
     def _on_deadline(self) -> None:
-        """The route's time is over, or the client gives up soon. A stream that brings events is answered already:
-        it goes on for as long as its client waits."""
+        """Abort the request: its route's time-out has passed, or its client is about to give up.
+
+        A stream that has delivered events is answered already, and continues up to its client's own deadline.
+        """
         admitted, limit = self.admitted, self.admitted.client_deadline
-        passed_on = self._inactivity.last_forwarded_at > admitted.arrived
-        brings_events = self._response.is_started and admitted.route.streaming and passed_on
-        if not brings_events or self._deadline >= limit:
+        has_forwarded = self._inactivity.last_forwarded_at > admitted.arrived
+        is_delivering = self._response.is_started and admitted.route.streaming and has_forwarded
+        if not is_delivering or self._deadline >= limit:
             self._abort_request()
             return
         self._deadline = limit
         self._deadline_timer = self._loop.call_at(limit, self._on_deadline)
 
-    # --- its own end
+    # --- how a request finishes
 
     def _abort_request(self) -> None:
-        """End it now, whatever is under way."""
+        """Finish the request now, whatever its state."""
         if self.state is RequestState.FINISHED:
             return
         may_have_executed = self._may_have_executed or self.state in SENT_STATES
@@ -426,7 +443,7 @@
             self._finish_with_local_response(503, DEFAULT_RETRY_AFTER_S)
 
     def _finish_without_server(self, last: AttemptResult | None, retry_after_s: float) -> None:
-        """No server is left that may answer it."""
+        """Finish a request for which no server is left."""
         if self._response.is_started:
             self._finish_truncated()
         elif self._last_error_response is not None:
@@ -436,14 +453,17 @@
         else:
             self._finish_with_local_response(503, retry_after_s)
 
-    def _finish_rejected(self, refusal: Rejection) -> None:
-        """It may not be sent any more. Where a server may have run it, that is no promise."""
+    def _finish_rejected(self, rejection: Rejection) -> None:
+        """Finish a request that may not be sent any more.
+
+        Where a server may have executed it, a status that promises the opposite is replaced by 502.
+        """
         if self._response.is_started:
             self._finish_truncated()
-        elif self._may_have_executed and refusal.status in attempt_outcome.NOT_EXECUTED_STATUSES:
+        elif self._may_have_executed and rejection.status in attempt_outcome.NOT_EXECUTED_STATUSES:
             self._finish_with_local_response(502)
         else:
-            self._finish_with_local_response(refusal.status, refusal.retry_after_s)
+            self._finish_with_local_response(rejection.status, rejection.retry_after_s)
 
     def _finish_with_local_response(self, status: int, retry_after_s: float = 0.0) -> None:
         self.outcome = f"own_{status}"
@@ -455,10 +475,10 @@
         self._change(RequestState.FINISHED)
         self._response.send_complete_response(reply)
 
-    def _finish_streamed(self, rest: bytes) -> None:
+    def _finish_streamed(self, remaining: bytes) -> None:
         self.outcome = PROXIED
         self._change(RequestState.FINISHED)
-        self._response.finish(rest)
+        self._response.finish(remaining)
 
     def _finish_truncated(self) -> None:
         self.outcome = TRUNCATED
--- /dev/null
+++ b/rosechute/data_plane/server_request.py
@@ -0,0 +1,97 @@
+"""Serialization of a request as model servers get it. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from hollyport.http1.message import HOP_BY_HOP, Message
+from rosechute.configuration.operator import Tenant
+from rosechute.data_plane.request_headers import (
+    CREDENTIAL,
+    DEADLINE,
+    LAST_EVENT_ID,
+    MODEL,
+    PROMPT_PREFIX,
+    REQUEST_ID,
+    TOKEN_COUNT,
+)
+
+if TYPE_CHECKING:
+    from rosechute.data_plane.admission import AdmittedRequest
+
+# Headers that are not forwarded: those of one connection (RFC 9110, 7.6.1), and those that the edge itself sets.
+NOT_FORWARDED = HOP_BY_HOP | {
+    b"content-length",
+    b"expect",
+    b"priority",
+    b"expect-version",
+    LAST_EVENT_ID,
+    CREDENTIAL,
+    DEADLINE,
+    b"x-rosechute-tenant",
+    b"x-rosechute-expect-instance",
+}
+# Headers that servers need as the client sent them: a client's `Connection` header can't remove one of them.
+END_TO_END = frozenset({b"host", REQUEST_ID, MODEL, TOKEN_COUNT, PROMPT_PREFIX})
+
+
+@dataclass(frozen=True, slots=True)
+class ResumePoint:
+    """Where another server has to continue an interrupted event stream.
+
+    Attributes:
+        last_event_id: Of the last event that was forwarded, or the client's own where none was; None for none.
+        version: Of the weights by which the response is made; None where it is not known.
+    """
+
+    last_event_id: bytes | None
+    version: bytes | None
+
+
+def serialize_head(message: Message, tenant: Tenant | None, priority: int) -> bytes:
+    """Return the head of a request as every server gets it, without its end and the headers of one attempt.
+
+    Args:
+        message: The request.
+        tenant: Whose request it is; None where tenants do not matter.
+        priority: Value of the header `Priority`; 0 is the most urgent.
+    """
+    dropped = NOT_FORWARDED
+    for value in message.all(b"connection"):
+        dropped = dropped | ({name.strip().lower() for name in value.split(b",")} - END_TO_END)
+    lines = [b"%s %s HTTP/1.1\r\n" % (message.method, message.target)]
+    lines += [b"%s: %s\r\n" % pair for pair in message.headers if pair[0] not in dropped]
+    if message.stream is not None:
+        length = message.stream.length
+        lines.append(b"transfer-encoding: chunked\r\n" if length is None else b"content-length: %d\r\n" % length)
+    elif message.body or message.method != b"GET":
+        lines.append(b"content-length: %d\r\n" % len(message.body))
+    if tenant is not None:
+        lines.append(b"x-rosechute-tenant: %s\r\n" % tenant.name.encode())
+    lines.append(b"priority: %d\r\n" % priority)
+    return b"".join(lines)
+
+
+def serialize_attempt(
+    admitted: AdmittedRequest, server_id: str, left_s: float, resume: ResumePoint | None, body: bytes
+) -> bytes:
+    """Return the request as one server gets it.
+
+    Args:
+        admitted: The request.
+        server_id: Of the server, which refuses a request that is meant for another instance.
+        left_s: Seconds up to the deadline.
+        resume: Where the server has to continue; None for a new response.
+        body: The body; empty where it is forwarded while it arrives.
+    """
+    lines = [admitted.head]
+    last = resume.last_event_id if resume is not None else admitted.last_event_id
+    if last is not None:
+        lines.append(b"last-event-id: %s\r\n" % last)
+    if resume is not None and resume.version is not None:
+        lines.append(b"expect-version: %s\r\n" % resume.version)
+    lines.append(b"x-rosechute-expect-instance: %s\r\n" % server_id.encode())
+    lines.append(b"x-rosechute-deadline-ms: %d\r\n\r\n" % max(1, int(left_s * 1e3)))
+    lines.append(body)
+    return b"".join(lines)
--- a/rosechute/data_plane/traffic_split.py
+++ b/rosechute/data_plane/traffic_split.py
@@ -1,8 +1,9 @@
-"""Even sequences for the choice of a service by weight (`traffic_split`).
+"""Low-discrepancy sequences for the choice of a service by weight (`traffic_split`).
 
-Independent draws are uneven: of 300 requests with two even parts, one time in twelve a part's share is off by 5 in
-100 or more. Here the points of one route at one edge follow one another by the golden ratio from a random start, so
-any run of them is spread evenly over 0 to 1, and the sum over many edges is more even than independent draws.
+Independent draws are uneven: of 300 requests split into two equal parts, one time in twelve a part is off by
+5 percent or more. The points of one route at one edge are an additive recurrence with the golden ratio from a random
+start (Weyl sequence), so that every run of them is spread evenly over 0 to 1, and the sum over many edges is more
+even than independent draws.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class SplitSequences:
-    """The sequence of each route at one edge.
+    """Low-discrepancy sequences, one for each route at one edge.
 
     Args:
         draw: Random numbers from 0 up to 1, for where sequences start.
@@ -24,12 +25,12 @@
         self._points: dict[str, float] = {}  # by route name: the last one
 
     def next_point(self, route: str) -> float:
-        """From 0 up to, not including, 1."""
+        """Return the next point of a route's sequence, at least 0 and below 1."""
         last = self._points.get(route)
         point = self._draw() if last is None else (last + GOLDEN_RATIO) % 1.0
         self._points[route] = point
         return point
 
-    def keep(self, routes: Collection[str]) -> None:
-        """Forget all other routes."""
+    def retain(self, routes: Collection[str]) -> None:
+        """Forget all routes but these."""
         self._points = {route: point for route, point in self._points.items() if route in routes}
--- a/tests/fleet/data_model.py
+++ b/tests/fleet/data_model.py
@@ -777,8 +777,8 @@
             "calls": len(router._calls),
             "bytes": plane.budget.used,
         }
-        for server in plane.servers._servers.values():
-            held[f"links of {server.id}"] = server.links - len(server.idle)
+        for server in plane.pool._servers.values():
+            held[f"links of {server.id}"] = server.open_count - len(server.idle)
         self.records.leftovers = [f"{count} {name}" for name, count in held.items() if count]
 
     def _close(self) -> None:
--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -99,6 +99,7 @@
         [
             "rosechute/data_plane/request*.py",
             "rosechute/data_plane/client_response.py",
+            "rosechute/data_plane/server_request.py",
             "rosechute/data_plane/inactivity.py",
             "rosechute/data_plane/route_durations.py",
             *(
--- a/tests/fleet/planted_faults/carry_over.py
+++ b/tests/fleet/planted_faults/carry_over.py
@@ -3,9 +3,8 @@
     python -m tests.fleet.planted_faults.carry_over BEFORE [OLD=NEW ...]
 
 BEFORE is a checkout of the commit from which the sources were renamed; OLD=NEW are files that were renamed, each as
-`package/module.py`. The faults of each package before and now are
-aligned file by file with identifiers blanked out, so that a row follows its fault through renames and small moves.
-Rows and excuses whose fault has no counterpart are printed; nothing is dropped from `excused.toml`.
+`package/module.py`. The faults of each package before and now are aligned file by file with identifiers blanked out,
+then what is left with that of all other files, so that a row follows its fault through renames and moves. Rows and excuses whose fault has no counterpart are printed; nothing is dropped from `excused.toml`.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 import keyword
 import re
 import sys
-from collections import defaultdict
 from difflib import SequenceMatcher
+from itertools import product
 from pathlib import Path
 
 from tests.fleet.planted_faults import records
@@ -52,7 +51,7 @@
 
 
 def carried_over(before_root: Path, now_root: Path, package: str, moved: dict[str, str]) -> dict[str, str]:
-    """Old id to new id for a package; unchanged ids first, then by file, then by what is left."""
+    """Old id to new id for a package; unchanged ids first, then by file, then by moves."""
     before = {path: faults_of(before_root, path) for path in sources(before_root, package)}
     now = {path: faults_of(now_root, path) for path in sources(now_root, package)}
     existing = {fault.id for faults in now.values() for fault in faults}
@@ -69,14 +68,10 @@
         found = aligned(left(before[path], set(ids)), left(now[now_path], taken))
         ids |= found
         taken |= set(found.values())
-    unique: dict[str, list[Fault]] = defaultdict(list)
-    for faults in now.values():
-        for fault in left(faults, taken):
-            unique[shape(fault)].append(fault)
-    for faults in before.values():
-        for fault in left(faults, set(ids)):
-            if len(unique[shape(fault)]) == 1:
-                ids[fault.id] = unique[shape(fault)].pop().id
+    for path, now_path in product(before, now):  # functions that moved to another module
+        found = aligned(left(before[path], set(ids)), left(now[now_path], taken))
+        ids |= found
+        taken |= set(found.values())
     return ids
 
 
--- a/tests/fleet/test_data_plane_checkers.py
+++ b/tests/fleet/test_data_plane_checkers.py
@@ -13,7 +13,7 @@
 
 from hollyport.http1.client import ClientConnection
 from hollyport.http1.connection import Connection, Reply
-from rosechute.data_plane import admission, attempt, attempt_outcome, request
+from rosechute.data_plane import attempt, attempt_outcome, request, server_request
 from rosechute.data_plane.admission import AdmittedRequest
 from rosechute.data_plane.attempt_outcome import AttemptOutcome
 from rosechute.data_plane.client_response import ClientResponse
@@ -179,9 +179,9 @@
         )
 
     def test_other_weights_joined(self) -> None:
-        def resume_point(self: ClientResponse) -> admission.ResumePoint | None:
+        def resume_point(self: ClientResponse) -> server_request.ResumePoint | None:
             events = self._events
-            return admission.ResumePoint(events.last_id, None) if events is not None else None
+            return server_request.ResumePoint(events.last_id, None) if events is not None else None
 
         def resume_from(self: ClientResponse, reply: Reply) -> bool:
             if self._events is None:
@@ -217,7 +217,7 @@
         self.found(data_judges.judge_attempts, mock.patch.object(Router, "_again", again))
 
     def test_fields_of_the_client_dropped(self) -> None:
-        self.found(data_judges.judge_unchanged, mock.patch.object(admission, "END_TO_END", frozenset()))
+        self.found(data_judges.judge_unchanged, mock.patch.object(server_request, "END_TO_END", frozenset()))
 
     def test_a_connection_used_before_its_body_is_out(self) -> None:
         self.found(data_judges.judge_unchanged, mock.patch.object(Connection, "written", property(lambda self: True)))
@@ -235,7 +235,7 @@
             wire = original(admitted, server_id, left_s if changed is None else changed, resume, body)
             return wire.replace(b"x-rosechute-deadline-ms", b"x-other") if changed is None else wire
 
-        original = admission.serialize_attempt
+        original = server_request.serialize_attempt
         return mock.patch.object(request, "serialize_attempt", serialize_attempt)
 
     def test_servers_kept_at_work_for_clients_that_left(self) -> None:
--- a/tests/fleet/test_data_plane_connection_pool.py
+++ b/tests/fleet/test_data_plane_connection_pool.py
@@ -26,7 +26,7 @@
         async def scene() -> None:
             site = await Site().start(s1=slow)
             await gather(site, 3)
-            server = site.plane.servers.find("s1")
+            server = site.plane.pool.find("s1")
             assert server is not None
             before = list(server.idle)
             await gather(site, 1)
@@ -39,12 +39,12 @@
         async def scene() -> None:
             site = await Site().start(s1=slow)
             await gather(site, 4)
-            server = site.plane.servers.find("s1")
+            server = site.plane.pool.find("s1")
             assert server is not None
-            open_before = server.links
+            open_before = server.open_count
             self.assertGreater(open_before, 2)
             site.plane.apply_edges(24)  # of 48 connections
-            self.assertEqual(server.links, 2)
+            self.assertEqual(server.open_count, 2)
             self.assertEqual(len(server.idle), 2)
             site.close()
 
@@ -54,14 +54,14 @@
         async def scene() -> None:
             site = await Site().start(s1=plain)
             await site.ask()
-            server = site.plane.servers.find("s1")
+            server = site.plane.pool.find("s1")
             assert server is not None
-            self.assertEqual((len(server.idle), server.links), (1, 1))
+            self.assertEqual((len(server.idle), server.open_count), (1, 1))
             await asyncio.sleep(4.5)
-            self.assertEqual((len(server.idle), server.links), (0, 0))
+            self.assertEqual((len(server.idle), server.open_count), (0, 0))
             await site.ask()
             site.list(replace(site.servers["s1"].entry, ready=False))
-            self.assertEqual((len(server.idle), server.links), (0, 0))
+            self.assertEqual((len(server.idle), server.open_count), (0, 0))
             site.close()
 
         self.play(scene)
@@ -77,10 +77,10 @@
             site = await Site().start(s1=short)
             await site.ask()
             await asyncio.sleep(2.5)
-            server = site.plane.servers.find("s1")
+            server = site.plane.pool.find("s1")
             assert server is not None
-            self.assertLess(server.idle_s, 1.2)
-            self.assertEqual(server.links, 0)
+            self.assertLess(server.idle_timeout_s, 1.2)
+            self.assertEqual(server.open_count, 0)
             site.close()
 
         self.play(scene)
@@ -92,7 +92,7 @@
             limits = msgspec.structs.replace(site.settings.limits, max_fds=400, memory_mb=120)
             site.plane.apply_settings(msgspec.structs.replace(site.settings, limits=limits))
             self.assertLess(site.plane.front.listener.most, 100)
-            self.assertLess(site.plane.servers.most, 50)
+            self.assertLess(site.plane.pool.max_connections, 50)
             await gather(site, 4)
             site.close()
 
@@ -103,9 +103,9 @@
             site = await Site().start(s1=plain)
             await site.serve("other", o1=plain)
             await site.ask()
-            site.plane.servers.resize(1)
+            site.plane.pool.resize(1)
             self.assertEqual((await site.ask("/other/1")).status, 200)
-            self.assertEqual(site.plane.servers.find("s1").links, 0)  # type: ignore[union-attr]
+            self.assertEqual(site.plane.pool.find("s1").open_count, 0)  # type: ignore[union-attr]
             site.close()
 
         self.play(scene)
--- a/tests/fleet/test_data_plane_protocol.py
+++ b/tests/fleet/test_data_plane_protocol.py
@@ -256,8 +256,8 @@
             site = await self.short(s1=until_closed)
             for connects in (True, False):
                 if not connects:
-                    site.plane.servers.connect = never  # type: ignore[method-assign, assignment]
-                    site.plane.servers.close_all_idle()
+                    site.plane.pool.connect = never  # type: ignore[method-assign, assignment]
+                    site.plane.pool.close_all_idle()
                 begun = site.loop.time()
                 asking = [asyncio.ensure_future(site.ask("/again/1", deadline=60_000)) for _ in range(40)]
                 for answer in await asyncio.gather(*asking):
@@ -417,8 +417,8 @@
                             getattr(client, leave)()
                         await asyncio.sleep(0.1)
                         self.assertFalse(site.plane.front.requests or site.router._calls)
-                        servers = site.plane.servers._servers.values()
-                        self.assertEqual(sum(server.links - len(server.idle) for server in servers), 0)
+                        servers = site.plane.pool._servers.values()
+                        self.assertEqual(sum(server.open_count - len(server.idle) for server in servers), 0)
                         await asyncio.sleep(1.0)
                         self.assertFalse([call for call in site.calls if call.at > left_at + 0.1], (path, leave))
                         site.close()
@@ -492,7 +492,7 @@
             go.set()
             await asyncio.sleep(0.2)
             self.assertEqual((site.calls, len(site.plane.front.requests)), ([], 0))
-            self.assertEqual(len(site.plane.servers.find("s1").idle), 1)  # type: ignore[union-attr]
+            self.assertEqual(len(site.plane.pool.find("s1").idle), 1)  # type: ignore[union-attr]
             site.close()
 
         self.play(scene)
--- a/tests/fleet/test_data_plane_races.py
+++ b/tests/fleet/test_data_plane_races.py
@@ -76,9 +76,9 @@
                 await client.piece()
                 (request,) = site.plane.front.requests.values()
                 client.reset()
-                request._attempt._link.wire.abort()  # type: ignore[union-attr]  # before the reset is read
+                request._attempt._connection.wire.abort()  # type: ignore[union-attr]  # before the reset is read
                 await asyncio.sleep(0.1)
-                self.assertEqual(site.plane.servers.find("s1").links, 0)  # type: ignore[union-attr]
+                self.assertEqual(site.plane.pool.find("s1").open_count, 0)  # type: ignore[union-attr]
                 self.assertEqual((problems, len(site.plane.front.requests)), ([], 0))
                 site.close()
 
@@ -96,7 +96,7 @@
             client = await site.client()
             self.assertEqual((await client.ask()).status, 200)
             await asyncio.sleep(0.01)
-            self.assertFalse(site.plane.servers.find("s1").idle)  # type: ignore[union-attr]
+            self.assertFalse(site.plane.pool.find("s1").idle)  # type: ignore[union-attr]
             self.assertEqual((await client.ask()).status, 503)
             site.close()
 
@@ -161,7 +161,7 @@
                 site = await Site().start(s1=two)
                 self.assertEqual((await site.ask()).status, 502)
                 await asyncio.sleep(0.1)
-                self.assertEqual(site.plane.servers.find("s1").links, 0)  # type: ignore[union-attr]
+                self.assertEqual(site.plane.pool.find("s1").open_count, 0)  # type: ignore[union-attr]
                 site.close()
 
         self.play(scene)
@@ -456,7 +456,7 @@
                 client.writer.write(head + b"x" * 150_000)
                 await asyncio.sleep(0.1)
                 (request,) = site.plane.front.requests.values()
-                request._attempt._link.wire._blocked = True  # type: ignore[union-attr]  # the server reads no more
+                request._attempt._connection.wire._blocked = True  # type: ignore[union-attr]  # the server reads no more
                 client.writer.write(b"x" * 50_000)
                 await asyncio.sleep(0.1)
                 self.assertTrue(request.message.complete)
@@ -483,7 +483,7 @@
             client.reset()
             await asyncio.sleep(0.1)
             self.assertFalse(site.plane.front.requests or site.calls)
-            self.assertEqual((site.plane.budget.used, site.plane.servers.find("s1").links), (0, 0))  # type: ignore[union-attr]
+            self.assertEqual((site.plane.budget.used, site.plane.pool.find("s1").open_count), (0, 0))  # type: ignore[union-attr]
             site.close()
 
         self.play(scene)
@@ -536,11 +536,11 @@
                     b"Content-Length: 0\r\n\r\n"
                 )
                 self.assertEqual((await client.answer()).status, 200)
-                server = site.plane.servers.find("raw")
+                server = site.plane.pool.find("raw")
                 assert server is not None
                 self.assertEqual(len(server.idle), 1)
                 accepted.close()
-                self.assertIsNone(site.plane.servers.take(server))
+                self.assertIsNone(site.plane.pool.acquire_idle(server))
             site.close()
 
         self.play(scene)
--- a/tests/fleet/test_data_plane_random_schedules.py
+++ b/tests/fleet/test_data_plane_random_schedules.py
@@ -201,8 +201,8 @@
         self.assertEqual(day.broken_rules(), [])
         self.assertEqual((len(site.plane.front.requests), len(site.router._calls)), (0, 0))
         self.assertEqual(site.plane.budget.used, 0)
-        for server in site.plane.servers._servers.values():
-            self.assertEqual(server.links, len(server.idle), server.id)
+        for server in site.plane.pool._servers.values():
+            self.assertEqual(server.open_count, len(server.idle), server.id)
         answered = [asked.answer.status for asked in day.asked if asked.answer is not None]
         self.assertGreater(answered.count(200), len(answered) // 5)
         site.close()
--- a/tests/fleet/test_data_plane_route_durations.py
+++ b/tests/fleet/test_data_plane_route_durations.py
@@ -35,6 +35,6 @@
         for route in ("a", "b"):
             for _ in range(MIN_SAMPLES_FOR_QUANTILE):
                 durations.add(route, 1.0)
-        durations.keep({"b", "c"})
+        durations.retain({"b", "c"})
         self.assertIsNone(durations.quantile_s("a", 0.5))
         self.assertEqual(durations.quantile_s("b", 0.5), 1.0)
--- a/tests/fleet/test_data_plane_streams.py
+++ b/tests/fleet/test_data_plane_streams.py
@@ -217,9 +217,11 @@
                     answer = await client.answer()
                 self.assertEqual((answer.status, answer.whole, answer.body), (502, True, b""))
                 await asyncio.sleep(0.1)
-                server = site.plane.servers.find("s1")
+                server = site.plane.pool.find("s1")
                 assert server is not None
-                self.assertEqual((server.links, len(site.plane.front.requests), site.plane.budget.used), (0, 0, 0))
+                self.assertEqual(
+                    (server.open_count, len(site.plane.front.requests), site.plane.budget.used), (0, 0, 0)
+                )
                 site.close()
 
         self.play(scene)
--- a/tests/fleet/test_data_plane_traffic_split.py
+++ b/tests/fleet/test_data_plane_traffic_split.py
@@ -54,7 +54,7 @@
         sequences = SplitSequences(lambda: 0.25)
         for name in ("a", "b"):
             sequences.next_point(name)
-        sequences.keep({"a"})
+        sequences.retain({"a"})
         self.assertNotEqual(sequences.next_point("a"), 0.25)
         self.assertEqual(sequences.next_point("b"), 0.25)
 
--- a/tests/fleet/test_planted_data_plane_requests.py
+++ b/tests/fleet/test_planted_data_plane_requests.py
@@ -17,13 +17,7 @@
 from hollyport.http1.connection import Reply
 from rosechute.configuration.operator import Route, Tenant
 from rosechute.data_plane import admission, attempt_outcome, inactivity, request, shutdown
-from rosechute.data_plane.admission import (
-    ActiveConfiguration,
-    AdmittedRequest,
-    Rejection,
-    ResumePoint,
-    serialize_attempt,
-)
+from rosechute.data_plane.admission import ActiveConfiguration, AdmittedRequest, Rejection
 from rosechute.data_plane.attempt import Attempt, AttemptState
 from rosechute.data_plane.attempt_outcome import (
     CONNECT_FAILED,
@@ -36,8 +30,10 @@
 from rosechute.data_plane.client_response import ClientResponse, forwarded_headers, has_explicit_length
 from rosechute.data_plane.inactivity import InactivityWatch
 from rosechute.data_plane.request import ClientRequest
+from rosechute.data_plane.request_headers import parse_token_counts
 from rosechute.data_plane.request_state import RequestState
 from rosechute.data_plane.route_durations import RouteDurations
+from rosechute.data_plane.server_request import ResumePoint, serialize_attempt
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
 from .data_site import SiteCase, configuration, event, route
@@ -250,7 +246,7 @@
         self.released: list[Any] = []
         self.connecting: Any = None
         servers = SimpleNamespace(
-            take=lambda server: self.idle,
+            acquire_idle=lambda server: self.idle,
             release=lambda link, answer: self.released.append(answer),
             connect=self.connect,
         )
@@ -452,7 +448,7 @@
         self.refused: Rejection | None = None
         self.elsewhere = True
         self.known = {name: SimpleNamespace(id=name, ready=True) for name in ("s1", "s2")}
-        self.servers = SimpleNamespace(find=self.known.get)
+        self.pool = SimpleNamespace(find=self.known.get)
 
     def request_quota(self, request: ClientRequest) -> None:
         self.done.append("spend")
@@ -1352,7 +1348,7 @@
             self.assertEqual(admitted("/plain/1", (b"x-rosechute-deadline-ms", text)).client_deadline, NOW + 4.98)
         self.assertEqual(admit(Message(), NOW + 1.0).arrived, NOW, "from when it was read")
         self.assertEqual(admitted("/stream/1", (b"x-rosechute-deadline-ms", b"20000")).routing.deadline, NOW + 19.98)
-        self.assertGreater(admission.HOLD_MARGIN_S, 0.0)
+        self.assertGreater(admission.DEADLINE_MARGIN_S, 0.0)
 
     def test_silence(self) -> None:
         self.assertEqual(
@@ -1361,7 +1357,7 @@
 
         def inactivity_timeout_s(**fields: Any) -> float:
             known = {"route_type": "streaming", "target_latency_ms": 1, "gap_aim_ms": 1}
-            return admission._silence_s(mock.Mock(spec=Route, **(known | fields)))
+            return admission._inactivity_timeout_s(mock.Mock(spec=Route, **(known | fields)))
 
         told = (
             inactivity_timeout_s(),
@@ -1373,13 +1369,16 @@
     def test_costs(self) -> None:
         def cost(counts: bytes | None, **fields: Any) -> int:
             known: dict[str, Any] = {"limited": True, "counts_tokens": True, "uncached_tokens": 150}
-            return admission._cost(mock.Mock(spec=Tenant, **(known | fields)), counts, 30)
+            return admission._quota_cost(mock.Mock(spec=Tenant, **(known | fields)), parse_token_counts(counts))
 
         self.assertEqual((cost(b"10, 20"), cost(None), cost(b"ten")), (30, 150, 150))
         self.assertEqual((cost(b"10, 20", limited=False), cost(b"10,20", counts_tokens=False)), (0, 1))
-        self.assertEqual(admission._cost(None, b"10,20", 30), 0)
-        self.assertEqual(admission._token_counts(b"10 , 20"), (10, 20))
-        self.assertEqual((admission._token_counts(b"x"), admission._token_counts(None)), ((0, 0), (0, 0)))
+        self.assertEqual(admission._quota_cost(None, (10, 20)), 0)
+        self.assertEqual(parse_token_counts(b"10 , 20"), (10, 20))
+        self.assertEqual((parse_token_counts(b"x"), parse_token_counts(None)), (None, None))
+        for counts in ((), ((b"x-rosechute-token-count", b"x"),)):
+            routing = admitted("/plain/1", *counts).routing
+            self.assertEqual((routing.input_tokens, routing.output_tokens), (0, 0))
 
     def test_parts(self) -> None:
         found = admitted("/resume/1", (b"x-rosechute-prompt-prefix", b"a:1, b:20")).routing.parts
@@ -1459,7 +1458,7 @@
     def test_admitted_by_the_configuration_in_force(self) -> None:
         found = ActiveConfiguration(configuration(), 9).admit(Message("/again/1"), 1, NOW, lambda route: 0.0)  # type: ignore[arg-type]
         assert isinstance(found, AdmittedRequest)
-        self.assertEqual((found.sequence, found.repeatable, found.service, found.key), (9, True, "svc", "k1"))
+        self.assertEqual((found.sequence, found.repeatable, found.service, found.credential), (9, True, "svc", "k1"))
         self.assertEqual((found.host, found.path), ("app.example", "/again/1"))
         path = admitted("/again/1?query=/x").path
         self.assertEqual(path, "/again/1")
@@ -1492,7 +1491,7 @@
         durations = RouteDurations()
         for name, _ in itertools.product("rs", range(8)):
             durations.add(name, 1.0)
-        durations.keep(["r"])
+        durations.retain(["r"])
         self.assertEqual((durations.quantile_s("r", 0.5), durations.quantile_s("s", 0.5)), (1.0, None))
 
 
@@ -1620,7 +1619,7 @@
         listener.is_sending = True
         took, front = self.finish(listener)
         self.assertGreater(took, 7.8)
-        self.assertTrue(front.refusing)
+        self.assertTrue(front.is_rejecting)
         self.assertAlmostEqual(listener.closed_at[0], 7.3, delta=0.03)
 
     def test_a_client_that_did_not_read_its_last_response(self) -> None:
