--- a/tests/fleet/planted_faults/carry_over.py
+++ b/tests/fleet/planted_faults/carry_over.py
@@ -4,7 +4,8 @@
 
 BEFORE is a checkout of the commit from which the sources were renamed; OLD=NEW are files that were renamed, each as
 `package/module.py`. The faults of each package before and now are aligned file by file with identifiers blanked out,
-then what is left with that of all other files, so that a row follows its fault through renames and moves. Rows and excuses whose fault has no counterpart are printed; nothing is dropped from `excused.toml`.
+then what is left with that of all other files, so that a row follows its fault through renames and moves. Rows and
+excuses whose fault has no counterpart are printed; nothing is dropped from `excused.toml`.
 """
 
 from __future__ import annotations
