--- a/benchmarks/replay/hooks.py
+++ b/benchmarks/replay/hooks.py
@@ -1,7 +1,7 @@
 """Hooks that feed a recorder from layers whose names a rename of the product leaves alone.
 
-`install_early` goes in before the checkout's modules are imported: it replaces `random.Random` and the heap functions of
-the simulated clocks. `install` goes in after: methods of the test harness and the protobuf classes.
+`install_early` goes in before the checkout's modules are imported: it replaces `random.Random` and the heap functions
+of the simulated clocks. `install` goes in after: methods of the test harness and the protobuf classes.
 """
 
 from __future__ import annotations
