--- a/benchmarks/replay/__init__.py
+++ b/benchmarks/replay/__init__.py
@@ -3,6 +3,7 @@
     python -m benchmarks.replay BEFORE AFTER [--scenarios coordination,distribution] [--share 1.0] [--processes 4]
 
 Each checkout plays its own simulated deployments (`tests/fleet`) in processes of its own. `recorder` digests what
-comes out without names: messages, disk operations, random draws, scheduled times, results. `hooks` says where it is taken,
-`scenarios` what is played, `player` is one process, `comparison` starts the processes and finds the first difference.
+comes out without names: messages, disk operations, random draws, scheduled times, results. `hooks` says where it is
+taken, `scenarios` what is played, `player` is one process, `comparison` starts the processes and finds the first
+difference.
 """
