--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: what this machine tells the others several times a second, and what it takes from theirs."""
+"""Heartbeats: the state that this machine reports to the others several times a second, and receives from them."""
 
 from __future__ import annotations
 
@@ -14,64 +14,94 @@
 
 
 class Heartbeats:
-    """Sends and receives heartbeats."""
+    """Sender and receiver of heartbeats.
+
+    Args:
+        context: what the parts of a replica share.
+        chain: source of the replication progress, and receiver of the tail's.
+        lease_grantor: source of the state of this machine's grants.
+        leader_lease: source of the state of this machine's leadership.
+        seeds: (control address, peer address) of the machines that the settings name.
+
+    Attributes:
+        seeds: as above; replaced when the settings change.
+        next_at: when the next heartbeat is due, in seconds of the steady clock.
+    """
 
     def __init__(
         self,
         context: Context,
         chain: Chain,
-        grantor: LeaseGrantor,
-        holder: LeaderLease,
+        lease_grantor: LeaseGrantor,
+        leader_lease: LeaderLease,
         seeds: Sequence[tuple[str, str]],
     ) -> None:
         self._context = context
         self._chain = chain
-        self._lease_grantor = grantor
-        self._leader_lease = holder
-        self.seeds = seeds  # (control address, peer address)
-        self.next = context.now
+        self._lease_grantor = lease_grantor
+        self._leader_lease = leader_lease
+        self.seeds = seeds
+        self.next_at = context.now
 
     def send(self) -> None:
-        """Tell all core machines that are known, and the seeds while that may find others."""
+        """Send a heartbeat to all known core machines, and to the seeds while these may help to find others."""
         context = self._context
         context.announce = False
-        self.next = context.now + context.timing.heartbeat
-        targets = {each.id: each for each in context.memory.view.acceptors}
-        targets.update({peer.identity.id: peer.identity for peer in context.failure_detector.peers.values()})
-        targets.pop(context.own.id, None)
-        beat = self._beat()
-        addresses = {each.peer_address for each in targets.values()}
+        self.next_at = context.now + context.timing.heartbeat
+        targets = self._targets()
+        heartbeat = self._heartbeat()
         for target in targets.values():
             peer = context.failure_detector.peers.get(target.id)
-            beat.echo = peer.heartbeat.stamp if peer is not None else 0.0
-            beat.echo_boot = peer.incarnation if peer is not None else 0
-            context.outbox.send(target, pb.CoreMessage(heartbeat=beat))
-        lonely = (
-            not context.is_acceptor
-            or len(context.failure_detector.reachable_ids(context.now)) < context.memory.view.majority
-        )
-        for _, address in self.seeds:
-            if lonely and address not in addresses:
-                beat.echo, beat.echo_boot = 0.0, 0
-                context.outbox.send_to_address(address, pb.CoreMessage(heartbeat=beat))
+            heartbeat.echo = peer.heartbeat.stamp if peer is not None else 0.0
+            heartbeat.echo_boot = peer.incarnation if peer is not None else 0
+            context.outbox.send(target, pb.CoreMessage(heartbeat=heartbeat))
+        if self._is_isolated():
+            self._send_to_seeds(heartbeat, {target.peer_address for target in targets.values()})
+
+    def _targets(self) -> dict[str, Identity]:
+        """Return the other known machines by id: the acceptors, and all that have sent a heartbeat."""
+        context = self._context
+        targets = {acceptor.id: acceptor for acceptor in context.memory.view.acceptors}
+        targets.update({peer.identity.id: peer.identity for peer in context.failure_detector.peers.values()})
+        targets.pop(context.own.id, None)
+        return targets
+
+    def _is_isolated(self) -> bool:
+        """Return whether this machine is no acceptor, or reaches less than a majority."""
+        context = self._context
+        reachable_ids = context.failure_detector.reachable_ids(context.now)
+        return not context.is_acceptor or len(reachable_ids) < context.memory.view.majority
+
+    def _send_to_seeds(self, heartbeat: pb.Heartbeat, known_addresses: set[str]) -> None:
+        """Send a heartbeat to each seed whose machine is not known."""
+        heartbeat.echo, heartbeat.echo_boot = 0.0, 0
+        for _, peer_address in self.seeds:
+            if peer_address not in known_addresses:
+                self._context.outbox.send_to_address(peer_address, pb.CoreMessage(heartbeat=heartbeat))
+
+    def receive(self, sender: Identity, incarnation: int, heartbeat: pb.Heartbeat) -> Peer | None:
+        """Record a heartbeat, and the commits that it reports.
 
-    def receive(self, sender: Identity, boot: int, beat: pb.Heartbeat) -> Peer | None:
-        """A heartbeat came; the sender, where it told something new."""
+        Returns:
+            The sender, or None where the heartbeat is outdated.
+        """
         context = self._context
         if sender.id == context.own.id:
             return None
-        peer = context.failure_detector.on_heartbeat(context.now, sender, boot, beat)
-        if peer.heartbeat is not beat:
+        peer = context.failure_detector.on_heartbeat(context.now, sender, incarnation, heartbeat)
+        if peer.heartbeat is not heartbeat:
             return None
         view = context.memory.view
-        if view.chain and sender.id == view.chain[-1] and beat.epoch == view.epoch and not beat.sealed:
-            self._chain.note_committed(beat.epoch, beat.sequence)
+        is_tail = bool(view.chain) and sender.id == view.chain[-1]
+        if is_tail and heartbeat.epoch == view.epoch and not heartbeat.sealed:
+            self._chain.note_committed(heartbeat.epoch, heartbeat.sequence)
         return peer
 
-    def _beat(self) -> pb.Heartbeat:
+    def _heartbeat(self) -> pb.Heartbeat:
+        """Return a heartbeat with the state of this machine; the echo is filled in for each target."""
         context = self._context
         memory = context.memory
-        leads = self._leader_lease.is_held(context.now)
+        is_leader = self._leader_lease.is_held(context.now)
         return pb.Heartbeat(
             stamp=context.now,
             epoch=context.adopted,
@@ -84,8 +114,8 @@
             reached=context.failure_detector.reachable_ids(context.now),
             lease_free=self._lease_grantor.is_free(),
             lease_kept_for=self._lease_grantor.reserved_for(),
-            term=max(memory.term.number, self._leader_lease.term if leads else 0),
-            leads=leads,
+            term=max(memory.term.number, self._leader_lease.term if is_leader else 0),
+            leads=is_leader,
             newcomer=memory.newcomer,
             leaving=context.leaving,
         )
--- a/rosechute/coordination/proposer.py
+++ b/rosechute/coordination/proposer.py
@@ -1,7 +1,12 @@
-"""The proposer of single-decree Paxos for the view that follows the current one.
+"""Proposer of single-decree Paxos: one instance decides the view after the current one.
 
-What is decided is the view together with the state that it starts from. So every machine that adopts a view holds at
-least that state, and no view depends on its first head alone.
+Source: Lamport, "Paxos Made Simple", 2001.
+
+    IDLE --begin--> PREPARING --majority of promises--> ACCEPTING --majority accepted--> IDLE, the view is decided
+    PREPARING, ACCEPTING --nack, time-out, another epoch--> IDLE
+
+The value that is decided is the view together with the register state that it starts from. So every machine that
+adopts a view holds at least that state, and no view depends on its first head alone.
 """
 
 from __future__ import annotations
@@ -15,12 +20,12 @@
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
-PAUSE_LEAST_S = 0.05  # between two proposals of a machine
-PAUSE_SPREAD_S = 0.2
+BACKOFF_MIN_S = 0.05  # between two attempts of a machine
+BACKOFF_SPREAD_S = 0.2  # random part on top, so that two proposers do not preempt each other forever
 
 
 class Phase(enum.Enum):
-    """What the proposer waits for."""
+    """Phase of the current attempt."""
 
     IDLE = "idle"
     PREPARING = "preparing"
@@ -29,170 +34,189 @@
 
 @dataclass(slots=True)
 class _Promise:
+    """What an acceptor reported with its promise."""
+
     accepted: Proposal | None
     state: RegisterState
     term: LeaderTerm
 
 
 @dataclass(slots=True)
-class _Round:
+class _Attempt:
+    """One attempt to decide the next view. `proposal` is None in the prepare phase."""
+
     epoch: int
     ballot: Ballot
-    since: float
-    sent: float
+    started_at: float
+    sent_at: float
     own_state: RegisterState
     promises: dict[str, _Promise] = field(default_factory=dict)
     proposal: Proposal | None = None
-    accepted: set[str] = field(default_factory=set)
+    accepted_by: set[str] = field(default_factory=set)
+
+    def choose_proposal(self, choose_view: Callable[[set[str]], View]) -> Proposal:
+        """Return the accepted proposal with the highest ballot, else a new one.
+
+        An accepted proposal may be decided already. A new one starts from the newest promised state and term.
+
+        Args:
+            choose_view: returns the view to propose for the ids of the acceptors that have promised.
+        """
+        accepted = [promise.accepted for promise in self.promises.values() if promise.accepted is not None]
+        if accepted:
+            return replace(max(accepted, key=lambda proposal: proposal.ballot), ballot=self.ballot)
+        state = max((promise.state for promise in self.promises.values()), key=lambda state: state.tag)
+        term = _newest_term([promise.term for promise in self.promises.values()])
+        view = replace(choose_view(set(self.promises)), base_tag=state.tag, term=term)
+        return Proposal(self.ballot, view, state.with_epoch(view.epoch))
 
 
 def _newest_term(terms: list[LeaderTerm]) -> LeaderTerm:
-    """The highest term; without a holder where two machines have asked for it."""
-    number = max(each.number for each in terms)
-    holders = {each for each in terms if each.number == number}
-    return holders.pop() if len(holders) == 1 else LeaderTerm(number)
+    """Return the highest term; without a holder where two processes have requested it."""
+    number = max(term.number for term in terms)
+    candidates = {term for term in terms if term.number == number}
+    return candidates.pop() if len(candidates) == 1 else LeaderTerm(number)
 
 
 class Proposer:
-    """One proposal at a time."""
+    """The proposer role of this machine; it makes one attempt at a time.
+
+    Args:
+        context: what the parts of a replica share.
+        choose_view: returns the view to propose for the ids of the acceptors that have promised.
+        on_decided: called with the decided proposal.
+
+    Attributes:
+        next_attempt_at: no attempt begins before this time, in seconds of the steady clock.
+    """
 
     def __init__(
         self,
         context: Context,
-        choose: Callable[[set[str]], View],
-        decided: Callable[[Proposal], None],
+        choose_view: Callable[[set[str]], View],
+        on_decided: Callable[[Proposal], None],
     ) -> None:
         self._context = context
-        self._choose = choose
-        self._decided = decided
-        self._round: _Round | None = None
-        self._highest = 0  # ballot round seen, in any epoch: no ballot of this process names two proposals
-        self.not_before = 0.0
+        self._choose_view = choose_view
+        self._on_decided = on_decided
+        self._attempt: _Attempt | None = None
+        self._highest_round = 0  # seen in any epoch: so no ballot of this process stands for two proposals
+        self.next_attempt_at = 0.0
 
     @property
     def phase(self) -> Phase:
-        """What it waits for."""
-        if self._round is None:
+        """The phase of the current attempt."""
+        if self._attempt is None:
             return Phase.IDLE
-        return Phase.PREPARING if self._round.proposal is None else Phase.ACCEPTING
+        return Phase.PREPARING if self._attempt.proposal is None else Phase.ACCEPTING
 
     def begin(self) -> None:
-        """Ask the acceptors to seal the epoch and to promise."""
+        """Begin an attempt with phase 1a, unless one runs or the backoff has not passed."""
         context = self._context
-        if self._round is not None or context.now < self.not_before:
+        if self._attempt is not None or context.now < self.next_attempt_at:
             return
         memory = context.memory
-        promised = memory.promised.round if memory.promised is not None else 0
-        self._highest = max(self._highest, promised) + 1
-        ballot = Ballot(self._highest, context.own.id, context.incarnation)
-        self._round = _Round(memory.view.epoch, ballot, context.now, context.now, memory.newest)
-        self._send_prepare(self._round)
+        promised_round = memory.promised.round if memory.promised is not None else 0
+        self._highest_round = max(self._highest_round, promised_round) + 1
+        ballot = Ballot(self._highest_round, context.own.id, context.incarnation)
+        self._attempt = _Attempt(memory.view.epoch, ballot, context.now, context.now, memory.newest)
+        self._send_prepare(self._attempt)
 
     def tick(self) -> None:
-        """Repeat what was not answered; give up a proposal that takes too long."""
-        context, current = self._context, self._round
-        if current is None:
+        """Repeat unanswered requests; abort an attempt that takes too long."""
+        context, attempt = self._context, self._attempt
+        if attempt is None:
             return
-        if current.epoch != context.memory.view.epoch:
-            self._round = None
-        elif context.now - current.since > context.timing.proposal_timeout:
-            self._give_up()
-        elif context.now - current.sent >= context.timing.resend:
-            current.sent = context.now
-            if current.proposal is None:
-                self._send_prepare(current)
+        if attempt.epoch != context.memory.view.epoch:
+            self._attempt = None
+        elif context.now - attempt.started_at > context.timing.proposal_timeout:
+            self._abort()
+        elif context.now - attempt.sent_at >= context.timing.resend:
+            attempt.sent_at = context.now
+            if attempt.proposal is None:
+                self._send_prepare(attempt)
             else:
-                self._send_accept(current)
+                self._send_accept(attempt, attempt.proposal)
 
     def stop(self) -> None:
-        """The epoch has changed."""
-        self._round = None
+        """Drop the attempt, as another view was adopted."""
+        self._attempt = None
 
     def on_promise(self, sender: Identity, promise: pb.Promise) -> None:
-        """An acceptor promises."""
-        current = self._matching(sender, promise.epoch, promise.ballot)
-        if current is None or current.proposal is not None:
+        """Handle phase 1b; with a majority of promises, send phase 2a."""
+        attempt = self._matching_attempt(sender, promise.epoch, promise.ballot)
+        if attempt is None or attempt.proposal is not None:
             return
         accepted = Proposal.from_message(promise.accepted) if promise.HasField("accepted") else None
-        state = RegisterState.from_message(promise.state) if promise.HasField("state") else current.own_state
-        current.promises[sender.id] = _Promise(accepted, state, LeaderTerm.from_message(promise.term))
-        if len(current.promises) >= self._context.memory.view.majority:
-            current.proposal = self._value(current)
-            current.sent = self._context.now
-            self._send_accept(current)
+        state = RegisterState.from_message(promise.state) if promise.HasField("state") else attempt.own_state
+        attempt.promises[sender.id] = _Promise(accepted, state, LeaderTerm.from_message(promise.term))
+        if len(attempt.promises) >= self._context.memory.view.majority:
+            attempt.proposal = attempt.choose_proposal(self._choose_view)
+            attempt.sent_at = self._context.now
+            self._send_accept(attempt, attempt.proposal)
 
     def on_accepted(self, sender: Identity, accepted: pb.Accepted) -> None:
-        """An acceptor has accepted."""
-        current = self._matching(sender, accepted.epoch, accepted.ballot)
-        if current is None or current.proposal is None:
+        """Handle phase 2b; with a majority, the proposal is decided."""
+        attempt = self._matching_attempt(sender, accepted.epoch, accepted.ballot)
+        if attempt is None or attempt.proposal is None:
             return
-        current.accepted.add(sender.id)
-        if len(current.accepted) >= self._context.memory.view.majority:
-            self._round = None
-            self._tell(current, current.proposal)
-            self._decided(current.proposal)
+        attempt.accepted_by.add(sender.id)
+        if len(attempt.accepted_by) >= self._context.memory.view.majority:
+            self._attempt = None
+            self._send_decision(attempt, attempt.proposal)
+            self._on_decided(attempt.proposal)
 
     def on_refused(self, refused: pb.Refused) -> None:
-        """An acceptor has promised a higher ballot."""
-        current = self._round
+        """Handle a nack: abort the attempt, and use a higher round next time."""
+        attempt = self._attempt
         promised = Ballot.from_message(refused.promised)
-        self._highest = max(self._highest, promised.round)
-        if (
-            current is not None
-            and current.epoch == refused.epoch
-            and current.ballot == Ballot.from_message(refused.ballot)
-        ):
-            self._give_up()
-
-    def _matching(self, sender: Identity, epoch: int, ballot: pb.Ballot) -> _Round | None:
-        current, view = self._round, self._context.memory.view
-        if current is None or epoch != current.epoch or epoch != view.epoch:
+        self._highest_round = max(self._highest_round, promised.round)
+        ballot = Ballot.from_message(refused.ballot)
+        if attempt is not None and attempt.epoch == refused.epoch and attempt.ballot == ballot:
+            self._abort()
+
+    def _matching_attempt(self, sender: Identity, epoch: int, ballot: pb.Ballot) -> _Attempt | None:
+        """Return the current attempt where a message of an acceptor answers it."""
+        attempt, view = self._attempt, self._context.memory.view
+        if attempt is None or epoch != attempt.epoch or epoch != view.epoch:
             return None
-        return current if Ballot.from_message(ballot) == current.ballot and view.is_acceptor(sender.id) else None
-
-    def _value(self, current: _Round) -> Proposal:
-        """The proposal that may be decided already, else a new one from the newest state that was promised."""
-        earlier = [each.accepted for each in current.promises.values() if each.accepted is not None]
-        if earlier:
-            return replace(max(earlier, key=lambda each: each.ballot), ballot=current.ballot)
-        state = max((each.state for each in current.promises.values()), key=lambda each: each.tag)
-        term = _newest_term([each.term for each in current.promises.values()])
-        view = replace(self._choose(set(current.promises)), base_tag=state.tag, term=term)
-        return Proposal(current.ballot, view, state.with_epoch(view.epoch))
-
-    def _send_prepare(self, current: _Round) -> None:
+        is_answer = Ballot.from_message(ballot) == attempt.ballot and view.is_acceptor(sender.id)
+        return attempt if is_answer else None
+
+    def _send_prepare(self, attempt: _Attempt) -> None:
+        """Send phase 1a to the acceptors that have not promised yet."""
         for acceptor in self._context.memory.view.acceptors:
-            if acceptor.id not in current.promises:
-                epoch, sequence = current.own_state.tag
+            if acceptor.id not in attempt.promises:
                 prepare = pb.Prepare(
-                    epoch=current.epoch,
-                    ballot=current.ballot.to_message(),
-                    state_epoch=epoch,
-                    state_sequence=sequence,
+                    epoch=attempt.epoch,
+                    ballot=attempt.ballot.to_message(),
+                    state_epoch=attempt.own_state.tag.epoch,
+                    state_sequence=attempt.own_state.tag.sequence,
                 )
                 self._context.outbox.send(acceptor, pb.CoreMessage(prepare=prepare))
 
-    def _send_accept(self, current: _Round) -> None:
-        assert current.proposal is not None
-        message = current.proposal.to_message()
+    def _send_accept(self, attempt: _Attempt, proposal: Proposal) -> None:
+        """Send phase 2a to the acceptors that have not accepted yet."""
+        message = proposal.to_message()
         for acceptor in self._context.memory.view.acceptors:
-            if acceptor.id not in current.accepted:
-                accept = pb.Accept(epoch=current.epoch, proposal=message)
+            if acceptor.id not in attempt.accepted_by:
+                accept = pb.Accept(epoch=attempt.epoch, proposal=message)
                 self._context.outbox.send(acceptor, pb.CoreMessage(accept=accept))
 
-    def _tell(self, current: _Round, proposal: Proposal) -> None:
-        """Tell the outcome: shortly to those that have the proposal, whole to the new machines."""
-        acceptors = {each.id: each for each in (*self._context.memory.view.acceptors, *proposal.view.acceptors)}
-        for acceptor in acceptors.values():
+    def _send_decision(self, attempt: _Attempt, proposal: Proposal) -> None:
+        """Send the decision: the ballot alone to machines that accepted the proposal, the whole view to others."""
+        acceptors = (*self._context.memory.view.acceptors, *proposal.view.acceptors)
+        for acceptor in {acceptor.id: acceptor for acceptor in acceptors}.values():
             if acceptor.id == self._context.own.id:
                 continue
-            if acceptor.id in current.accepted:
-                chosen = pb.Chosen(epoch=current.epoch, ballot=current.ballot.to_message())
+            if acceptor.id in attempt.accepted_by:
+                chosen = pb.Chosen(epoch=attempt.epoch, ballot=attempt.ballot.to_message())
                 self._context.outbox.send(acceptor, pb.CoreMessage(chosen=chosen))
             else:
                 decided = pb.Decided(view=proposal.view.to_message(), state=proposal.state.to_message())
                 self._context.outbox.send(acceptor, pb.CoreMessage(decided=decided))
 
-    def _give_up(self) -> None:
-        self._round = None
-        self.not_before = self._context.now + PAUSE_LEAST_S + PAUSE_SPREAD_S * self._context.draw()
+    def _abort(self) -> None:
+        """End the attempt, and back off for a random time."""
+        self._attempt = None
+        self.next_attempt_at = self._context.now + BACKOFF_MIN_S + BACKOFF_SPREAD_S * self._context.draw()
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -116,7 +116,7 @@
             self._leader_lease.tick()
             self._membership.tick()
             self._freshness.update()
-            context.announce |= now >= self._heartbeats.next
+            context.announce |= now >= self._heartbeats.next_at
         self._confirmer.tick()
         self._chain.tick()
         return self._leave()
--- a/tests/fleet/test_coordination_planted.py
+++ b/tests/fleet/test_coordination_planted.py
@@ -116,7 +116,7 @@
         self.objects_to("read", write_in_a_sealed_epoch)
 
     def test_proposal_from_an_old_state(self) -> None:
-        self.plant(acceptor.Acceptor, "_promise", _without_written(acceptor.Acceptor._promise))
+        self.plant(acceptor.Acceptor, "_send_promise", _without_written(acceptor.Acceptor._send_promise))
         self.plant(proposer.Proposer, "begin", _without_written(proposer.Proposer.begin))
         self.objects_to("read", head_and_tail_lost_after_the_answer, size=5)
 
--- a/tests/fleet/test_coordination_snapshots.py
+++ b/tests/fleet/test_coordination_snapshots.py
@@ -102,7 +102,7 @@
 
 def restart_without_proposals(cluster: Cluster, machine: Machine) -> None:
     cluster.restart([machine])
-    cluster.replica(machine)._membership.proposer.not_before = math.inf
+    cluster.replica(machine)._membership.proposer.next_attempt_at = math.inf
 
 
 def two_proposers_share_an_acceptor(cluster: Cluster) -> None:
@@ -137,7 +137,7 @@
         cluster.run(0.03)
     cluster.world.network.intercept = None
     cluster.world.network.heal()
-    cluster.replica(shared)._membership.proposer.not_before = 0.0
+    cluster.replica(shared)._membership.proposer.next_attempt_at = 0.0
     cluster.operate()
 
 
--- a/tests/fleet/test_planted_coordination_leases.py
+++ b/tests/fleet/test_planted_coordination_leases.py
@@ -1014,7 +1014,7 @@
     def test_acceptors_and_all_that_were_heard(self) -> None:
         self.parts.hear("z")
         self.assertEqual(sorted(self.beats()), ["b:7500", "c:7500", "z:7500"])
-        self.assertEqual(self.heartbeats.next, NOW + TIMING.heartbeat)
+        self.assertEqual(self.heartbeats.next_at, NOW + TIMING.heartbeat)
 
     def test_seeds_only_while_that_may_find_others(self) -> None:
         self.assertNotIn("s:7500", self.beats())
--- a/tests/fleet/test_planted_coordination_views.py
+++ b/tests/fleet/test_planted_coordination_views.py
@@ -12,7 +12,7 @@
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.membership import FETCH_PAUSE_S, Membership
-from rosechute.coordination.proposer import PAUSE_LEAST_S, PAUSE_SPREAD_S, Phase, Proposer
+from rosechute.coordination.proposer import BACKOFF_MIN_S, BACKOFF_SPREAD_S, Phase, Proposer
 from rosechute.coordination.types import Acknowledged, Order
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
@@ -417,7 +417,7 @@
         self.parts.pass_time(0.01)
         self.proposer.tick()
         self.assertEqual(self.proposer.phase, Phase.IDLE)
-        self.assertEqual(self.proposer.not_before, self.parts.now + PAUSE_LEAST_S + 0.5 * PAUSE_SPREAD_S)
+        self.assertEqual(self.proposer.next_attempt_at, self.parts.now + BACKOFF_MIN_S + 0.5 * BACKOFF_SPREAD_S)
         self.parts.pass_time(1.0)
         self.assertEqual(self.begin().round, 2)
 
