--- a/rosechute/storage/__init__.py
+++ b/rosechute/storage/__init__.py
@@ -1,1 +1,5 @@
-"""Durable records of a core machine: two slots that are written in turn, with a short log between."""
+"""Durable records of a core machine: two alternating snapshot slots, with a short log after the newer one.
+
+`layout` encodes and decodes slots and log entries. `files` is the directory they are in. `record_store` decides what
+is written, synced and loaded, and blocks on the disk; `writer` runs it in a thread, `loading` opens it in one.
+"""
--- a/rosechute/storage/files.py
+++ b/rosechute/storage/files.py
@@ -1,36 +1,42 @@
-"""The few operations on files that the record store needs, and their form on a real disk."""
+"""The few operations on files that the record store needs, and their implementation on a real disk."""
 
 import os
 from typing import Protocol
 
 
-class Folder(Protocol):
-    """A folder of files. Every operation may raise OSError; nothing is durable before its sync."""
+class Directory(Protocol):
+    """A directory of files. Every operation may raise OSError; nothing is durable before its sync."""
 
     def read(self, name: str) -> bytes | None:
-        """The whole file, or None where there is none."""
+        """Return the content of a file; None if it does not exist."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write all of `data` at `offset`; the file is created where there is none."""
+        """Write all of `data` at `offset` in bytes; create the file if it does not exist."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Set the length of the file; it is created where there is none."""
+        """Set the size of a file in bytes; create the file if it does not exist."""
 
     def sync(self, name: str) -> None:
-        """Make what was written to the file durable."""
+        """Make the content of a file durable (fdatasync)."""
 
     def sync_entries(self) -> None:
-        """Make the names of the files durable."""
+        """Make the directory entries durable, so that new files survive a power loss (fsync of the directory)."""
 
 
 class DiskDirectory:
-    """A folder on a real disk. Descriptors stay open, one for each file."""
+    """A directory on a real disk. Descriptors stay open, one for each file."""
 
     def __init__(self, path: str) -> None:
+        """Refer to a directory, which the first write creates.
+
+        Args:
+            path: Path of the directory.
+        """
         self._path = path
         self._descriptors: dict[str, int] = {}
 
     def read(self, name: str) -> bytes | None:
+        """Return the content of a file; None if it does not exist."""
         try:
             with open(os.path.join(self._path, name), "rb") as file:
                 return file.read()
@@ -38,20 +44,24 @@
             return None
 
     def write(self, name: str, offset: int, data: bytes) -> None:
+        """Write all of `data` at `offset`, with as many system calls as the disk needs."""
         descriptor = self._descriptor(name)
-        left = memoryview(data)
-        while left:
-            written = os.pwrite(descriptor, left, offset)
-            left = left[written:]
+        remaining = memoryview(data)
+        while remaining:
+            written = os.pwrite(descriptor, remaining, offset)
+            remaining = remaining[written:]
             offset += written
 
     def truncate(self, name: str, size: int) -> None:
+        """Set the size of a file in bytes."""
         os.ftruncate(self._descriptor(name), size)
 
     def sync(self, name: str) -> None:
+        """Make the content of a file durable."""
         os.fdatasync(self._descriptor(name))
 
     def sync_entries(self) -> None:
+        """Make the directory entries durable."""
         descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -59,12 +69,13 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Close all descriptors."""
+        """Close all descriptors; a later operation opens its file anew."""
         for descriptor in self._descriptors.values():
             os.close(descriptor)
         self._descriptors.clear()
 
     def _descriptor(self, name: str) -> int:
+        """Return the descriptor of a file; open and create the file at its first use."""
         descriptor = self._descriptors.get(name)
         if descriptor is None:
             os.makedirs(self._path, exist_ok=True)
--- a/rosechute/storage/loading.py
+++ b/rosechute/storage/loading.py
@@ -1,4 +1,4 @@
-"""Loading the records without holding up an event loop."""
+"""Opening a record store without blocking the event loop."""
 
 import asyncio
 import threading
@@ -6,23 +6,28 @@
 from returns.result import Result
 
 from .errors import StorageError
-from .files import Folder
-from .record_store import RecordStore
+from .files import Directory
+from .record_store import OpenedStore, RecordStore
 
-Loaded = Result[tuple[RecordStore, list[bytes]], StorageError]
+OpenResult = Result[OpenedStore, StorageError]
 
 
-async def load_records(folder: Folder) -> Loaded:
-    """Open the store of a folder in a thread of its own. A disk that hangs holds up the caller only."""
+async def load_records(directory: Directory) -> OpenResult:
+    """Open the record store of a directory in a thread of its own; a disk that hangs blocks only the caller.
+
+    Returns:
+        The store with its records, or the error of the operation that failed.
+    """
     loop = asyncio.get_running_loop()
-    loaded: asyncio.Future[Loaded] = loop.create_future()
+    opened: asyncio.Future[OpenResult] = loop.create_future()
 
-    def settle(outcome: Loaded) -> None:
-        if not loaded.done():
-            loaded.set_result(outcome)
+    def finish(result: OpenResult) -> None:
+        if not opened.done():  # the caller may have been cancelled
+            opened.set_result(result)
 
-    def work() -> None:
-        loop.call_soon_threadsafe(settle, RecordStore.open(folder))
+    def open_store() -> None:
+        loop.call_soon_threadsafe(finish, RecordStore.open(directory))
 
-    threading.Thread(target=work, name="load records", daemon=True).start()
-    return await loaded
+    # Not the executor of the loop: a hung thread there would keep the process from ending.
+    threading.Thread(target=open_store, name="load records", daemon=True).start()
+    return await opened
--- a/rosechute/storage/record_store.py
+++ b/rosechute/storage/record_store.py
@@ -1,130 +1,142 @@
-"""Records in two slots that are written in turn, with a short log between. Blocks on the disk; see `writer`.
+"""Records in two alternating snapshot slots, each with a short log. Blocks on the disk; see `writer`.
 
-The whole slot of the greatest generation, and the entries of its own log, are what counts. A new snapshot goes into
-the other slot, under a greater generation; its log begins only after the slot has been synced. What a power loss
-leaves of an unsynced slot or entry either doesn't count or holds at least everything that was synced before.
+The valid slot of the greatest generation and the valid entries of its log are the stored records. A new snapshot is
+written to the other slot, with a greater generation; its log begins only after the slot has been synced. So a power
+loss in an unsynced slot or entry leaves either an invalid one, or one that holds at least all that was synced before.
 
-After a write that failed nobody knows what the disk holds: appending goes on only after a whole new snapshot.
+After a failed write the content of the disk is unknown: records can be appended only after the next snapshot.
 """
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from returns.result import Failure, Result, Success
 
 from .errors import StorageError
-from .files import Folder
+from .files import Directory
 from .layout import Log, Slot, decode_log, decode_slot, encode_entries, encode_slot
 
 SLOT_NAMES = ("records-a.slot", "records-b.slot")
 LOG_NAMES = ("records-a.log", "records-b.log")
 
 
+class OpenedStore(NamedTuple):
+    """A store and the records that it was opened with."""
+
+    store: "RecordStore"
+    records: list[bytes]
+
+
 class RecordStore:
-    """The records of one folder. Not for several threads at once."""
+    """The records of one directory. Not thread-safe."""
 
-    def __init__(self, folder: Folder) -> None:
-        self._folder = folder
-        self._slot = 1  # index of the slot that counts; the next snapshot goes into the other
+    def __init__(self, directory: Directory) -> None:
+        """Create a store that has loaded nothing; see `open`."""
+        self._directory = directory
+        self._current_slot = 1  # index of the newest valid slot; the next snapshot goes to the other
         self._generation = 0
         self._log_size = 0
         self._checksum = 0
-        self._appendable = False
-        self._names_durable = False
+        self._can_append = False
+        self._are_entries_durable = False
 
     @classmethod
-    def open(cls, folder: Folder) -> Result[tuple["RecordStore", list[bytes]], StorageError]:
-        """Load what counts and make it durable: it may be read here and yet never have been synced."""
+    def open(cls, directory: Directory) -> Result[OpenedStore, StorageError]:
+        """Load the stored records and make them durable: they can be read here although they were never synced."""
         try:
-            store = cls(folder)
+            store = cls(directory)
             records = store._load()
-        except OSError as problem:
-            return Failure(_problem("load", "", problem))
-        return Success((store, records))
+        except OSError as error:
+            return Failure(_storage_error("load", "", error))
+        return Success(OpenedStore(store, records))
 
     @property
     def log_size(self) -> int:
-        """Bytes in the log since the last snapshot."""
+        """Return the bytes in the log since the last snapshot."""
         return self._log_size
 
     @property
     def can_append(self) -> bool:
-        """Whether `append` may be used; otherwise `write_snapshot` has to come first."""
-        return self._appendable
+        """Return whether `append` may be called; if not, `write_snapshot` has to come first."""
+        return self._can_append
 
     def append(self, batches: Sequence[Sequence[bytes]]) -> Result[None, StorageError]:
-        """Add batches of records under one sync. Each batch survives whole or not at all."""
-        name = LOG_NAMES[self._slot]
-        if not self._appendable:
+        """Append batches of records with one sync. A power loss leaves each batch complete or not at all."""
+        name = LOG_NAMES[self._current_slot]
+        if not self._can_append:
             return Failure(StorageError("append to", name, "a snapshot has to be written first"))
         data, checksum = encode_entries(batches, self._checksum)
-        self._appendable = False
+        self._can_append = False
         try:
-            self._folder.write(name, self._log_size, data)
-            self._folder.sync(name)
+            self._directory.write(name, self._log_size, data)
+            self._directory.sync(name)
             self._sync_entries()
-        except OSError as problem:
-            return Failure(_problem("append to", name, problem))
+        except OSError as error:
+            return Failure(_storage_error("append to", name, error))
         self._log_size += len(data)
         self._checksum = checksum
-        self._appendable = True
+        self._can_append = True
         return Success(None)
 
     def write_snapshot(self, records: Sequence[bytes]) -> Result[None, StorageError]:
-        """Put `records` in place of everything: a whole snapshot in the other slot, and a new log."""
-        target = 1 - self._slot
-        self._generation += 1  # also after a failure: no two different slots ever carry the same generation
-        self._appendable = False
-        self._names_durable = False  # the slot may be a new file, whose name its own sync does not keep
+        """Replace all stored records: write a snapshot to the other slot and begin a new log."""
+        target = 1 - self._current_slot
+        self._generation += 1  # also after a failure: two different slots never have the same generation
+        self._can_append = False
+        self._are_entries_durable = False  # the slot may be a new file, whose directory entry its sync leaves out
         data, checksum = encode_slot(self._generation, records)
         try:
-            self._folder.write(SLOT_NAMES[target], 0, data)
-            self._folder.truncate(SLOT_NAMES[target], len(data))
-            self._folder.sync(SLOT_NAMES[target])
+            self._directory.write(SLOT_NAMES[target], 0, data)
+            self._directory.truncate(SLOT_NAMES[target], len(data))
+            self._directory.sync(SLOT_NAMES[target])
             self._sync_entries()
-        except OSError as problem:
-            return Failure(_problem("write", SLOT_NAMES[target], problem))
-        self._slot, self._checksum = target, checksum
+        except OSError as error:
+            return Failure(_storage_error("write", SLOT_NAMES[target], error))
+        self._current_slot, self._checksum = target, checksum
         return self._begin_log()
 
     def _begin_log(self) -> Result[None, StorageError]:
-        """Empty the log of the slot that now counts. What lies in it belongs to an older slot and doesn't count."""
-        name = LOG_NAMES[self._slot]
+        """Empty the log of the current slot. Its old entries belong to an older slot and are invalid already."""
+        name = LOG_NAMES[self._current_slot]
         self._log_size = 0
         try:
-            self._folder.truncate(name, 0)
-        except OSError as problem:
-            return Failure(_problem("empty", name, problem))
-        self._names_durable = False
-        self._appendable = True
+            self._directory.truncate(name, 0)
+        except OSError as error:
+            return Failure(_storage_error("empty", name, error))
+        self._are_entries_durable = False
+        self._can_append = True
         return Success(None)
 
     def _load(self) -> list[bytes]:
-        slots = [decode_slot(self._folder.read(name)) for name in SLOT_NAMES]
-        best = max((slot for slot in slots if slot is not None), key=lambda slot: slot.generation, default=None)
-        if best is None:
+        """Return the stored records; empty in a new directory."""
+        slots = [decode_slot(self._directory.read(name)) for name in SLOT_NAMES]
+        newest = max((slot for slot in slots if slot is not None), key=lambda slot: slot.generation, default=None)
+        if newest is None:
             return []
-        return self._adopt(slots.index(best), best)
+        return self._load_slot(slots.index(newest), newest)
 
-    def _adopt(self, index: int, slot: Slot) -> list[bytes]:
-        data = self._folder.read(LOG_NAMES[index])
+    def _load_slot(self, index: int, slot: Slot) -> list[bytes]:
+        """Make a slot the current one; return its records and those of its log."""
+        data = self._directory.read(LOG_NAMES[index])
         log = decode_log(data, slot.checksum)
-        self._slot, self._generation = index, slot.generation
-        self._make_durable(index, log)
+        self._current_slot, self._generation = index, slot.generation
+        self._sync_loaded(index, log)
         self._log_size, self._checksum = log.size, log.checksum
-        self._appendable = data is not None and log.size == len(data)  # nothing behind that could count again later
+        # An entry written over a torn one could make a stale entry behind it valid once more.
+        self._can_append = data is not None and log.size == len(data)
         return slot.records + log.records
 
-    def _make_durable(self, index: int, log: Log) -> None:
-        self._folder.sync(SLOT_NAMES[index])
+    def _sync_loaded(self, index: int, log: Log) -> None:
+        self._directory.sync(SLOT_NAMES[index])
         if log.size:
-            self._folder.sync(LOG_NAMES[index])
+            self._directory.sync(LOG_NAMES[index])
         self._sync_entries()
 
     def _sync_entries(self) -> None:
-        if not self._names_durable:
-            self._folder.sync_entries()
-            self._names_durable = True
+        if not self._are_entries_durable:
+            self._directory.sync_entries()
+            self._are_entries_durable = True
 
 
-def _problem(step: str, name: str, problem: OSError) -> StorageError:
-    return StorageError(step, name or str(problem.filename or ""), problem.strerror or str(problem))
+def _storage_error(step: str, file_name: str, error: OSError) -> StorageError:
+    return StorageError(step, file_name or str(error.filename or ""), error.strerror or str(error))
--- a/rosechute/storage/writer.py
+++ b/rosechute/storage/writer.py
@@ -1,7 +1,8 @@
-"""A thread that writes records, so that no write is on the event loop. Jobs are done in the order they were given.
+"""A thread that writes to a record store, so that no disk write blocks the event loop.
 
-What waits together is written under one sync. Completions are handed back through `post`, for a loop its
-`call_soon_threadsafe`. A write that hangs simply doesn't complete; `oldest_pending_since` tells since when.
+Jobs are done in the order of submission; appends that are queued together share one sync. Results are handed back
+through `post`, for an event loop its `call_soon_threadsafe`. A write that hangs does not complete;
+`oldest_pending_since` tells since when.
 """
 
 import threading
@@ -17,24 +18,32 @@
 
 WriteResult = Result[None, StorageError]
 OnWritten = Callable[[WriteResult], None]
+"""Called with the result of a write once it is durable or has failed."""
 
 
 class _Job(msgspec.Struct, frozen=True):
     records: Sequence[bytes]
-    whole: bool
-    done: OnWritten
-    since: float
+    is_snapshot: bool
+    on_written: OnWritten
+    submitted_at: float  # in seconds of the writer's clock
 
 
 class StoreWriter:
-    """Owns a record store and writes to it in its own thread."""
+    """Owns a record store and writes to it in a thread of its own."""
 
     def __init__(self, store: RecordStore, post: Callable[..., object], clock: Callable[[], float]) -> None:
+        """Create a writer whose thread does not run yet.
+
+        Args:
+            store: The store; nothing else may use it from now on.
+            post: Calls a function with arguments in the thread of the caller of this class.
+            clock: A steady clock, in seconds.
+        """
         self._store = store
         self._post = post
         self._clock = clock
         self._pending: deque[_Job] = deque()
-        self._queue: SimpleQueue[_Job | None] = SimpleQueue()
+        self._queue: SimpleQueue[_Job | None] = SimpleQueue()  # None: stop
         self._thread = threading.Thread(target=self._run, name="records", daemon=True)
 
     def start(self) -> None:
@@ -42,40 +51,43 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Tell the thread to end after what it has been given. Doesn't wait for it."""
+        """Let the thread end after the jobs that are queued. Does not wait for it."""
         self._queue.put(None)
 
     @property
     def log_size(self) -> int:
-        """Bytes in the log since the last snapshot."""
+        """Return the bytes in the log since the last snapshot."""
         return self._store.log_size
 
-    def append(self, records: Sequence[bytes], done: OnWritten) -> None:
-        """Add records; they survive whole or not at all. Fails until a snapshot where one is needed first."""
-        self._give(_Job(records, False, done, self._clock()))
+    def append(self, records: Sequence[bytes], on_written: OnWritten) -> None:
+        """Append a batch of records, which is stored completely or not at all.
+
+        It fails while a snapshot has to be written first; see `RecordStore.can_append`.
+        """
+        self._submit(_Job(records, False, on_written, self._clock()))
 
-    def write_snapshot(self, records: Sequence[bytes], done: OnWritten) -> None:
-        """Put a whole snapshot in place of everything."""
-        self._give(_Job(records, True, done, self._clock()))
+    def write_snapshot(self, records: Sequence[bytes], on_written: OnWritten) -> None:
+        """Replace all stored records."""
+        self._submit(_Job(records, True, on_written, self._clock()))
 
     def oldest_pending_since(self) -> float | None:
-        """When the oldest job that isn't done was given, by the clock; None where all are done."""
-        return self._pending[0].since if self._pending else None
+        """Return when the oldest unfinished job was submitted, by the clock; None if all are finished."""
+        return self._pending[0].submitted_at if self._pending else None
 
-    def _give(self, job: _Job) -> None:
+    def _submit(self, job: _Job) -> None:
         self._pending.append(job)
         self._queue.put(job)
 
     def _run(self) -> None:
         while True:
-            jobs, ends = self._take()
-            for group in _groups(jobs):
+            jobs, is_stopping = self._next_jobs()
+            for group in _grouped(jobs):
                 self._post(self._finish, group, self._write(group))
-            if ends:
+            if is_stopping:
                 return
 
-    def _take(self) -> tuple[list[_Job], bool]:
-        """Wait for a job; take all that are there."""
+    def _next_jobs(self) -> tuple[list[_Job], bool]:
+        """Wait for a job; return all that are queued, and whether to stop after them."""
         jobs: list[_Job] = []
         job = self._queue.get()
         while job is not None:
@@ -86,22 +98,23 @@
         return jobs, True
 
     def _write(self, group: list[_Job]) -> WriteResult:
-        if group[0].whole:
+        if group[0].is_snapshot:
             return self._store.write_snapshot(group[0].records)
         return self._store.append([job.records for job in group])
 
-    def _finish(self, group: list[_Job], outcome: WriteResult) -> None:
+    def _finish(self, group: list[_Job], result: WriteResult) -> None:
+        """Report the result of a group; runs in the thread of `post`."""
         for _ in group:
             self._pending.popleft()
         for job in group:
-            job.done(outcome)
+            job.on_written(result)
 
 
-def _groups(jobs: list[_Job]) -> list[list[_Job]]:
-    """Neighbouring appends together; each snapshot alone."""
+def _grouped(jobs: list[_Job]) -> list[list[_Job]]:
+    """Return the jobs in groups that share one sync: consecutive appends together, each snapshot alone."""
     groups: list[list[_Job]] = []
     for job in jobs:
-        if groups and not job.whole and not groups[-1][0].whole:
+        if groups and not job.is_snapshot and not groups[-1][0].is_snapshot:
             groups[-1].append(job)
         else:
             groups.append([job])
--- a/tests/fleet/simulated_disk.py
+++ b/tests/fleet/simulated_disk.py
@@ -1,4 +1,4 @@
-"""A folder on a simulated disk: faults at any operation, and every outcome that a power loss may have."""
+"""A directory on a simulated disk: faults at any operation, and every outcome that a power loss may have."""
 
 import errno
 import random
@@ -14,7 +14,7 @@
 @dataclass
 class _File:
     durable: bytes = b""
-    name_durable: bool = False
+    entry_durable: bool = False
     pending: list[tuple[str, int, bytes]] = field(default_factory=list)  # ("write" or "truncate", offset, data)
 
     def current(self) -> bytes:
@@ -25,7 +25,7 @@
 
 
 class SimulatedDirectory:
-    """A folder whose power fails, or whose writes are refused, at operations counted from 0."""
+    """A directory whose power fails, or whose writes are refused, at operations counted from 0."""
 
     def __init__(self) -> None:
         self.files: dict[str, _File] = {}
@@ -68,14 +68,14 @@
     def sync_entries(self) -> None:
         self._step()
         for file in self.files.values():
-            file.name_durable = True
+            file.entry_durable = True
 
     def after_power_loss(self, draw: random.Random) -> "SimulatedDirectory":
         """What the disk holds afterwards: each unsynced change present, missing or torn; unsynced names at random."""
         after = SimulatedDirectory()
         none_remain = draw.random() < 0.2
         for name, file in self.files.items():
-            if not file.name_durable and draw.random() < 0.5:
+            if not file.entry_durable and draw.random() < 0.5:
                 continue
             data = file.durable
             for change in file.pending:
@@ -88,7 +88,7 @@
         """What the next process of the same machine finds: everything written, synced or not."""
         after = SimulatedDirectory()
         for name, file in self.files.items():
-            after.files[name] = _File(file.durable, file.name_durable, list(file.pending))
+            after.files[name] = _File(file.durable, file.entry_durable, list(file.pending))
         return after
 
     def _refused(self) -> bool:
--- a/tests/fleet/test_coordination_planted_worlds.py
+++ b/tests/fleet/test_coordination_planted_worlds.py
@@ -159,7 +159,7 @@
         right = RecordStore.append
 
         def append(self: RecordStore, batches: Any) -> Any:
-            self._appendable = True
+            self._can_append = True
             return right(self, batches)
 
         self.plant(RecordStore, "append", append)
@@ -169,7 +169,7 @@
         right = RecordStore.write_snapshot
 
         def write_snapshot(self: RecordStore, records: Any) -> Any:
-            self._slot = 1 - self._slot
+            self._current_slot = 1 - self._current_slot
             return right(self, records)
 
         self.plant(RecordStore, "write_snapshot", write_snapshot)
--- a/tests/fleet/test_planted_storage_files.py
+++ b/tests/fleet/test_planted_storage_files.py
@@ -27,26 +27,26 @@
 
 
 class DiskDirectoryTest(unittest.TestCase):
-    """A folder on a real disk."""
+    """A directory on a real disk."""
 
     def setUp(self) -> None:
         place = tempfile.TemporaryDirectory()
         self.addCleanup(place.cleanup)
         self.path = Path(place.name) / "made" / "here"
-        self.folder = DiskDirectory(str(self.path))
-        self.addCleanup(self.folder.close)
+        self.directory = DiskDirectory(str(self.path))
+        self.addCleanup(self.directory.close)
 
     def test_missing_file(self) -> None:
-        self.assertIsNone(self.folder.read("a"))
+        self.assertIsNone(self.directory.read("a"))
 
     def test_write_at_an_offset_and_truncate(self) -> None:
-        self.folder.write("a", 0, b"hello world")
-        self.folder.write("a", 6, b"there")
-        self.assertEqual(self.folder.read("a"), b"hello there")
-        self.folder.truncate("a", 5)
-        self.assertEqual(self.folder.read("a"), b"hello")
-        self.folder.truncate("b", 0)
-        self.assertEqual(self.folder.read("b"), b"")
+        self.directory.write("a", 0, b"hello world")
+        self.directory.write("a", 6, b"there")
+        self.assertEqual(self.directory.read("a"), b"hello there")
+        self.directory.truncate("a", 5)
+        self.assertEqual(self.directory.read("a"), b"hello")
+        self.directory.truncate("b", 0)
+        self.assertEqual(self.directory.read("b"), b"")
 
     def test_write_in_parts(self) -> None:
         written = os.pwrite
@@ -55,18 +55,18 @@
             return written(descriptor, bytes(data)[:4], offset)
 
         with mock.patch("os.pwrite", some):
-            self.folder.write("a", 2, b"0123456789")
-        self.assertEqual(self.folder.read("a"), b"\0\x000123456789")
+            self.directory.write("a", 2, b"0123456789")
+        self.assertEqual(self.directory.read("a"), b"\0\x000123456789")
 
     def test_sync_reaches_the_disk(self) -> None:
-        self.folder.write("a", 0, b"x")
+        self.directory.write("a", 0, b"x")
         with mock.patch("os.fdatasync", wraps=os.fdatasync) as synced:
-            self.folder.sync("a")
+            self.directory.sync("a")
         ((descriptor,),) = [call.args for call in synced.call_args_list]
         self.assertEqual(os.fstat(descriptor).st_ino, (self.path / "a").stat().st_ino)
 
-    def test_sync_of_the_names_reaches_the_disk(self) -> None:
-        self.folder.write("a", 0, b"x")
+    def test_sync_of_the_entries_reaches_the_disk(self) -> None:
+        self.directory.write("a", 0, b"x")
         synced: list[int] = []
 
         def sync(descriptor: int) -> None:
@@ -74,21 +74,21 @@
 
         before = len(os.listdir("/proc/self/fd"))
         with mock.patch("os.fsync", sync):
-            self.folder.sync_entries()
+            self.directory.sync_entries()
         self.assertEqual(synced, [self.path.stat().st_ino])
         self.assertEqual(len(os.listdir("/proc/self/fd")), before, "no descriptor is left open")
 
     def test_descriptors_stay_open_until_closed(self) -> None:
         before = len(os.listdir("/proc/self/fd"))
         for _ in range(3):
-            self.folder.write("a", 0, b"x")
-            self.folder.write("b", 0, b"x")
+            self.directory.write("a", 0, b"x")
+            self.directory.write("b", 0, b"x")
         self.assertEqual(len(os.listdir("/proc/self/fd")), before + 2)
-        self.folder.close()
+        self.directory.close()
         self.assertEqual(len(os.listdir("/proc/self/fd")), before)
-        self.folder.close()
-        self.folder.write("a", 0, b"y")
-        self.assertEqual(self.folder.read("a"), b"y")
+        self.directory.close()
+        self.directory.write("a", 0, b"y")
+        self.assertEqual(self.directory.read("a"), b"y")
 
 
 class LayoutTest(unittest.TestCase):
@@ -163,7 +163,7 @@
         super().sync(name)
 
     def sync_entries(self) -> None:
-        self.done.append("sync names")
+        self.done.append("sync entries")
         super().sync_entries()
 
 
@@ -171,86 +171,86 @@
     """Each acknowledgement stands behind the syncs that it needs, of files and of names."""
 
     def setUp(self) -> None:
-        self.folder = WatchedDirectory()
-        self.store, _ = RecordStore.open(self.folder).unwrap()
+        self.directory = WatchedDirectory()
+        self.store, _ = RecordStore.open(self.directory).unwrap()
 
     def done(self) -> list[str]:
-        done, self.folder.done = self.folder.done, []
+        done, self.directory.done = self.directory.done, []
         return done
 
-    def test_snapshot_syncs_its_slot_and_its_name(self) -> None:
+    def test_snapshot_syncs_its_slot_and_its_entry(self) -> None:
         for name, log in (("records-a.slot", "records-a.log"), ("records-b.slot", "records-b.log")):
             self.store.write_snapshot([b"a"]).unwrap()
-            steps = [f"write {name}", f"truncate {name}", f"sync {name}", "sync names", f"truncate {log}"]
+            steps = [f"write {name}", f"truncate {name}", f"sync {name}", "sync entries", f"truncate {log}"]
             self.assertEqual(self.done(), steps)
 
-    def test_first_entry_of_a_log_syncs_its_name_too(self) -> None:
+    def test_first_append_syncs_the_directory_too(self) -> None:
         self.store.write_snapshot([b"a"]).unwrap()
         self.done()
         self.store.append([[b"b"]]).unwrap()
-        self.assertEqual(self.done(), ["write records-a.log", "sync records-a.log", "sync names"])
+        self.assertEqual(self.done(), ["write records-a.log", "sync records-a.log", "sync entries"])
         self.store.append([[b"c"]]).unwrap()
         self.assertEqual(self.done(), ["write records-a.log", "sync records-a.log"])
 
     def test_what_was_loaded_is_made_durable(self) -> None:
         self.store.write_snapshot([b"a"]).unwrap()
         self.done()
-        RecordStore.open(self.folder).unwrap()
-        self.assertEqual(self.done(), ["sync records-a.slot", "sync names"])
+        RecordStore.open(self.directory).unwrap()
+        self.assertEqual(self.done(), ["sync records-a.slot", "sync entries"])
         self.store.append([[b"b"]]).unwrap()
         self.done()
-        RecordStore.open(self.folder).unwrap()
-        self.assertEqual(self.done(), ["sync records-a.slot", "sync records-a.log", "sync names"])
+        RecordStore.open(self.directory).unwrap()
+        self.assertEqual(self.done(), ["sync records-a.slot", "sync records-a.log", "sync entries"])
 
     def test_a_shorter_slot_cuts_the_older_one_off(self) -> None:
         for size in (500, 1, 2):
             self.store.write_snapshot([b"x" * size]).unwrap()
-        self.assertEqual(len(self.folder.read("records-a.slot") or b""), len(encode_slot(3, [b"xx"])[0]))
+        self.assertEqual(len(self.directory.read("records-a.slot") or b""), len(encode_slot(3, [b"xx"])[0]))
 
     def test_an_old_log_is_emptied(self) -> None:
         self.store.write_snapshot([b"a"]).unwrap()
         self.store.append([[b"b"]]).unwrap()
         for each in (b"c", b"d"):
             self.store.write_snapshot([each]).unwrap()
-        self.assertEqual((self.folder.read("records-a.log"), self.store.log_size), (b"", 0))
+        self.assertEqual((self.directory.read("records-a.log"), self.store.log_size), (b"", 0))
 
     def test_log_size(self) -> None:
         self.store.write_snapshot([b"a"]).unwrap()
         self.store.append([[b"b"]]).unwrap()
         size = self.store.log_size
-        self.assertEqual(size, len(self.folder.read("records-a.log") or b""))
-        found, _ = RecordStore.open(self.folder).unwrap()
+        self.assertEqual(size, len(self.directory.read("records-a.log") or b""))
+        found, _ = RecordStore.open(self.directory).unwrap()
         self.assertEqual((found.log_size, found.can_append), (size, True))
 
     def test_nothing_is_appended_behind_what_is_not_whole(self) -> None:
         self.store.write_snapshot([b"a"]).unwrap()
         self.store.append([[b"b"]]).unwrap()
-        self.folder.write("records-a.log", self.store.log_size, b"torn")
-        found, records = RecordStore.open(self.folder).unwrap()
+        self.directory.write("records-a.log", self.store.log_size, b"torn")
+        found, records = RecordStore.open(self.directory).unwrap()
         self.assertEqual((records, found.can_append), ([b"a", b"b"], False))
 
     def test_nothing_is_appended_without_a_log(self) -> None:
         self.store.write_snapshot([b"a"]).unwrap()
-        del self.folder.files["records-a.log"]
-        found, records = RecordStore.open(self.folder).unwrap()
+        del self.directory.files["records-a.log"]
+        found, records = RecordStore.open(self.directory).unwrap()
         self.assertEqual((records, found.can_append), ([b"a"], False))
 
-    def test_problems_name_step_file_and_cause(self) -> None:
-        self.folder.refused = range(0, 1)
-        problem = self.store.write_snapshot([b"a"]).failure()
-        self.assertEqual(str(problem), "write records-a.slot: No space left on device")
-        self.folder.refused = range(self.folder.operations + 4, 99)
-        problem = self.store.write_snapshot([b"a"]).failure()
-        self.assertEqual(str(problem), "empty records-a.log: No space left on device")
+    def test_errors_name_step_file_and_cause(self) -> None:
+        self.directory.refused = range(0, 1)
+        error = self.store.write_snapshot([b"a"]).failure()
+        self.assertEqual(str(error), "write records-a.slot: No space left on device")
+        self.directory.refused = range(self.directory.operations + 4, 99)
+        error = self.store.write_snapshot([b"a"]).failure()
+        self.assertEqual(str(error), "empty records-a.log: No space left on device")
 
-    def test_a_folder_that_cannot_be_read(self) -> None:
+    def test_a_directory_that_cannot_be_read(self) -> None:
         for error, told in (
             (OSError(errno.EIO, "Input/output error", "records-a.slot"), ("records-a.slot", "Input/output error")),
             (OSError("odd"), ("", "odd")),
         ):
             with mock.patch.object(SimulatedDirectory, "read", side_effect=error):
-                problem = RecordStore.open(self.folder).failure()
-            self.assertEqual(problem, StorageError("load", *told))
+                found = RecordStore.open(self.directory).failure()
+            self.assertEqual(found, StorageError("load", *told))
 
 
 class LoadingTest(unittest.TestCase):
@@ -263,19 +263,19 @@
                 return super().read(name)
 
         async def load() -> Any:
-            folder = Hanging()
-            loading = asyncio.ensure_future(load_records(folder))
+            directory = Hanging()
+            loading = asyncio.ensure_future(load_records(directory))
             for _ in range(3):
                 await asyncio.sleep(0)
             self.assertFalse(loading.done())
-            folder.gate.set()
+            directory.gate.set()
             return await loading
 
         _, records = asyncio.run(load()).unwrap()
         self.assertEqual(records, [])
 
     def test_a_caller_that_left(self) -> None:
-        problems: list[Any] = []
+        errors: list[Any] = []
 
         class Hanging(SimulatedDirectory):
             gate = threading.Event()
@@ -285,7 +285,7 @@
                 return super().read(name)
 
         async def leave() -> None:
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: problems.append(context))
+            asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
             loading = asyncio.ensure_future(load_records(Hanging()))
             await asyncio.sleep(0)
             loading.cancel()
@@ -297,7 +297,7 @@
                 await asyncio.sleep(0)
 
         asyncio.run(leave())
-        self.assertEqual(problems, [])
+        self.assertEqual(errors, [])
 
 
 class WriterTest(unittest.TestCase):
--- a/tests/fleet/test_storage_records.py
+++ b/tests/fleet/test_storage_records.py
@@ -18,15 +18,15 @@
 class Run:
     """One use of a store: what was acknowledged, and what was under way when power failed."""
 
-    def __init__(self, folder: SimulatedDirectory, draw: random.Random, number: int) -> None:
-        self.folder = folder
+    def __init__(self, directory: SimulatedDirectory, draw: random.Random, number: int) -> None:
+        self.directory = directory
         self.draw = draw
         self.number = number
         self.known: list[bytes] = []
         self.allowed: list[list[bytes]] = []  # what a load may find: acknowledged, or that and what was under way
 
     def open(self) -> None:
-        self.store, self.known = RecordStore.open(self.folder).unwrap()
+        self.store, self.known = RecordStore.open(self.directory).unwrap()
         self.allowed = [self.known]
 
     def record(self) -> bytes:
@@ -55,9 +55,9 @@
             self.known, self.allowed = stages[-1], [stages[-1]]
 
 
-def run_until_power_fails(folder: SimulatedDirectory, seed: int, known: list[bytes] | None = None) -> Run:
+def run_until_power_fails(directory: SimulatedDirectory, seed: int, known: list[bytes] | None = None) -> Run:
     draw = random.Random(seed)
-    run = Run(folder, draw, seed * 1000)
+    run = Run(directory, draw, seed * 1000)
     try:
         run.open()
         for _ in range(ROUNDS):
@@ -72,91 +72,91 @@
     def test_every_point_of_power_loss(self) -> None:
         for point in range(MOST_OPERATIONS):
             for seed in range(DRAWS):
-                folder = SimulatedDirectory()
-                folder.power_fails_at = point
-                run = run_until_power_fails(folder, seed)
-                self.check(run, folder.after_power_loss(random.Random(seed)), (point, seed))
+                directory = SimulatedDirectory()
+                directory.power_fails_at = point
+                run = run_until_power_fails(directory, seed)
+                self.check(run, directory.after_power_loss(random.Random(seed)), (point, seed))
 
     def test_power_loss_after_power_loss(self) -> None:
         for seed in range(400):
             draw = random.Random(seed)
-            folder = SimulatedDirectory()
+            directory = SimulatedDirectory()
             known: list[bytes] = []
             for life in range(6):
-                folder.power_fails_at = draw.randint(0, 40)
-                run = run_until_power_fails(folder, seed * 10 + life, known)
-                folder = folder.after_power_loss(draw) if draw.random() < 0.6 else folder.after_kill()
-                known = self.check(run, folder, (seed, life))
+                directory.power_fails_at = draw.randint(0, 40)
+                run = run_until_power_fails(directory, seed * 10 + life, known)
+                directory = directory.after_power_loss(draw) if draw.random() < 0.6 else directory.after_kill()
+                known = self.check(run, directory, (seed, life))
 
     def test_refused_writes_lose_nothing_acknowledged(self) -> None:
         for first in range(0, 60):
             for count in (1, 2, 7):
-                folder = SimulatedDirectory()
-                folder.refused = range(first, first + count)
-                folder.power_fails_at = first + count + 6
-                run = run_until_power_fails(folder, first)
-                self.check(run, folder.after_power_loss(random.Random(first)), (first, count))
+                directory = SimulatedDirectory()
+                directory.refused = range(first, first + count)
+                directory.power_fails_at = first + count + 6
+                run = run_until_power_fails(directory, first)
+                self.check(run, directory.after_power_loss(random.Random(first)), (first, count))
 
     def test_the_check_finds_a_forgotten_sync(self) -> None:
         lost = 0
         for seed in range(DRAWS):
-            folder = SimulatedDirectory()
-            folder.skip_syncs = True
-            folder.power_fails_at = 30
-            run = run_until_power_fails(folder, seed)
-            found = RecordStore.open(folder.after_power_loss(random.Random(seed))).unwrap()[1]
+            directory = SimulatedDirectory()
+            directory.skip_syncs = True
+            directory.power_fails_at = 30
+            run = run_until_power_fails(directory, seed)
+            found = RecordStore.open(directory.after_power_loss(random.Random(seed))).unwrap()[1]
             lost += found not in run.allowed
         self.assertGreater(lost, 0)
 
-    def check(self, run: Run, folder: SimulatedDirectory, where: object) -> list[bytes]:
-        before = folder.power_fails_at
-        folder.power_fails_at = None
-        found = RecordStore.open(folder).unwrap()[1]
-        folder.power_fails_at = before
+    def check(self, run: Run, directory: SimulatedDirectory, where: object) -> list[bytes]:
+        before = directory.power_fails_at
+        directory.power_fails_at = None
+        found = RecordStore.open(directory).unwrap()[1]
+        directory.power_fails_at = before
         self.assertIn(found, run.allowed, where)
-        again = RecordStore.open(folder.after_power_loss(random.Random(0))).unwrap()[1]
+        again = RecordStore.open(directory.after_power_loss(random.Random(0))).unwrap()[1]
         self.assertEqual(found, again, ("what was read was not durable", where))
         return found
 
 
 class RefusedWriteTest(TestCase):
     def test_append_after_a_refusal_needs_a_snapshot(self) -> None:
-        folder = SimulatedDirectory()
-        store, _ = RecordStore.open(folder).unwrap()
+        directory = SimulatedDirectory()
+        store, _ = RecordStore.open(directory).unwrap()
         self.assertFalse(store.can_append)
         store.write_snapshot([b"a"]).unwrap()
-        folder.refused = range(folder.operations, folder.operations + 1)
-        problem = store.append([[b"b"]]).failure()
-        self.assertEqual(problem.name, "records-a.log")
+        directory.refused = range(directory.operations, directory.operations + 1)
+        error = store.append([[b"b"]]).failure()
+        self.assertEqual(error.file_name, "records-a.log")
         self.assertFalse(store.can_append)
         store.append([[b"c"]]).failure()
         store.write_snapshot([b"a", b"d"]).unwrap()
         store.append([[b"e"]]).unwrap()
-        self.assertEqual(RecordStore.open(folder).unwrap()[1], [b"a", b"d", b"e"])
+        self.assertEqual(RecordStore.open(directory).unwrap()[1], [b"a", b"d", b"e"])
 
     def test_a_snapshot_that_failed_never_overwrites_the_whole_one(self) -> None:
-        folder = SimulatedDirectory()
-        store, _ = RecordStore.open(folder).unwrap()
+        directory = SimulatedDirectory()
+        store, _ = RecordStore.open(directory).unwrap()
         store.write_snapshot([b"a"]).unwrap()
         for _ in range(3):
-            folder.refused = range(folder.operations, folder.operations + 1)
+            directory.refused = range(directory.operations, directory.operations + 1)
             store.write_snapshot([b"b" * 500]).failure()
-            self.assertEqual(RecordStore.open(folder.after_kill()).unwrap()[1], [b"a"])
+            self.assertEqual(RecordStore.open(directory.after_kill()).unwrap()[1], [b"a"])
 
     def test_an_entry_behind_a_torn_one_never_returns(self) -> None:
-        folder = SimulatedDirectory()
-        store, _ = RecordStore.open(folder).unwrap()
+        directory = SimulatedDirectory()
+        store, _ = RecordStore.open(directory).unwrap()
         store.write_snapshot([b"a"]).unwrap()
         store.append([[b"first"]]).unwrap()
         store.append([[b"second"]]).unwrap()
-        log = folder.files["records-a.log"]
+        log = directory.files["records-a.log"]
         log.durable = b"\0" * 4 + log.durable[4:]  # the first is torn, the second whole
-        store, found = RecordStore.open(folder).unwrap()
+        store, found = RecordStore.open(directory).unwrap()
         self.assertEqual(found, [b"a"])
         self.assertFalse(store.can_append)
         store.write_snapshot(found).unwrap()
         store.append([[b"first"]]).unwrap()
-        self.assertEqual(RecordStore.open(folder).unwrap()[1], [b"a", b"first"])
+        self.assertEqual(RecordStore.open(directory).unwrap()[1], [b"a", b"first"])
 
 
 class LayoutTest(TestCase):
--- a/tests/fleet/test_storage_writer.py
+++ b/tests/fleet/test_storage_writer.py
@@ -30,17 +30,17 @@
 
 class StoreWriterTest(TestCase):
     def setUp(self) -> None:
-        self.folder = GatedDirectory()
+        self.directory = GatedDirectory()
         self.now = 1.0
         self.posted: list[Callable[[], None]] = []
         self.all_posted = threading.Semaphore(0)
-        store, _ = RecordStore.open(self.folder).unwrap()
+        store, _ = RecordStore.open(self.directory).unwrap()
         self.writer = StoreWriter(store, self.post, lambda: self.now)
         self.writer.start()
         self.done: list[tuple[str, WriteResult]] = []
 
     def tearDown(self) -> None:
-        self.folder.gate.set()
+        self.directory.gate.set()
         self.writer.stop()
 
     def post(self, call: Callable[..., None], *arguments: object) -> None:
@@ -59,34 +59,34 @@
 
     def test_what_waits_is_written_under_one_sync_in_order(self) -> None:
         self.writer.write_snapshot([b"a"], self.given("a"))
-        self.folder.reached.wait()
+        self.directory.reached.wait()
         for name in "bcd":
             self.writer.append([name.encode()], self.given(name))
-        self.folder.gate.set()
+        self.directory.gate.set()
         self.finish(2)
         self.assertEqual(self.done, [(name, Success(None)) for name in "abcd"])
-        self.assertEqual(self.folder.syncs, 2)
-        self.assertEqual(RecordStore.open(self.folder).unwrap()[1], [b"a", b"b", b"c", b"d"])
+        self.assertEqual(self.directory.syncs, 2)
+        self.assertEqual(RecordStore.open(self.directory).unwrap()[1], [b"a", b"b", b"c", b"d"])
 
     def test_the_age_of_a_write_that_hangs(self) -> None:
         self.assertIsNone(self.writer.oldest_pending_since())
         self.writer.write_snapshot([b"a"], self.given("a"))
         self.now = 2.0
         self.writer.append([b"b"], self.given("b"))
-        self.folder.reached.wait()
+        self.directory.reached.wait()
         self.assertEqual(self.writer.oldest_pending_since(), 1.0)
-        self.folder.gate.set()
+        self.directory.gate.set()
         self.finish(2)
         self.assertIsNone(self.writer.oldest_pending_since())
 
     def test_a_refusal_fails_all_up_to_the_next_snapshot(self) -> None:
-        self.folder.refused = range(0, 1)
+        self.directory.refused = range(0, 1)
         self.writer.write_snapshot([b"a"], self.given("a"))
         self.finish(1)
         self.writer.append([b"b"], self.given("b"))
         self.finish(1)
-        self.folder.gate.set()
+        self.directory.gate.set()
         self.writer.write_snapshot([b"a", b"b"], self.given("c"))
         self.finish(1)
         self.assertEqual([type(outcome) for _, outcome in self.done], [Failure, Failure, Success])
-        self.assertEqual(RecordStore.open(self.folder).unwrap()[1], [b"a", b"b"])
+        self.assertEqual(RecordStore.open(self.directory).unwrap()[1], [b"a", b"b"])
--- a/tests/fleet/test_stored_data_compatibility.py
+++ b/tests/fleet/test_stored_data_compatibility.py
@@ -35,9 +35,9 @@
         return Path(shutil.copytree(FIXTURES / name, Path(parent.name) / name))
 
     def load(self, directory: Path) -> tuple[RecordStore, list[bytes]]:
-        folder = DiskDirectory(str(directory))
-        self.addCleanup(folder.close)
-        return RecordStore.open(folder).unwrap()
+        directory = DiskDirectory(str(directory))
+        self.addCleanup(directory.close)
+        return RecordStore.open(directory).unwrap()
 
     def snapshot(self, directory: Path) -> pb.Record:
         """Load a directory as a core machine does at its start; return the state as a snapshot record."""
