--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -19,7 +19,7 @@
 from rosechute.configuration.process import Bounds
 from rosechute.control_plane.endpoint_list_page import decode_endpoint_list_page
 from rosechute.control_plane.quota_service import QuotaService
-from rosechute.coordination.memory import load, write_message
+from rosechute.coordination.replica_state import chain_write_message, load_replica_state
 from rosechute.coordination.views import RegisterState
 from rosechute.data_plane.admission import ActiveConfiguration
 from rosechute.distribution.actions import DialedLink
@@ -75,7 +75,7 @@
         body = body_for(size)
         value = Configuration.from_body(1, 1, body)
         quota = QuotaService(Bounds())
-        write = coordination_pb2.CoreMessage(chain_write=write_message(RegisterState(1, 1, 1, body, b"d" * 32)))
+        write = coordination_pb2.CoreMessage(chain_write=chain_write_message(RegisterState(1, 1, 1, body, b"d" * 32)))
         message = value.update_message((0, 0), NOW)
         figures["body"].points[size] = len(body)
         figures["sent"].points[size] = len(message.SerializeToString())
@@ -351,7 +351,7 @@
     replace_cpu, replace_wall = Slope("snapshot", "us", "B"), Slope("snapshot, wall", "us", "B")
     loading = Slope("load and fold at a start", "us", "B")
     for size in DISK_BYTES:
-        write = write_message(RegisterState(1, 1, 1, b"x" * size, b"d" * 32))
+        write = chain_write_message(RegisterState(1, 1, 1, b"x" * size, b"d" * 32))
         record = coordination_pb2.Record(write=write).SerializeToString()
         with tempfile.TemporaryDirectory(prefix="rosechute-slopes-") as folder:
             store, _ = RecordStore.open(DiskDirectory(folder)).unwrap()
@@ -361,7 +361,7 @@
             append_cpu.points[size], append_wall.points[size] = _disk(lambda s=store, r=record: s.append([[r]]))
             store.write_snapshot([record])
             loading.points[size] = microseconds(
-                lambda f=folder: load(RecordStore.open(DiskDirectory(f)).unwrap()[1]), rounds=3
+                lambda f=folder: load_replica_state(RecordStore.open(DiskDirectory(f)).unwrap()[1]), rounds=3
             )
             assert Path(folder).exists()
     return [append_cpu, append_wall, replace_cpu, replace_wall, loading]
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -45,7 +45,7 @@
 from benchmarks.hollow_core import Core, waited_s
 from benchmarks.hollow_list import LargeList
 from benchmarks.hollow_meter import Meter
-from rosechute.coordination.memory import load
+from rosechute.coordination.replica_state import load_replica_state
 from rosechute.standin.fleet.operator import Operator
 from rosechute.standin.fleet.platform import Instance
 from rosechute.storage.files import DiskDirectory
@@ -356,7 +356,7 @@
         """Place in the chain by the records on a disk, or -1; length of the chain; bytes of the configuration."""
         try:
             opened = RecordStore.open(DiskDirectory(str(data)))
-            memory = load(opened.unwrap()[1])
+            memory = load_replica_state(opened.unwrap()[1])
         except Exception:  # it is being written
             return -1, 0, 0
         own = memory.machine.id if memory.machine is not None else ""
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -14,7 +14,7 @@
 
 from rosechute.configuration.process import ProcessSettings
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, Outcome, ReplicaConfig, Unsure
+from rosechute.coordination.types import CommittedConfiguration, Outcome, OutcomeUnknown, ReplicaConfig
 from rosechute.distribution.actions import DialedLink, SendMessage
 from rosechute.distribution.publisher import CoreAddress, Publisher, PublisherState
 from rosechute.distribution.values import ListedServer
@@ -198,7 +198,7 @@
         """Serve on until no other machine counts on this one; it may be that none can go on without it."""
         runtime.resign()
         ends = self._clock() + HAND_OVER_WITHIN_S
-        while not runtime.replica.handed_over and self._clock() < ends:
+        while not runtime.replica.is_handed_over and self._clock() < ends:
             await asyncio.sleep(HAND_OVER_POLL_S)
         await asyncio.sleep(FAREWELL_S)
 
@@ -270,7 +270,7 @@
 
 def _unsure() -> asyncio.Future[Outcome]:
     answer: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-    answer.set_result(Unsure())
+    answer.set_result(OutcomeUnknown())
     return answer
 
 
--- a/rosechute/control_plane/core_report.py
+++ b/rosechute/control_plane/core_report.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 
 
 class CoreReport(msgspec.Struct, frozen=True):
@@ -43,5 +43,5 @@
     )
 
 
-def _name(machine: Identity | None) -> str:
+def _name(machine: MachineIdentity | None) -> str:
     return machine.name if machine is not None else ""
--- a/rosechute/control_plane/operator_api.py
+++ b/rosechute/control_plane/operator_api.py
@@ -15,13 +15,13 @@
 
 from rosechute.configuration.operator import parse_configuration
 from rosechute.coordination.types import (
-    Acknowledged,
-    Configuration,
-    Elsewhere,
     NoConfiguration,
     Outcome,
-    Stale,
-    Unsure,
+    OutcomeUnknown,
+    ReadResult,
+    Redirect,
+    VersionConflict,
+    WriteAcknowledged,
 )
 
 from .write_requests import ConfigurationStore, write_request_digest
@@ -106,22 +106,22 @@
     async def read(self, request: web.Request) -> web.Response:
         """`GET /config/read`: the newest acknowledged configuration, byte for byte as it was sent."""
         outcome = await _within(self._configurations.read(), ANSWER_WITHIN_S)
-        if isinstance(outcome, Configuration):
+        if isinstance(outcome, ReadResult):
             return web.Response(body=outcome.body, content_type="application/json")
         if isinstance(outcome, NoConfiguration):
             return _error(404, ApiError("no configuration has been taken yet"))
         return self._undecided(outcome, READ_PATH)
 
     def _settled(self, outcome: Outcome, base_version: int, version: int) -> web.Response:
-        if isinstance(outcome, Acknowledged):
+        if isinstance(outcome, WriteAcknowledged):
             logger.info("configuration {} on top of {} acknowledged", version, base_version)
             return _json(200, {"config_version": outcome.version})
-        if isinstance(outcome, Stale):
+        if isinstance(outcome, VersionConflict):
             return _refused(outcome.current_version, base_version, version)
         return self._undecided(outcome, REPLACE_PATH)
 
     def _undecided(self, outcome: Outcome, path: str) -> web.Response:
-        if isinstance(outcome, Elsewhere) and outcome.control_address not in ("", self._control_address):
+        if isinstance(outcome, Redirect) and outcome.control_address not in ("", self._control_address):
             return web.Response(status=307, headers={"Location": f"http://{outcome.control_address}{path}"})
         return _unsure("the core has not settled who answers this")
 
@@ -131,7 +131,7 @@
         async with asyncio.timeout(seconds):
             return await answer
     except TimeoutError:
-        return Unsure()
+        return OutcomeUnknown()
 
 
 def _base_version(request: web.Request) -> int | None:
--- a/rosechute/control_plane/replica_runtime.py
+++ b/rosechute/control_plane/replica_runtime.py
@@ -16,16 +16,16 @@
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import (
     Action,
-    Answer,
-    Committed,
     CommittedConfiguration,
-    HoldersNoted,
-    LeaseGained,
-    LeaseLost,
-    Order,
+    ConfigurationCommitted,
+    LeadershipGained,
+    LeadershipLost,
     Outcome,
-    Persist,
-    Send,
+    PersistRecords,
+    RateLeaseOwnersPersisted,
+    Reply,
+    SendMessage,
+    WriteRequest,
 )
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.writer import WriteResult
@@ -92,7 +92,9 @@
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
         """Order a configuration."""
         request, answer = self._expect()
-        self._act(self.replica.submit(self._clock(), Order(request, base_version, version, body, digest)))
+        self._act(
+            self.replica.propose_write(self._clock(), WriteRequest(request, base_version, version, body, digest))
+        )
         return answer
 
     def read(self) -> asyncio.Future[Outcome]:
@@ -103,7 +105,7 @@
 
     def persist_rate_lease_owners(self, term: int, edges: frozenset[str]) -> None:
         """Note which edges may hold rate leases; the observer is told once that is synced."""
-        self._act(self.replica.note_holders(self._clock(), term, edges))
+        self._act(self.replica.persist_rate_lease_owners(self._clock(), term, edges))
 
     def resign(self) -> None:
         """Give the leader lease back, if this machine holds it."""
@@ -120,19 +122,19 @@
     def _act(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
-                case Send(address, message):
+                case SendMessage(address, message):
                     self._send(address, message)
-                case Persist(token, records):
+                case PersistRecords(token, records):
                     self._persist(token, records)
-                case Answer(request, outcome):
+                case Reply(request, outcome):
                     self._answer(request, outcome)
-                case Committed(configuration):
+                case ConfigurationCommitted(configuration):
                     self._observer.committed(configuration)
-                case LeaseGained(term, holders):
+                case LeadershipGained(term, holders):
                     self._observer.leadership_gained(term, holders)
-                case LeaseLost():
+                case LeadershipLost():
                     self._observer.leadership_lost()
-                case HoldersNoted(term, edges):
+                case RateLeaseOwnersPersisted(term, edges):
                     self._observer.rate_lease_owners_persisted(term, edges)
 
     def _answer(self, request: int, outcome: Outcome) -> None:
--- a/rosechute/coordination/acceptor.py
+++ b/rosechute/coordination/acceptor.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import Ballot, StateTag
 from rosechute.messages import coordination_pb2 as pb
 
@@ -30,12 +30,12 @@
         self._record_number = 0  # of the newest promise or acceptance
         self.sealed_since = context.now
 
-    def on_prepare(self, sender: Identity, prepare: pb.Prepare) -> None:
+    def on_prepare(self, sender: MachineIdentity, prepare: pb.Prepare) -> None:
         """Handle phase 1a: promise to accept no lower ballot, or answer with a nack."""
         ballot = Ballot.from_message(prepare.ballot)
         if not self._may_answer(sender, prepare.epoch):
             return
-        promised = self._context.memory.promised
+        promised = self._context.replica_state.promised
         if promised is not None and ballot < promised:
             self._send_nack(sender, prepare.epoch, ballot, promised)
             return
@@ -45,27 +45,27 @@
         send_promise = partial(self._send_promise, sender, prepare.epoch, ballot, proposer_tag)
         self._context.record_writer.call_when_synced(self._record_number, send_promise)
 
-    def on_accept(self, sender: Identity, accept: pb.Accept) -> None:
+    def on_accept(self, sender: MachineIdentity, accept: pb.Accept) -> None:
         """Handle phase 2a: accept a proposal unless a higher ballot was promised, or answer with a nack."""
         ballot = Ballot.from_message(accept.proposal.ballot)
         if not self._may_answer(sender, accept.epoch):
             return
-        memory = self._context.memory
-        if memory.promised is not None and ballot < memory.promised:
-            self._send_nack(sender, accept.epoch, ballot, memory.promised)
+        replica_state = self._context.replica_state
+        if replica_state.promised is not None and ballot < replica_state.promised:
+            self._send_nack(sender, accept.epoch, ballot, replica_state.promised)
             return
-        if memory.accepted is None or memory.accepted.ballot != ballot:
+        if replica_state.accepted is None or replica_state.accepted.ballot != ballot:
             self._write(pb.Record(accepted=accept.proposal))
         send_accepted = partial(self._send_accepted, sender, accept.epoch, ballot)
         self._context.record_writer.call_when_synced(self._record_number, send_accepted)
 
-    def _may_answer(self, sender: Identity, epoch: int) -> bool:
+    def _may_answer(self, sender: MachineIdentity, epoch: int) -> bool:
         context = self._context
-        if epoch != context.memory.view.epoch or not context.is_acceptor:
+        if epoch != context.replica_state.view.epoch or not context.is_acceptor:
             return False
         # A proposer that does not receive the answer would seal the epoch and decide nothing.
         is_reachable = context.failure_detector.is_reachable(context.now, sender.id)
-        return context.memory.view.is_acceptor(sender.id) and is_reachable
+        return context.replica_state.view.is_acceptor(sender.id) and is_reachable
 
     def _write(self, record: pb.Record) -> None:
         context = self._context
@@ -73,27 +73,31 @@
         self._record_number = context.record_writer.last_number
         self.sealed_since = context.now
 
-    def _send_promise(self, sender: Identity, epoch: int, ballot: Ballot, proposer_tag: StateTag) -> None:
+    def _send_promise(self, sender: MachineIdentity, epoch: int, ballot: Ballot, proposer_tag: StateTag) -> None:
         """Send phase 1b, with the register state only where it is newer than the proposer's."""
-        memory = self._context.memory
-        if memory.view.epoch != epoch or memory.promised != ballot:
+        replica_state = self._context.replica_state
+        if replica_state.view.epoch != epoch or replica_state.promised != ballot:
             return
-        promise = pb.Promise(epoch=epoch, ballot=ballot.to_message(), term=memory.term.to_message())
-        if memory.accepted is not None:
-            promise.accepted.CopyFrom(memory.accepted.to_message())
-        if memory.newest.tag > proposer_tag:
-            promise.state.CopyFrom(memory.newest.to_message())
+        promise = pb.Promise(epoch=epoch, ballot=ballot.to_message(), term=replica_state.term.to_message())
+        if replica_state.accepted is not None:
+            promise.accepted.CopyFrom(replica_state.accepted.to_message())
+        if replica_state.newest.tag > proposer_tag:
+            promise.state.CopyFrom(replica_state.newest.to_message())
         self._context.outbox.send(sender, pb.CoreMessage(promise=promise))
 
-    def _send_accepted(self, sender: Identity, epoch: int, ballot: Ballot) -> None:
+    def _send_accepted(self, sender: MachineIdentity, epoch: int, ballot: Ballot) -> None:
         """Send phase 2b."""
-        memory = self._context.memory
-        if memory.view.epoch != epoch or memory.accepted is None or memory.accepted.ballot != ballot:
+        replica_state = self._context.replica_state
+        if (
+            replica_state.view.epoch != epoch
+            or replica_state.accepted is None
+            or replica_state.accepted.ballot != ballot
+        ):
             return
         accepted = pb.Accepted(epoch=epoch, ballot=ballot.to_message())
         self._context.outbox.send(sender, pb.CoreMessage(accepted=accepted))
 
-    def _send_nack(self, sender: Identity, epoch: int, ballot: Ballot, promised: Ballot) -> None:
+    def _send_nack(self, sender: MachineIdentity, epoch: int, ballot: Ballot, promised: Ballot) -> None:
         """Tell a proposer that a higher ballot was promised (message `Refused`)."""
         nack = pb.Refused(epoch=epoch, ballot=ballot.to_message(), promised=promised.to_message())
         self._context.outbox.send(sender, pb.CoreMessage(refused=nack))
--- a/rosechute/coordination/failure_detector.py
+++ b/rosechute/coordination/failure_detector.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rosechute.coordination.types import Identity, Timing
+from rosechute.coordination.types import MachineIdentity, Timing
 from rosechute.messages import coordination_pb2 as pb
 
 NEVER = float("-inf")
@@ -35,7 +35,7 @@
         past_incarnations: incarnations that a newer one has replaced.
     """
 
-    identity: Identity
+    identity: MachineIdentity
     incarnation: int
     heartbeat: pb.Heartbeat
     last_received_at: float
@@ -59,14 +59,14 @@
         peers: machine id to what is known of that machine.
     """
 
-    own: Identity
+    own: MachineIdentity
     incarnation: int
     timing: Timing
     started_at: float
     peers: dict[str, Peer] = field(default_factory=dict)
     _unreachable_since: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def on_heartbeat(self, now: float, identity: Identity, incarnation: int, heartbeat: pb.Heartbeat) -> Peer:
+    def on_heartbeat(self, now: float, identity: MachineIdentity, incarnation: int, heartbeat: pb.Heartbeat) -> Peer:
         """Record a heartbeat and return its sender.
 
         A heartbeat that a newer one has overtaken, or that comes late from a process that has ended, is ignored.
--- a/rosechute/coordination/freshness.py
+++ b/rosechute/coordination/freshness.py
@@ -24,8 +24,8 @@
     def update(self) -> None:
         """Take the answers that are there into account."""
         context = self.context
-        view = context.memory.view
-        if not view.chain or not context.settled:
+        view = context.replica_state.view
+        if not view.chain or not context.is_epoch_adopted:
             return
         times = [self._answered(each.id) for each in view.acceptors]
         known = sorted((each for each in times if each is not None), reverse=True)
@@ -48,12 +48,12 @@
         if machine_id == context.own.id:
             return context.now
         peer = context.failure_detector.peers.get(machine_id)
-        if peer is None or peer.heartbeat.sealed or peer.heartbeat.epoch != context.memory.view.epoch:
+        if peer is None or peer.heartbeat.sealed or peer.heartbeat.epoch != context.replica_state.view.epoch:
             return None
         return peer.echoed_stamp
 
     def _tail_sequence(self, machine_id: str) -> int:
         context = self.context
         if machine_id == context.own.id:
-            return context.memory.committed.sequence
+            return context.replica_state.committed.sequence
         return context.failure_detector.peers[machine_id].heartbeat.sequence
--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -9,7 +9,7 @@
 from rosechute.coordination.failure_detector import Peer
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
 
@@ -46,7 +46,7 @@
     def send(self) -> None:
         """Send a heartbeat to all known core machines, and to the seeds while these may help to find others."""
         context = self._context
-        context.announce = False
+        context.heartbeat_due = False
         self.next_at = context.now + context.timing.heartbeat
         targets = self._targets()
         heartbeat = self._heartbeat()
@@ -58,10 +58,10 @@
         if self._is_isolated():
             self._send_to_seeds(heartbeat, {target.peer_address for target in targets.values()})
 
-    def _targets(self) -> dict[str, Identity]:
+    def _targets(self) -> dict[str, MachineIdentity]:
         """Return the other known machines by id: the acceptors, and all that have sent a heartbeat."""
         context = self._context
-        targets = {acceptor.id: acceptor for acceptor in context.memory.view.acceptors}
+        targets = {acceptor.id: acceptor for acceptor in context.replica_state.view.acceptors}
         targets.update({peer.identity.id: peer.identity for peer in context.failure_detector.peers.values()})
         targets.pop(context.own.id, None)
         return targets
@@ -70,7 +70,7 @@
         """Return whether this machine is no acceptor, or reaches less than a majority."""
         context = self._context
         reachable_ids = context.failure_detector.reachable_ids(context.now)
-        return not context.is_acceptor or len(reachable_ids) < context.memory.view.majority
+        return not context.is_acceptor or len(reachable_ids) < context.replica_state.view.majority
 
     def _send_to_seeds(self, heartbeat: pb.Heartbeat, known_addresses: set[str]) -> None:
         """Send a heartbeat to each seed whose machine is not known."""
@@ -79,7 +79,7 @@
             if peer_address not in known_addresses:
                 self._context.outbox.send_to_address(peer_address, pb.CoreMessage(heartbeat=heartbeat))
 
-    def receive(self, sender: Identity, incarnation: int, heartbeat: pb.Heartbeat) -> Peer | None:
+    def receive(self, sender: MachineIdentity, incarnation: int, heartbeat: pb.Heartbeat) -> Peer | None:
         """Record a heartbeat, and the commits that it reports.
 
         Returns:
@@ -91,31 +91,31 @@
         peer = context.failure_detector.on_heartbeat(context.now, sender, incarnation, heartbeat)
         if peer.heartbeat is not heartbeat:
             return None
-        view = context.memory.view
+        view = context.replica_state.view
         is_tail = bool(view.chain) and sender.id == view.chain[-1]
         if is_tail and heartbeat.epoch == view.epoch and not heartbeat.sealed:
-            self._chain.note_committed(heartbeat.epoch, heartbeat.sequence)
+            self._chain.on_committed(heartbeat.epoch, heartbeat.sequence)
         return peer
 
     def _heartbeat(self) -> pb.Heartbeat:
         """Return a heartbeat with the state of this machine; the echo is filled in for each target."""
         context = self._context
-        memory = context.memory
+        replica_state = context.replica_state
         is_leader = self._leader_lease.is_held(context.now)
         return pb.Heartbeat(
             stamp=context.now,
-            epoch=context.adopted,
-            sealed=not context.settled,
+            epoch=context.adopted_epoch,
+            sealed=not context.is_epoch_adopted,
             sequence=self._chain.durable_sequence(),
-            committed=memory.committed.sequence,
-            joined=context.joined == context.adopted and context.joined > 0,
-            active=self._chain.active,
-            healthy=context.healthy,
+            committed=replica_state.committed.sequence,
+            joined=context.joined_epoch == context.adopted_epoch and context.joined_epoch > 0,
+            active=self._chain.is_active,
+            healthy=context.is_healthy,
             reached=context.failure_detector.reachable_ids(context.now),
             lease_free=self._lease_grantor.is_free(),
             lease_kept_for=self._lease_grantor.reserved_for(),
-            term=max(memory.term.number, self._leader_lease.term if is_leader else 0),
+            term=max(replica_state.term.number, self._leader_lease.term if is_leader else 0),
             leads=is_leader,
-            newcomer=memory.newcomer,
-            leaving=context.leaving,
+            newcomer=replica_state.newcomer,
+            leaving=context.is_leaving,
         )
--- a/rosechute/coordination/leader_lease.py
+++ b/rosechute/coordination/leader_lease.py
@@ -20,7 +20,7 @@
 
 from rosechute.coordination.context import Context
 from rosechute.coordination.lease_grantor import LeaseGrantor, count_available_grantors
-from rosechute.coordination.types import Identity, LeaseGained, LeaseLost
+from rosechute.coordination.types import LeadershipGained, LeadershipLost, MachineIdentity
 from rosechute.coordination.views import View
 from rosechute.messages import coordination_pb2 as pb
 
@@ -69,7 +69,7 @@
         since = self.context.now - self.context.timing.suspect
         return sum(
             1
-            for acceptor in self.context.memory.view.acceptors
+            for acceptor in self.context.replica_state.view.acceptors
             if self._granted_stamps.get(acceptor.id, since) > since
         )
 
@@ -83,13 +83,13 @@
         if self.role is LeaseRole.FOLLOWER:
             return
         self._become_follower()
-        for acceptor in self.context.memory.view.acceptors:
+        for acceptor in self.context.replica_state.view.acceptors:
             release = pb.LeaseRelease(term=self.term)
             self.context.outbox.send(acceptor, pb.CoreMessage(lease_release=release))
 
     def tick(self) -> None:
         """Renew the lease, repeat or end a candidacy, or begin one."""
-        if not (self.context.in_chain and self.context.healthy):
+        if not (self.context.is_in_chain and self.context.is_healthy):
             self.release()
         elif self.role is LeaseRole.LEADER:
             self._tick_leader()
@@ -112,17 +112,17 @@
 
     def _tick_follower(self) -> None:
         context = self.context
-        majority = context.memory.view.majority
-        if not context.settled or count_available_grantors(context, self.grantor) < majority:
+        majority = context.replica_state.view.majority
+        if not context.is_epoch_adopted or count_available_grantors(context, self.grantor) < majority:
             # Members of the chain try one after the other, in the order of the chain.
-            delay_s = context.timing.candidate_step * context.place()
+            delay_s = context.timing.candidate_step * context.chain_position()
             self.next_candidacy_at = max(self.next_candidacy_at, context.now + delay_s)
         elif context.now >= self.next_candidacy_at:
             self._become_candidate()
 
-    def on_grant(self, sender: Identity, grant: pb.LeaseGrant) -> None:
+    def on_grant(self, sender: MachineIdentity, grant: pb.LeaseGrant) -> None:
         """Count the grant of an acceptor; with a majority, become the leader or extend the lease."""
-        view = self.context.memory.view
+        view = self.context.replica_state.view
         if not self._is_current(sender, grant, view):
             return
         if self._granted_epoch != view.epoch:
@@ -134,7 +134,7 @@
             timing = self.context.timing
             self._extend(stamps[view.majority - 1] + timing.lease - timing.lease_margin)
 
-    def _is_current(self, sender: Identity, grant: pb.LeaseGrant, view: View) -> bool:
+    def _is_current(self, sender: MachineIdentity, grant: pb.LeaseGrant, view: View) -> bool:
         """Return whether a grant is an acceptor's answer to the current candidacy or leadership of this process."""
         if self.role is LeaseRole.FOLLOWER or grant.term != self.term or grant.epoch != view.epoch:
             return False
@@ -149,16 +149,16 @@
 
     def _known_rate_lease_holders(self) -> frozenset[str] | None:
         """Return the only edges that may hold rate leases of earlier terms, or None where these are not known."""
-        persisted = self.context.memory.holders
+        persisted = self.context.replica_state.rate_lease_owners
         return persisted.edges if self._previous_term == persisted.term else None
 
     def _request(self) -> None:
         """Request the lease, or its renewal, from all acceptors."""
         context = self.context
         self._requested_at = context.now
-        for acceptor in context.memory.view.acceptors:
+        for acceptor in context.replica_state.view.acceptors:
             request = pb.LeaseRequest(
-                epoch=context.memory.view.epoch,
+                epoch=context.replica_state.view.epoch,
                 term=self.term,
                 stamp=context.now,
                 renewal=self.role is LeaseRole.LEADER,
@@ -170,21 +170,21 @@
         context = self.context
         known_terms = (peer.heartbeat.term for peer in context.failure_detector.peers.values())
         self.role = LeaseRole.CANDIDATE
-        self.term = max(max(known_terms, default=0), context.memory.term.number, self.term) + 1
+        self.term = max(max(known_terms, default=0), context.replica_state.term.number, self.term) + 1
         self.valid_until = 0.0
         self._candidate_since = context.now
-        self._granted_stamps, self._granted_epoch = {}, context.memory.view.epoch
+        self._granted_stamps, self._granted_epoch = {}, context.replica_state.view.epoch
         self._previous_term = 0
         self._request()
 
     def _become_leader(self) -> None:
         self.role = LeaseRole.LEADER
-        self.context.announce = True
-        self.context.outbox.actions.append(LeaseGained(self.term, self._known_rate_lease_holders()))
+        self.context.heartbeat_due = True
+        self.context.outbox.actions.append(LeadershipGained(self.term, self._known_rate_lease_holders()))
 
     def _become_follower(self) -> None:
         if self.role is LeaseRole.LEADER:
-            self.context.outbox.actions.append(LeaseLost())
-            self.context.announce = True
+            self.context.outbox.actions.append(LeadershipLost())
+            self.context.heartbeat_due = True
         self.role = LeaseRole.FOLLOWER
         self.valid_until = 0.0
--- a/rosechute/coordination/lease_grantor.py
+++ b/rosechute/coordination/lease_grantor.py
@@ -20,7 +20,7 @@
 from functools import partial
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import LeaderTerm
 from rosechute.messages import coordination_pb2 as pb
 
@@ -49,12 +49,12 @@
         """Return whether any machine could be granted the lease now."""
         context = self.context
         is_bound = context.now < max(self.granted_until, self.abstain_until)
-        return context.is_acceptor and context.settled and not is_bound
+        return context.is_acceptor and context.is_epoch_adopted and not is_bound
 
     def reserved_for(self) -> str:
         """Return the id of the only machine that could be granted the lease now; empty for none, or for any."""
         context = self.context
-        if not context.is_acceptor or not context.settled:
+        if not context.is_acceptor or not context.is_epoch_adopted:
             return ""
         if context.now < self.granted_until:
             return self.granted_term.holder
@@ -66,24 +66,24 @@
         self.context.record_writer.defer(None)  # a deferred grantee of an older view says nothing of this one
         self.abstain_until = max(self.abstain_until, self.context.now + self.context.timing.lease)
 
-    def on_request(self, sender: Identity, incarnation: int, request: pb.LeaseRequest) -> None:
+    def on_request(self, sender: MachineIdentity, incarnation: int, request: pb.LeaseRequest) -> None:
         """Grant or renew the lease for a candidate or leader, once what the grant depends on is synced."""
         context = self.context
         requested = LeaderTerm(request.term, sender.id, incarnation)
         if not self._may_grant(sender, request, requested):
             return
         self.granted_term, self.granted_until = requested, context.now + context.timing.lease
-        if context.memory.grantee != sender.id:
+        if context.replica_state.grantee != sender.id:
             self._save_grantee(sender, request)
-        if not request.renewal and requested != context.memory.term:
-            self._previous = requested, context.memory.term.number
+        if not request.renewal and requested != context.replica_state.term:
+            self._previous = requested, context.replica_state.term.number
             self._write_record(pb.Record(term=requested.to_message()))
         context.record_writer.call_when_synced(self._record_number, partial(self._grant, sender, request, requested))
 
-    def _save_grantee(self, sender: Identity, request: pb.LeaseRequest) -> None:
-        memory, writer = self.context.memory, self.context.record_writer
-        record = pb.Record(grantee=pb.GranteeRecord(holder=sender.id, number=memory.grantee_number + 1))
-        if request.renewal and not memory.grantee:
+    def _save_grantee(self, sender: MachineIdentity, request: pb.LeaseRequest) -> None:
+        replica_state, writer = self.context.replica_state, self.context.record_writer
+        record = pb.Record(grantee=pb.GranteeRecord(holder=sender.id, number=replica_state.grantee_number + 1))
+        if request.renewal and not replica_state.grantee:
             writer.defer(record)
         else:
             self._write_record(record)
@@ -92,15 +92,15 @@
         self.context.record_writer.write(record)
         self._record_number = self.context.record_writer.last_number
 
-    def on_release(self, sender: Identity, incarnation: int, release: pb.LeaseRelease) -> None:
+    def on_release(self, sender: MachineIdentity, incarnation: int, release: pb.LeaseRelease) -> None:
         """Take a grant back from the process that releases it, so that others can be granted the lease at once."""
         if self.granted_term == LeaderTerm(release.term, sender.id, incarnation):
             self.granted_term, self.granted_until = LeaderTerm(), min(self.granted_until, self.context.now)
-            self.context.announce = True
+            self.context.heartbeat_due = True
 
-    def _may_grant(self, sender: Identity, request: pb.LeaseRequest, requested: LeaderTerm) -> bool:
-        context, memory = self.context, self.context.memory
-        if request.epoch != memory.view.epoch or not context.is_acceptor or not context.settled:
+    def _may_grant(self, sender: MachineIdentity, request: pb.LeaseRequest, requested: LeaderTerm) -> bool:
+        context, replica_state = self.context, self.context.replica_state
+        if request.epoch != replica_state.view.epoch or not context.is_acceptor or not context.is_epoch_adopted:
             return False
         if context.now < self.abstain_until and sender.id != self.restored_grantee:
             return False
@@ -109,14 +109,14 @@
         if context.now < self.granted_until and self.granted_term.holder != sender.id:
             return False
         # A term is gained once, by a majority that has synced it for one process; a renewal gains no term.
-        return request.renewal or requested == memory.term or requested.number > memory.term.number
+        return request.renewal or requested == replica_state.term or requested.number > replica_state.term.number
 
-    def _grant(self, sender: Identity, request: pb.LeaseRequest, requested: LeaderTerm) -> None:
+    def _grant(self, sender: MachineIdentity, request: pb.LeaseRequest, requested: LeaderTerm) -> None:
         """Send the grant, unless the epoch or the grantee has changed while its records were synced."""
         context = self.context
-        if not context.settled or context.memory.view.epoch != request.epoch:
+        if not context.is_epoch_adopted or context.replica_state.view.epoch != request.epoch:
             return
-        if self.granted_term != requested or not (request.renewal or context.memory.term == requested):
+        if self.granted_term != requested or not (request.renewal or context.replica_state.term == requested):
             return
         self.granted_until = context.now + context.timing.lease
         grant = pb.LeaseGrant(
@@ -136,16 +136,16 @@
         context: what the parts of the replica share.
         grantor: the grantor of this machine.
     """
-    return sum(_is_available(context, grantor, acceptor) for acceptor in context.memory.view.acceptors)
+    return sum(_is_available(context, grantor, acceptor) for acceptor in context.replica_state.view.acceptors)
 
 
-def _is_available(context: Context, grantor: LeaseGrantor, acceptor: Identity) -> bool:
+def _is_available(context: Context, grantor: LeaseGrantor, acceptor: MachineIdentity) -> bool:
     """Return whether one acceptor would grant this machine the lease."""
     if acceptor.id == context.own.id:
         return grantor.is_free() or grantor.reserved_for() == context.own.id
     peer = context.failure_detector.peers.get(acceptor.id)
     if peer is None or not context.failure_detector.is_reachable(context.now, acceptor.id):
         return False
-    if peer.heartbeat.epoch != context.memory.view.epoch:
+    if peer.heartbeat.epoch != context.replica_state.view.epoch:
         return False
     return peer.heartbeat.lease_free or peer.heartbeat.lease_kept_for == context.own.id
--- a/rosechute/coordination/membership.py
+++ b/rosechute/coordination/membership.py
@@ -7,13 +7,13 @@
 
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
-from rosechute.coordination.confirm import Confirmer
 from rosechute.coordination.context import Context
+from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.planning import Joiner, Situation, any_view, needed_view
 from rosechute.coordination.proposer import Phase, Proposer
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import Ballot, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
@@ -28,7 +28,7 @@
         context: Context,
         acceptor: Acceptor,
         chain: Chain,
-        confirmer: Confirmer,
+        confirmer: EpochConfirmer,
         grantor: LeaseGrantor,
         holder: LeaderLease,
         committed: Callable[[], None],
@@ -46,7 +46,7 @@
     def adopt(self, view: View, state: RegisterState, accepted: Ballot | None = None) -> None:
         """Take over a decided view with its state."""
         context = self._context
-        joins = context.memory.joins(view)
+        joins = context.replica_state.joins(view)
         if accepted is not None:
             record = pb.AdoptRecord(accepted=accepted.to_message())
         else:
@@ -56,24 +56,24 @@
             self._lease_grantor.abstain()
         self._committed()
         self.proposer.stop()
-        self._chain.view_changed()
-        self._confirmer.stop()
+        self._chain.on_view_change()
+        self._confirmer.reject_all()
 
     def _adopted(self, epoch: int) -> None:
         """The adoption of a view is synced."""
         context = self._context
-        if context.memory.view.epoch == epoch:
-            context.adopted = context.joined = epoch
-            context.announce = True
+        if context.replica_state.view.epoch == epoch:
+            context.adopted_epoch = context.joined_epoch = epoch
+            context.heartbeat_due = True
             self.check_active()
 
     def check_active(self) -> None:
         """At the head: see whether all members of the chain have adopted the epoch."""
         context = self._context
-        view = context.memory.view
-        if self._chain.active or not view.chain or view.chain[0] != context.own.id:
+        view = context.replica_state.view
+        if self._chain.is_active or not view.chain or view.chain[0] != context.own.id:
             return
-        if context.joined != view.epoch or not context.settled:
+        if context.joined_epoch != view.epoch or not context.is_epoch_adopted:
             return
         for member in view.chain[1:]:
             peer = context.failure_detector.peers.get(member)
@@ -83,38 +83,45 @@
 
     def on_chosen(self, chosen: pb.Chosen) -> None:
         """The proposal of this ballot is decided."""
-        memory = self._context.memory
+        replica_state = self._context.replica_state
         ballot = Ballot.from_message(chosen.ballot)
-        if chosen.epoch != memory.view.epoch or memory.accepted is None or memory.accepted.ballot != ballot:
+        if (
+            chosen.epoch != replica_state.view.epoch
+            or replica_state.accepted is None
+            or replica_state.accepted.ballot != ballot
+        ):
             return
-        self.adopt(memory.accepted.view, memory.accepted.state, ballot)
+        self.adopt(replica_state.accepted.view, replica_state.accepted.state, ballot)
 
     def on_decided(self, decided: pb.Decided) -> None:
         """A decided view came whole, with a state of it that stays."""
-        context, memory = self._context, self._context.memory
+        context, replica_state = self._context, self._context.replica_state
         view, state = decided.view, decided.state
-        if view.epoch > memory.view.epoch:
+        if view.epoch > replica_state.view.epoch:
             self.adopt(View.from_message(view), RegisterState.from_message(state))
-        elif not context.in_chain and (view.epoch, state.sequence) > (memory.view.epoch, memory.newest.sequence):
+        elif not context.is_in_chain and (view.epoch, state.sequence) > (
+            replica_state.view.epoch,
+            replica_state.newest.sequence,
+        ):
             # Members of the chain get writes in order, through the chain.
             context.record_writer.write(pb.Record(learn=pb.LearnRecord(state=state)))
             self._committed()
 
-    def fetch_if_behind(self, sender: Identity, beat: pb.Heartbeat) -> None:
+    def fetch_if_behind(self, sender: MachineIdentity, beat: pb.Heartbeat) -> None:
         """Ask a machine for what it has and this one lacks."""
-        context, memory = self._context, self._context.memory
-        epoch, committed = memory.view.epoch, memory.committed.sequence
-        missing = not context.in_chain and beat.committed > memory.newest.sequence
+        context, replica_state = self._context, self._context.replica_state
+        epoch, committed = replica_state.view.epoch, replica_state.committed.sequence
+        missing = not context.is_in_chain and beat.committed > replica_state.newest.sequence
         behind = beat.epoch > epoch or (beat.epoch == epoch and missing)
         if behind and context.now - self._last_fetch >= FETCH_PAUSE_S:
             self._last_fetch = context.now
             context.outbox.send(sender, pb.CoreMessage(fetch=pb.Fetch(epoch=epoch, sequence=committed)))
 
-    def on_fetch(self, sender: Identity, fetch: pb.Fetch) -> None:
+    def on_fetch(self, sender: MachineIdentity, fetch: pb.Fetch) -> None:
         """Another machine lacks what this one has."""
-        memory = self._context.memory
-        if (memory.view.epoch, memory.committed.sequence) > (fetch.epoch, fetch.sequence):
-            decided = pb.Decided(view=memory.view.to_message(), state=memory.committed.to_message())
+        replica_state = self._context.replica_state
+        if (replica_state.view.epoch, replica_state.committed.sequence) > (fetch.epoch, fetch.sequence):
+            decided = pb.Decided(view=replica_state.view.to_message(), state=replica_state.committed.to_message())
             self._context.outbox.send(sender, pb.CoreMessage(decided=decided))
 
     def tick(self) -> None:
@@ -126,20 +133,20 @@
     def _consider(self) -> None:
         """Propose the next view: as the leader when one is needed, as any acceptor when an epoch stays sealed."""
         context = self._context
-        if self.proposer.phase is not Phase.IDLE or not context.is_acceptor or not context.healthy:
+        if self.proposer.phase is not Phase.IDLE or not context.is_acceptor or not context.is_healthy:
             return
         if self._leader_lease.is_held(context.now):
-            if context.memory.sealed or needed_view(context.memory.view, self._situation()) is not None:
+            if context.replica_state.sealed or needed_view(context.replica_state.view, self._situation()) is not None:
                 self.proposer.begin()
-        elif context.memory.sealed:
-            wait = context.timing.recover_sealed + context.timing.heartbeat * self._context.place()
+        elif context.replica_state.sealed:
+            wait = context.timing.recover_sealed + context.timing.heartbeat * self._context.chain_position()
             if context.now - self._acceptor.sealed_since >= wait:
                 self.proposer.begin()
 
     def _choose_view(self, answering: set[str]) -> View:
         """The view to propose, now that the epoch is sealed."""
         context = self._context
-        view = context.memory.view
+        view = context.replica_state.view
         situation = self._situation()
         chosen = any_view(view, situation, answering)
         for member in view.chain:
@@ -149,12 +156,12 @@
 
     def _on_decision(self, proposal: Proposal) -> None:
         self.on_chosen(pb.Chosen(epoch=proposal.view.epoch - 1, ballot=proposal.ballot.to_message()))
-        if self._context.memory.view.epoch < proposal.view.epoch:
+        if self._context.replica_state.view.epoch < proposal.view.epoch:
             self.adopt(proposal.view, proposal.state)
 
     def _situation(self) -> Situation:
         context = self._context
-        detector, view, now = context.failure_detector, context.memory.view, context.now
+        detector, view, now = context.failure_detector, context.replica_state.view, context.now
         usable, restarted, joiners = {context.own.id}, set(), []
         leaving, returning = set(), set()
         for machine_id, peer in detector.peers.items():
@@ -169,7 +176,7 @@
                     joiners.append(Joiner(peer.identity, peer.heartbeat.newcomer))
             if peer.is_healthy and peer.heartbeat.epoch == view.epoch and not peer.heartbeat.joined:
                 restarted.add(machine_id)
-        if context.joined != view.epoch and context.adopted == view.epoch:
+        if context.joined_epoch != view.epoch and context.adopted_epoch == view.epoch:
             restarted.add(context.own.id)
         for member in view.chain:
             if detector.silence_s(now, member) < context.timing.suspect and member not in detector.peers:
@@ -189,7 +196,7 @@
             granting=self._leader_lease.count_granting_acceptors(),
         )
 
-    def _details(self, machine_id: str) -> Identity | None:
+    def _details(self, machine_id: str) -> MachineIdentity | None:
         if machine_id == self._context.own.id:
             return self._context.own
         peer = self._context.failure_detector.peers.get(machine_id)
--- a/rosechute/coordination/outbox.py
+++ b/rosechute/coordination/outbox.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from rosechute.coordination.types import Action, Answer, Identity, Outcome, Send
+from rosechute.coordination.types import Action, MachineIdentity, Outcome, Reply, SendMessage
 from rosechute.coordination.views import identity_to_message
 from rosechute.messages import coordination_pb2 as pb
 
@@ -14,30 +14,30 @@
 class Outbox:
     """Actions of the current call. Messages to this machine itself are handled within the same call."""
 
-    own: Identity
+    own: MachineIdentity
     incarnation: int
     actions: list[Action] = field(default_factory=list)
-    local: deque[pb.CoreMessage] = field(default_factory=deque)
+    local_messages: deque[pb.CoreMessage] = field(default_factory=deque)
 
-    def send(self, target: Identity, message: pb.CoreMessage) -> None:
+    def send(self, target: MachineIdentity, message: pb.CoreMessage) -> None:
         """Send to a machine, or hand over where the machine is this one."""
         self._sign(message)
         if target.id == self.own.id:
-            self.local.append(message)
+            self.local_messages.append(message)
         else:
-            self.actions.append(Send(target.peer_address, message))
+            self.actions.append(SendMessage(target.peer_address, message))
 
     def send_to_address(self, address: str, message: pb.CoreMessage) -> None:
         """Send to an address of which no more is known."""
         self._sign(message)
         if address != self.own.peer_address:
-            self.actions.append(Send(address, message))
+            self.actions.append(SendMessage(address, message))
 
-    def answer(self, request: int, outcome: Outcome) -> None:
+    def reply(self, request: int, outcome: Outcome) -> None:
         """Answer an order or a read."""
-        self.actions.append(Answer(request, outcome))
+        self.actions.append(Reply(request, outcome))
 
-    def take(self) -> list[Action]:
+    def drain(self) -> list[Action]:
         """The actions so far, in order."""
         actions, self.actions = self.actions, []
         return actions
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass, replace
 
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import View
 
 
@@ -14,7 +14,7 @@
 class Joiner:
     """A machine that is not an acceptor and asks to be one."""
 
-    identity: Identity
+    identity: MachineIdentity
     newcomer: bool  # it started with the system: the view grows for it
 
 
@@ -26,7 +26,9 @@
     usable: Collection[str]  # may be in the chain
     restarted: Collection[str]  # members of the chain that have to adopt a view anew
     joiners: Sequence[Joiner]
-    details: Callable[[str], Identity | None]  # newest identity of a machine: the first view knows addresses only
+    details: Callable[
+        [str], MachineIdentity | None
+    ]  # newest identity of a machine: the first view knows addresses only
     leaving: Collection[str]  # acceptors whose processes are about to end
     returning: Collection[str]  # healthy, but not for long enough: in the chain only where it lacks a majority
     silence_s: Callable[[str], float]
@@ -88,7 +90,7 @@
     return _without(view, longest)
 
 
-def _without(view: View, acceptor: Identity) -> View:
+def _without(view: View, acceptor: MachineIdentity) -> View:
     return replace(view, acceptors=tuple(each for each in view.acceptors if each.id != acceptor.id))
 
 
--- a/rosechute/coordination/proposer.py
+++ b/rosechute/coordination/proposer.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field, replace
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
@@ -115,11 +115,11 @@
         context = self._context
         if self._attempt is not None or context.now < self.next_attempt_at:
             return
-        memory = context.memory
-        promised_round = memory.promised.round if memory.promised is not None else 0
+        replica_state = context.replica_state
+        promised_round = replica_state.promised.round if replica_state.promised is not None else 0
         self._highest_round = max(self._highest_round, promised_round) + 1
         ballot = Ballot(self._highest_round, context.own.id, context.incarnation)
-        self._attempt = _Attempt(memory.view.epoch, ballot, context.now, context.now, memory.newest)
+        self._attempt = _Attempt(replica_state.view.epoch, ballot, context.now, context.now, replica_state.newest)
         self._send_prepare(self._attempt)
 
     def tick(self) -> None:
@@ -127,7 +127,7 @@
         context, attempt = self._context, self._attempt
         if attempt is None:
             return
-        if attempt.epoch != context.memory.view.epoch:
+        if attempt.epoch != context.replica_state.view.epoch:
             self._attempt = None
         elif context.now - attempt.started_at > context.timing.proposal_timeout:
             self._abort()
@@ -142,7 +142,7 @@
         """Drop the attempt, as another view was adopted."""
         self._attempt = None
 
-    def on_promise(self, sender: Identity, promise: pb.Promise) -> None:
+    def on_promise(self, sender: MachineIdentity, promise: pb.Promise) -> None:
         """Handle phase 1b; with a majority of promises, send phase 2a."""
         attempt = self._matching_attempt(sender, promise.epoch, promise.ballot)
         if attempt is None or attempt.proposal is not None:
@@ -150,18 +150,18 @@
         accepted = Proposal.from_message(promise.accepted) if promise.HasField("accepted") else None
         state = RegisterState.from_message(promise.state) if promise.HasField("state") else attempt.own_state
         attempt.promises[sender.id] = _Promise(accepted, state, LeaderTerm.from_message(promise.term))
-        if len(attempt.promises) >= self._context.memory.view.majority:
+        if len(attempt.promises) >= self._context.replica_state.view.majority:
             attempt.proposal = attempt.choose_proposal(self._choose_view)
             attempt.sent_at = self._context.now
             self._send_accept(attempt, attempt.proposal)
 
-    def on_accepted(self, sender: Identity, accepted: pb.Accepted) -> None:
+    def on_accepted(self, sender: MachineIdentity, accepted: pb.Accepted) -> None:
         """Handle phase 2b; with a majority, the proposal is decided."""
         attempt = self._matching_attempt(sender, accepted.epoch, accepted.ballot)
         if attempt is None or attempt.proposal is None:
             return
         attempt.accepted_by.add(sender.id)
-        if len(attempt.accepted_by) >= self._context.memory.view.majority:
+        if len(attempt.accepted_by) >= self._context.replica_state.view.majority:
             self._attempt = None
             self._send_decision(attempt, attempt.proposal)
             self._on_decided(attempt.proposal)
@@ -175,9 +175,9 @@
         if attempt is not None and attempt.epoch == refused.epoch and attempt.ballot == ballot:
             self._abort()
 
-    def _matching_attempt(self, sender: Identity, epoch: int, ballot: pb.Ballot) -> _Attempt | None:
+    def _matching_attempt(self, sender: MachineIdentity, epoch: int, ballot: pb.Ballot) -> _Attempt | None:
         """Return the current attempt where a message of an acceptor answers it."""
-        attempt, view = self._attempt, self._context.memory.view
+        attempt, view = self._attempt, self._context.replica_state.view
         if attempt is None or epoch != attempt.epoch or epoch != view.epoch:
             return None
         is_answer = Ballot.from_message(ballot) == attempt.ballot and view.is_acceptor(sender.id)
@@ -185,7 +185,7 @@
 
     def _send_prepare(self, attempt: _Attempt) -> None:
         """Send phase 1a to the acceptors that have not promised yet."""
-        for acceptor in self._context.memory.view.acceptors:
+        for acceptor in self._context.replica_state.view.acceptors:
             if acceptor.id not in attempt.promises:
                 prepare = pb.Prepare(
                     epoch=attempt.epoch,
@@ -198,14 +198,14 @@
     def _send_accept(self, attempt: _Attempt, proposal: Proposal) -> None:
         """Send phase 2a to the acceptors that have not accepted yet."""
         message = proposal.to_message()
-        for acceptor in self._context.memory.view.acceptors:
+        for acceptor in self._context.replica_state.view.acceptors:
             if acceptor.id not in attempt.accepted_by:
                 accept = pb.Accept(epoch=attempt.epoch, proposal=message)
                 self._context.outbox.send(acceptor, pb.CoreMessage(accept=accept))
 
     def _send_decision(self, attempt: _Attempt, proposal: Proposal) -> None:
         """Send the decision: the ballot alone to machines that accepted the proposal, the whole view to others."""
-        acceptors = (*self._context.memory.view.acceptors, *proposal.view.acceptors)
+        acceptors = (*self._context.replica_state.view.acceptors, *proposal.view.acceptors)
         for acceptor in {acceptor.id: acceptor for acceptor in acceptors}.values():
             if acceptor.id == self._context.own.id:
                 continue
--- a/rosechute/coordination/record_writer.py
+++ b/rosechute/coordination/record_writer.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rosechute.coordination.memory import Memory
-from rosechute.coordination.types import Persist, Timing
+from rosechute.coordination.replica_state import ReplicaState
+from rosechute.coordination.types import PersistRecords, Timing
 from rosechute.messages import coordination_pb2 as pb
 
 
@@ -44,7 +44,7 @@
     """
 
     timing: Timing
-    memory: Memory
+    replica_state: ReplicaState
     replace_next: bool = False
     last_number: int = 0
     synced_number: int = 0
@@ -65,7 +65,7 @@
             record: the change.
             callback: called once the record is synced.
         """
-        self.memory.apply(record)
+        self.replica_state.apply(record)
         self.last_number += 1
         if not self.has_failed:
             self._unwritten.append(record.SerializeToString())
@@ -87,7 +87,7 @@
         else:
             self._callbacks.append((number, callback))
 
-    def flush(self, now: float) -> Persist | None:
+    def flush(self, now: float) -> PersistRecords | None:
         """Return the next batch to write, or None where there is nothing to write."""
         if not self._unwritten:
             return None
@@ -99,7 +99,7 @@
         self._token += 1
         self._batches.append(_Batch(self._token, self.last_number, now, is_probe))
         replaces, self.replace_next = self.replace_next, False
-        return Persist(self._token, records, replaces)
+        return PersistRecords(self._token, records, replaces)
 
     def oldest_write_age_s(self, now: float) -> float:
         """Return for how many seconds the oldest batch has been in flight; 0 where none is."""
@@ -126,7 +126,7 @@
         """Queue the whole state, which replaces all records on the disk."""
         self.has_failed = False
         self.replace_next = True
-        self._unwritten.append(self.memory.whole().SerializeToString())
+        self._unwritten.append(self.replica_state.whole().SerializeToString())
 
     def _probe(self) -> None:
         """Queue a record that changes nothing, to see how long its sync takes."""
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -7,25 +7,25 @@
 
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
-from rosechute.coordination.confirm import Confirmer
 from rosechute.coordination.context import Context
+from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.coordination.freshness import Freshness
 from rosechute.coordination.heartbeats import Heartbeats
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.membership import Membership
-from rosechute.coordination.memory import RateLeaseHolders, load
 from rosechute.coordination.outbox import Outbox
 from rosechute.coordination.record_writer import RecordWriter
+from rosechute.coordination.replica_state import RateLeaseOwners, load_replica_state
 from rosechute.coordination.types import (
     Action,
-    Committed,
     CommittedConfiguration,
-    HoldersNoted,
-    Identity,
-    Order,
+    ConfigurationCommitted,
+    MachineIdentity,
+    RateLeaseOwnersPersisted,
     ReplicaConfig,
+    WriteRequest,
 )
 from rosechute.coordination.views import (
     RegisterState,
@@ -48,9 +48,9 @@
 
     def __init__(self, config: ReplicaConfig, saved: Sequence[bytes], now: float, draw: Callable[[], float]) -> None:
         self.config = config
-        memory = load(saved)
-        self._empty = memory.machine is None
-        own = self._identity(config, memory.machine, draw)
+        replica_state = load_replica_state(saved)
+        self._empty = replica_state.machine is None
+        own = self._identity(config, replica_state.machine, draw)
         incarnation = int(draw() * 2**INCARNATION_BITS) + 1
         context = Context(
             own=own,
@@ -58,8 +58,8 @@
             timing=config.timing,
             draw=draw,
             now=now,
-            memory=memory,
-            record_writer=RecordWriter(config.timing, memory, replace_next=self._empty),
+            replica_state=replica_state,
+            record_writer=RecordWriter(config.timing, replica_state, replace_next=self._empty),
             outbox=Outbox(own, incarnation),
             failure_detector=FailureDetector(own, incarnation, config.timing, now),
         )
@@ -67,9 +67,9 @@
         self._started = False
         self._last_call = now
         self._told = 0  # sequence of the newest configuration that was told as committed
-        self._lease_grantor = LeaseGrantor(context, now + config.timing.lease, restored_grantee=memory.grantee)
+        self._lease_grantor = LeaseGrantor(context, now + config.timing.lease, restored_grantee=replica_state.grantee)
         self._leader_lease = LeaderLease(context, self._lease_grantor)
-        self._confirmer = Confirmer(context)
+        self._confirmer = EpochConfirmer(context)
         self._chain = Chain(context, self._confirmer, self._tell_committed)
         self._acceptor = Acceptor(context)
         self._membership = Membership(
@@ -97,10 +97,10 @@
             if self.config.bootstrap and self.config.seeds:
                 self._membership.adopt(bootstrap_view(self.config.seeds), RegisterState(epoch=1))
         else:
-            view = context.memory.view
-            context.adopted = view.epoch
+            view = context.replica_state.view
+            context.adopted_epoch = view.epoch
             if view.chain and view.chain[-1] == context.own.id:
-                context.memory.commit()  # what the tail has stored, the others have too
+                context.replica_state.commit()  # what the tail has stored, the others have too
             self._begin()
             self._tell_committed()
         return self._leave()
@@ -111,12 +111,12 @@
         context = self._context
         context.record_writer.tick(now)
         if self._started:
-            kept = {each.id for each in context.memory.view.acceptors}
+            kept = {each.id for each in context.replica_state.view.acceptors}
             context.failure_detector.tick(now, kept, is_planning=self._leader_lease.is_held(now))
             self._leader_lease.tick()
             self._membership.tick()
             self._freshness.update()
-            context.announce |= now >= self._heartbeats.next_at
+            context.heartbeat_due |= now >= self._heartbeats.next_at
         self._confirmer.tick()
         self._chain.tick()
         return self._leave()
@@ -140,10 +140,10 @@
         self._context.record_writer.on_persist_failed(now, token)
         return self._leave()
 
-    def submit(self, now: float, order: Order) -> list[Action]:
+    def propose_write(self, now: float, order: WriteRequest) -> list[Action]:
         """An operator's order at this machine; exactly one `Answer` follows, at once or later."""
         self._enter(now)
-        self._chain.submit(order)
+        self._chain.propose_write(order)
         return self._leave()
 
     def read(self, now: float, request: int) -> list[Action]:
@@ -155,18 +155,18 @@
     def resign(self, now: float) -> list[Action]:
         """This process is about to end: give the leader lease back, and let the others go on without this machine."""
         self._enter(now)
-        self._context.leaving = True
-        self._context.announce = True
+        self._context.is_leaving = True
+        self._context.heartbeat_due = True
         self._leader_lease.release()
         return self._leave()
 
-    def note_holders(self, now: float, term: int, edges: frozenset[str]) -> list[Action]:
+    def persist_rate_lease_owners(self, now: float, term: int, edges: frozenset[str]) -> list[Action]:
         """Note on the disk that no other edges may hold rate leases of this term or an earlier one; nothing where
         this machine doesn't lead with that term any more."""
         self._enter(now)
         if self._leader_lease.is_held(now) and self._leader_lease.term == term:
-            record = pb.Record(rate_lease_holders=RateLeaseHolders(term, edges).to_message())
-            noted = HoldersNoted(term, edges)
+            record = pb.Record(rate_lease_holders=RateLeaseOwners(term, edges).to_message())
+            noted = RateLeaseOwnersPersisted(term, edges)
             self._context.record_writer.write(record, partial(self._context.outbox.actions.append, noted))
         return self._leave()
 
@@ -176,37 +176,37 @@
 
     def snapshot(self) -> list[bytes]:
         """Records that replace all earlier ones."""
-        return [self._context.memory.whole().SerializeToString()]
+        return [self._context.replica_state.whole().SerializeToString()]
 
     # Read-only views
 
     @property
-    def identity(self) -> Identity:
+    def identity(self) -> MachineIdentity:
         """This machine."""
         return self._context.own
 
     @property
     def view(self) -> View:
         """The newest view that this machine knows."""
-        return self._context.memory.view
+        return self._context.replica_state.view
 
     @property
     def term(self) -> int:
         """Term of the leader lease: the own one while this machine leads, else the newest known."""
         if self._leader_lease.is_held(self._context.now):
             return self._leader_lease.term
-        return self._context.memory.term.number
+        return self._context.replica_state.term.number
 
     @property
     def committed(self) -> CommittedConfiguration | None:
         """The newest configuration that is known to stay."""
-        return self._context.memory.committed.committed_configuration()
+        return self._context.replica_state.committed.committed_configuration()
 
     def is_leader(self, now: float) -> bool:
         """Whether this machine holds the leader lease."""
         return self._leader_lease.is_held(now)
 
-    def leader_hint(self) -> Identity | None:
+    def leader_hint(self) -> MachineIdentity | None:
         """Who leads, as far as this machine knows."""
         context = self._context
         if self._leader_lease.is_held(context.now):
@@ -218,16 +218,16 @@
         ]
         return max(claims, key=lambda peer: peer.heartbeat.term).identity if claims else None
 
-    def head(self) -> Identity | None:
+    def head(self) -> MachineIdentity | None:
         """Who takes orders."""
         return self.view.head()
 
-    def tail(self) -> Identity | None:
+    def tail(self) -> MachineIdentity | None:
         """Who answers reads."""
         return self.view.tail()
 
     @property
-    def handed_over(self) -> bool:
+    def is_handed_over(self) -> bool:
         """Whether the newest view counts on this machine no more: it is out of the chain, and no surplus acceptor."""
         view = self.view
         surplus = len(view.acceptors) > view.size
@@ -237,7 +237,7 @@
         """At a moment so many seconds ago, the newest acknowledged sequence was at most this one."""
         return self._freshness.read(now)
 
-    def core_machines(self) -> list[Identity]:
+    def core_machines(self) -> list[MachineIdentity]:
         """The acceptors, and the machines that ask to join."""
         machines = {each.id: each for each in self.view.acceptors}
         for peer in self._context.failure_detector.peers.values():
@@ -259,14 +259,14 @@
     def _leave(self) -> list[Action]:
         context = self._context
         outbox = context.outbox
-        while outbox.local:
-            self._handle(outbox.local.popleft())
-        if context.announce and self._started:
+        while outbox.local_messages:
+            self._handle(outbox.local_messages.popleft())
+        if context.heartbeat_due and self._started:
             self._heartbeats.send()
         persist = context.record_writer.flush(context.now)
         if persist is not None:
             outbox.actions.append(persist)
-        return outbox.take()
+        return outbox.drain()
 
     def _handle(self, message: pb.CoreMessage) -> None:
         kind = message.WhichOneof("body")
@@ -275,27 +275,27 @@
 
     def _begin(self) -> None:
         self._started = True
-        self._context.announce = True
+        self._context.heartbeat_due = True
 
     def _tell_committed(self) -> None:
         """Tell the newest configuration that stays, once."""
         configuration = self.committed
         if configuration is not None and configuration.sequence > self._told:
             self._told = configuration.sequence
-            self._context.outbox.actions.append(Committed(configuration))
+            self._context.outbox.actions.append(ConfigurationCommitted(configuration))
 
     @staticmethod
-    def _identity(config: ReplicaConfig, saved: Identity | None, draw: Callable[[], float]) -> Identity:
+    def _identity(config: ReplicaConfig, saved: MachineIdentity | None, draw: Callable[[], float]) -> MachineIdentity:
         """The id belongs to the disk, the rest to the settings."""
         if saved is not None:
             machine_id = saved.id
         else:
             machine_id = bootstrap_id(config.control_address) if config.bootstrap else random_id(draw)
-        return Identity(machine_id, config.name, config.zone, config.control_address, config.peer_address)
+        return MachineIdentity(machine_id, config.name, config.zone, config.control_address, config.peer_address)
 
     # Messages
 
-    def _make_handlers(self) -> dict[str, Callable[[pb.CoreMessage, Identity], None]]:
+    def _make_handlers(self) -> dict[str, Callable[[pb.CoreMessage, MachineIdentity], None]]:
         acceptor, chain, confirmer, membership = self._acceptor, self._chain, self._confirmer, self._membership
         grantor, proposer = self._lease_grantor, membership.proposer
         return {
@@ -316,7 +316,7 @@
             "lease_release": lambda message, sender: grantor.on_release(sender, message.boot, message.lease_release),
         }
 
-    def _on_heartbeat(self, message: pb.CoreMessage, sender: Identity) -> None:
+    def _on_heartbeat(self, message: pb.CoreMessage, sender: MachineIdentity) -> None:
         if self._heartbeats.receive(sender, message.boot, message.heartbeat) is not None:
             self._membership.check_active()
             self._freshness.update()
--- a/rosechute/coordination/memory.py
+++ b/rosechute/coordination/replica_state.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import (
     Ballot,
     LeaderTerm,
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RateLeaseHolders:
+class RateLeaseOwners:
     """The only edges that may hold rate leases of this term or an earlier one, as this machine noted while it led."""
 
     term: int = 0  # 0: nothing was noted
@@ -36,10 +36,10 @@
 
 
 @dataclass(slots=True)
-class Memory:
+class ReplicaState:
     """The durable knowledge of a machine. `written` is a chain write that isn't known to stay yet."""
 
-    machine: Identity | None = None
+    machine: MachineIdentity | None = None
     newcomer: bool = False  # started with the system, and not an acceptor so far
     view: View = View()
     committed: RegisterState = RegisterState()
@@ -49,7 +49,7 @@
     term: LeaderTerm = LeaderTerm()
     grantee: str = ""  # to whom the newest grant of the leader lease was given; empty before the first as acceptor
     grantee_number: int = 0  # of the record that told
-    holders: RateLeaseHolders = RateLeaseHolders()
+    rate_lease_owners: RateLeaseOwners = RateLeaseOwners()
 
     @property
     def sealed(self) -> bool:
@@ -91,7 +91,7 @@
         elif kind == "grantee":
             self._apply_grantee(record.grantee)
         elif kind == "rate_lease_holders":
-            self._apply_holders(record.rate_lease_holders)
+            self._apply_rate_lease_owners(record.rate_lease_holders)
         elif kind == "whole":
             self._apply_whole(record.whole)
 
@@ -145,9 +145,9 @@
         if record.number > self.grantee_number:
             self.grantee, self.grantee_number = record.holder, record.number
 
-    def _apply_holders(self, record: pb.RateLeaseHoldersRecord) -> None:
-        if record.term >= self.holders.term:
-            self.holders = RateLeaseHolders(record.term, frozenset(record.edges))
+    def _apply_rate_lease_owners(self, record: pb.RateLeaseHoldersRecord) -> None:
+        if record.term >= self.rate_lease_owners.term:
+            self.rate_lease_owners = RateLeaseOwners(record.term, frozenset(record.edges))
 
     def _apply_whole(self, record: pb.WholeRecord) -> None:
         self.machine, self.newcomer = identity_from_message(record.machine.machine), record.machine.newcomer
@@ -160,7 +160,7 @@
         self.term = LeaderTerm.from_message(record.term)
         self.grantee, self.grantee_number = record.grantee.holder, record.grantee.number
         noted = record.rate_lease_holders
-        self.holders = RateLeaseHolders(noted.term, frozenset(noted.edges))
+        self.rate_lease_owners = RateLeaseOwners(noted.term, frozenset(noted.edges))
 
     def whole(self) -> pb.Record:
         """One record that replaces all earlier ones."""
@@ -169,14 +169,14 @@
             committed=self.committed.to_message(),
             term=self.term.to_message(),
             grantee=pb.GranteeRecord(holder=self.grantee, number=self.grantee_number),
-            rate_lease_holders=self.holders.to_message(),
+            rate_lease_holders=self.rate_lease_owners.to_message(),
         )
         if self.machine is not None:
             whole.machine.CopyFrom(
                 pb.MachineRecord(machine=identity_to_message(self.machine), newcomer=self.newcomer)
             )
         if self.written is not None:
-            whole.written.CopyFrom(write_message(self.written))
+            whole.written.CopyFrom(chain_write_message(self.written))
         if self.promised is not None:
             whole.promised.CopyFrom(self.promised.to_message())
         if self.accepted is not None:
@@ -184,15 +184,15 @@
         return pb.Record(whole=whole)
 
 
-def write_message(state: RegisterState) -> pb.ChainWrite:
+def chain_write_message(state: RegisterState) -> pb.ChainWrite:
     """The chain write that leads to this state."""
     configuration = pb.Configuration(version=state.version, body=state.body, digest=state.digest)
     return pb.ChainWrite(epoch=state.epoch, sequence=state.sequence, configuration=configuration)
 
 
-def load(saved: Iterable[bytes]) -> Memory:
+def load_replica_state(saved: Iterable[bytes]) -> ReplicaState:
     """The state that these records lead to."""
-    memory = Memory()
+    replica_state = ReplicaState()
     for data in saved:
-        memory.apply(pb.Record.FromString(data))
-    return memory
+        replica_state.apply(pb.Record.FromString(data))
+    return replica_state
--- a/rosechute/coordination/types.py
+++ b/rosechute/coordination/types.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class MachineIdentity:
     """A core machine. `id` belongs to its disk: a wiped machine has another one."""
 
     id: str
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class WriteRequest:
     """An operator's order: replace the configuration of `base_version` by this one. The digest covers both."""
 
     request: int
@@ -79,33 +79,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledged:
+class WriteAcknowledged:
     """The order was taken."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stale:
+class VersionConflict:
     """The order is refused for good: another version is current."""
 
     current_version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class Redirect:
     """Another machine answers this."""
 
     control_address: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
+class OutcomeUnknown:
     """No certain answer can be given now; the order may or may not come into force."""
 
 
 @dataclass(frozen=True, slots=True)
-class Configuration:
+class ReadResult:
     """Answer of a read."""
 
     sequence: int
@@ -119,11 +119,11 @@
     """Answer of a read: certainly none was taken yet."""
 
 
-Outcome = Acknowledged | Stale | Elsewhere | Unsure | Configuration | NoConfiguration
+Outcome = WriteAcknowledged | VersionConflict | Redirect | OutcomeUnknown | ReadResult | NoConfiguration
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     """Send a message to the link at this address; it may be dropped."""
 
     address: str
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Persist:
+class PersistRecords:
     """Append these records and sync; then call `persisted(token)`, or `persist_failed(token)`.
 
     With `replaces` they stand for everything: on an empty disk, and after a write that failed.
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Reply:
     """The one answer to an order or a read."""
 
     request: int
@@ -151,31 +151,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Committed:
+class ConfigurationCommitted:
     """A newer configuration is known to stay."""
 
     configuration: CommittedConfiguration
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseGained:
+class LeadershipGained:
     """This machine holds the leader lease from here on."""
 
     term: int
-    holders: frozenset[str] | None = None  # the only edges that may hold rate leases of earlier terms; None: any may
+    rate_lease_owners: frozenset[str] | None = (
+        None  # the only edges that may hold rate leases of earlier terms; None: any may
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseLost:
+class LeadershipLost:
     """This machine holds the leader lease no more."""
 
 
 @dataclass(frozen=True, slots=True)
-class HoldersNoted:
+class RateLeaseOwnersPersisted:
     """The edges that may hold rate leases are synced."""
 
     term: int
     edges: frozenset[str]
 
 
-Action = Send | Persist | Answer | Committed | LeaseGained | LeaseLost | HoldersNoted
+Action = (
+    SendMessage
+    | PersistRecords
+    | Reply
+    | ConfigurationCommitted
+    | LeadershipGained
+    | LeadershipLost
+    | RateLeaseOwnersPersisted
+)
--- a/rosechute/coordination/views.py
+++ b/rosechute/coordination/views.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from rosechute.coordination.types import CommittedConfiguration, Identity
+from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
 MACHINE_ID_CHARACTERS = 16  # of a machine id: 64 bits in hexadecimal
@@ -41,7 +41,7 @@
     return f"{int(draw() * 2**32):08x}{int(draw() * 2**32):08x}"
 
 
-def identity_to_message(identity: Identity) -> pb.Machine:
+def identity_to_message(identity: MachineIdentity) -> pb.Machine:
     """Return the message for a machine's identity."""
     return pb.Machine(
         id=identity.id,
@@ -52,9 +52,9 @@
     )
 
 
-def identity_from_message(machine: pb.Machine) -> Identity:
+def identity_from_message(machine: pb.Machine) -> MachineIdentity:
     """Return the machine's identity that a message carries."""
-    return Identity(machine.id, machine.name, machine.zone, machine.control, machine.peer)
+    return MachineIdentity(machine.id, machine.name, machine.zone, machine.control, machine.peer)
 
 
 class StateTag(NamedTuple):
@@ -126,7 +126,7 @@
     """
 
     epoch: int = 0
-    acceptors: tuple[Identity, ...] = ()
+    acceptors: tuple[MachineIdentity, ...] = ()
     chain: tuple[str, ...] = ()
     size: int = 0
     base_tag: StateTag = StateTag(0, 0)
@@ -137,7 +137,7 @@
         """The quorum size: the smallest number of acceptors that is more than half of them."""
         return len(self.acceptors) // 2 + 1
 
-    def acceptor(self, machine_id: str) -> Identity | None:
+    def acceptor(self, machine_id: str) -> MachineIdentity | None:
         """Return the acceptor with this id, or None."""
         return next((acceptor for acceptor in self.acceptors if acceptor.id == machine_id), None)
 
@@ -145,15 +145,15 @@
         """Return whether the machine is an acceptor of this view."""
         return self.acceptor(machine_id) is not None
 
-    def head(self) -> Identity | None:
+    def head(self) -> MachineIdentity | None:
         """Return the head of the chain, which accepts writes, or None where the chain is empty."""
         return self.acceptor(self.chain[0]) if self.chain else None
 
-    def tail(self) -> Identity | None:
+    def tail(self) -> MachineIdentity | None:
         """Return the tail of the chain, which serves reads, or None where the chain is empty."""
         return self.acceptor(self.chain[-1]) if self.chain else None
 
-    def successor(self, machine_id: str) -> Identity | None:
+    def successor(self, machine_id: str) -> MachineIdentity | None:
         """Return the next member of the chain, or None for the tail.
 
         Raises:
@@ -200,7 +200,9 @@
     Args:
         seeds: (control address, peer address) of each machine.
     """
-    acceptors = tuple(Identity(bootstrap_id(control), "", "", control, peer) for control, peer in sorted(set(seeds)))
+    acceptors = tuple(
+        MachineIdentity(bootstrap_id(control), "", "", control, peer) for control, peer in sorted(set(seeds))
+    )
     return View(1, acceptors, tuple(acceptor.id for acceptor in acceptors), len(acceptors), StateTag(1, 0))
 
 
--- a/tests/fleet/coordination_parts.py
+++ b/tests/fleet/coordination_parts.py
@@ -6,10 +6,19 @@
 
 from rosechute.coordination.context import Context
 from rosechute.coordination.failure_detector import FailureDetector
-from rosechute.coordination.memory import Memory
 from rosechute.coordination.outbox import Outbox
 from rosechute.coordination.record_writer import RecordWriter
-from rosechute.coordination.types import Action, Answer, Identity, Order, Outcome, Persist, Send, Timing
+from rosechute.coordination.replica_state import ReplicaState
+from rosechute.coordination.types import (
+    Action,
+    MachineIdentity,
+    Outcome,
+    PersistRecords,
+    Reply,
+    SendMessage,
+    Timing,
+    WriteRequest,
+)
 from rosechute.coordination.views import (
     Ballot,
     LeaderTerm,
@@ -28,9 +37,9 @@
 TAKEN = b"D" * 16 + (50).to_bytes(8, "big")
 
 
-def identity(name: str) -> Identity:
+def identity(name: str) -> MachineIdentity:
     """The machine of this id."""
-    return Identity(name, f"name-{name}", f"zone-{name}", f"{name}:8367", f"{name}:7500")
+    return MachineIdentity(name, f"name-{name}", f"zone-{name}", f"{name}:8367", f"{name}:7500")
 
 
 def view(members: str = "abc", epoch: int = EPOCH, chain: str | None = None, **fields: Any) -> View:
@@ -60,11 +69,11 @@
 
     def __init__(self, own: str = "a", members: str = "abc", chain: str | None = None) -> None:
         self.own = identity(own)
-        self.memory = Memory(machine=self.own)
-        self.memory.view = view(members, chain=chain)
-        self.memory.committed = state()
+        self.replica_state = ReplicaState(machine=self.own)
+        self.replica_state.view = view(members, chain=chain)
+        self.replica_state.committed = state()
         self.timing = Timing()
-        self.disk = RecordWriter(self.timing, self.memory)
+        self.disk = RecordWriter(self.timing, self.replica_state)
         self.outbox = Outbox(self.own, OWN_INCARNATION)
         self.detector = FailureDetector(self.own, OWN_INCARNATION, self.timing, NOW - 60.0)
         self.context = Context(
@@ -73,12 +82,12 @@
             timing=self.timing,
             draw=lambda: 0.5,
             now=NOW,
-            memory=self.memory,
+            replica_state=self.replica_state,
             record_writer=self.disk,
             outbox=self.outbox,
             failure_detector=self.detector,
-            joined=EPOCH,
-            adopted=EPOCH,
+            joined_epoch=EPOCH,
+            adopted_epoch=EPOCH,
         )
         for each in members:
             if each != own:
@@ -119,30 +128,30 @@
             self.disk.on_persisted(self.now, persist.token)
         return written
 
-    def flush(self) -> Persist | None:
+    def flush(self) -> PersistRecords | None:
         return self.disk.flush(self.now)
 
-    def reload(self) -> Memory:
+    def reload(self) -> ReplicaState:
         """What a later process would find, by the whole state alone."""
-        found = Memory()
-        found.apply(self.memory.whole())
+        found = ReplicaState()
+        found.apply(self.replica_state.whole())
         return found
 
     def seal(self, round: int = 1) -> None:
         """Another machine has a promise for the next view."""
-        self.memory.promised = ballot(round)
+        self.replica_state.promised = ballot(round)
 
     # What was done
 
     def actions(self) -> list[Action]:
         """All actions since the last look; messages to this machine are dropped."""
-        self.outbox.local.clear()
-        return self.outbox.take()
+        self.outbox.local_messages.clear()
+        return self.outbox.drain()
 
     def messages(self, kind: str) -> list[tuple[str, Any]]:
         """Target and message for each of a kind since the last look, this machine as a target included."""
-        found = [(each.address[0], each.message) for each in self.outbox.actions if isinstance(each, Send)]
-        found += [(self.own.id, message) for message in self.outbox.local]
+        found = [(each.address[0], each.message) for each in self.outbox.actions if isinstance(each, SendMessage)]
+        found += [(self.own.id, message) for message in self.outbox.local_messages]
         self.actions()
         return [(to, getattr(message, kind)) for to, message in found if message.WhichOneof("body") == kind]
 
@@ -156,12 +165,14 @@
 
     def answers(self) -> list[tuple[int, Outcome]]:
         """The answers to operators since the last look."""
-        return [(each.request, each.outcome) for each in self.actions() if isinstance(each, Answer)]
+        return [(each.request, each.outcome) for each in self.actions() if isinstance(each, Reply)]
 
 
-def order(request: int, base: int = 50, version: int = 51, note: bytes = b"") -> Order:
+def order(request: int, base: int = 50, version: int = 51, note: bytes = b"") -> WriteRequest:
     """An order of an operator; another note makes it another order."""
-    return Order(request, base, version, b"body" + note, (b"%d on %d" % (version, base) + note).ljust(32, b"-"))
+    return WriteRequest(
+        request, base, version, b"body" + note, (b"%d on %d" % (version, base) + note).ljust(32, b"-")
+    )
 
 
 def machine(name: str) -> pb.Machine:
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -19,7 +19,7 @@
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.endpoint_list_page import EndpointListError, Instance, Page
 from rosechute.control_plane.endpoint_list_reader import EndpointListReader
-from rosechute.coordination.types import CommittedConfiguration, Identity
+from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
 from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import Position
@@ -134,23 +134,23 @@
 class ScriptedReplica:
     """What the coordination has come to at one machine, as the simulated core tells it. Times are the machine's."""
 
-    def __init__(self, identity: Identity) -> None:
+    def __init__(self, identity: MachineIdentity) -> None:
         self.identity = identity
         self.lease_until = -math.inf
-        self.leader: Identity | None = None
-        self.machines: list[Identity] = [identity]
+        self.leader: MachineIdentity | None = None
+        self.machines: list[MachineIdentity] = [identity]
         self.fresh: tuple[int, float] | None = None  # sequence, as of
 
     def is_leader(self, now: float) -> bool:
         return now < self.lease_until
 
-    def leader_hint(self) -> Identity | None:
+    def leader_hint(self) -> MachineIdentity | None:
         return self.leader
 
     def freshness(self, now: float) -> tuple[int, float] | None:
         return None if self.fresh is None else (self.fresh[0], now - self.fresh[1])
 
-    def core_machines(self) -> list[Identity]:
+    def core_machines(self) -> list[MachineIdentity]:
         return self.machines
 
 
@@ -191,7 +191,7 @@
         )
         self._process, self._send, self._platform, self._pages = process, send, platform, pages
         self._clock = process.local_now
-        identity = Identity(machine.name, machine.name, machine.zone, machine.address, machine.address)
+        identity = MachineIdentity(machine.name, machine.name, machine.zone, machine.address, machine.address)
         self.replica = ScriptedReplica(identity)
         stand_in: Any = SimpleNamespace(replica=self.replica)
         self._runtime = stand_in
--- a/tests/fleet/exploration/choices.py
+++ b/tests/fleet/exploration/choices.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from rosechute.coordination import Order
+from rosechute.coordination import WriteRequest
 from tests.fleet.exploration.machine import Machine
 from tests.fleet.exploration.world import World
 
@@ -91,14 +91,14 @@
     if name.startswith("read"):
         world.read(machine, request)
     else:
-        world.submit(machine, order(name.removesuffix("-again"), request))
+        world.propose_write(machine, order(name.removesuffix("-again"), request))
 
 
-def order(name: str, request: int) -> Order:
+def order(name: str, request: int) -> WriteRequest:
     """One of the operators' orders. All roots begin with version 1."""
     base, version = VERSIONS[name]
     body = f"{version} on {base}, {name}".encode()
-    return Order(request, base, version, body, hashlib.sha256(body).digest())
+    return WriteRequest(request, base, version, body, hashlib.sha256(body).digest())
 
 
 def play(world: World, choice: Choice) -> None:
--- a/tests/fleet/exploration/invariants.py
+++ b/tests/fleet/exploration/invariants.py
@@ -14,8 +14,15 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from rosechute.coordination import Acknowledged, Configuration, NoConfiguration, Order, Outcome, Stale
-from rosechute.coordination.memory import Memory, load
+from rosechute.coordination import (
+    NoConfiguration,
+    Outcome,
+    ReadResult,
+    VersionConflict,
+    WriteAcknowledged,
+    WriteRequest,
+)
+from rosechute.coordination.replica_state import ReplicaState, load_replica_state
 from rosechute.coordination.views import Ballot
 from rosechute.messages.coordination_pb2 import CoreMessage
 from tests.fleet.simulation.checkers import History
@@ -45,12 +52,12 @@
 
 
 @lru_cache(maxsize=4096)
-def on_disk(records: tuple[bytes, ...]) -> Memory:
+def on_disk(records: tuple[bytes, ...]) -> ReplicaState:
     """What a start from these records would know. Not to be changed."""
-    return load(records)
+    return load_replica_state(records)
 
 
-def _holds(disk: Memory, sequence: int) -> bool:
+def _holds(disk: ReplicaState, sequence: int) -> bool:
     """Whether a disk holds this sequence: in its state, or in one that it has accepted for the next view."""
     accepted = disk.accepted.state.sequence if disk.accepted is not None else 0
     return max(disk.newest.sequence, accepted) >= sequence
@@ -125,7 +132,7 @@
             or replica._context.record_writer.has_failed
         ):
             return
-        found, known = on_disk(machine.state.records), replica._context.memory
+        found, known = on_disk(machine.state.records), replica._context.replica_state
         parts = ("view", "newest", "promised", "accepted", "term", "machine", "newcomer")
         for part in parts:
             if getattr(found, part) != getattr(known, part):
@@ -154,13 +161,13 @@
             if found.view.epoch < told[0] or (found.view.epoch == told[0] and found.newest.sequence < told[1]):
                 self._object("durable", f"{machine.name}: tells {told}, its disk holds {found.newest.tag}")
 
-    def _promised(self, machine: Machine, found: Memory, epoch: int, ballot: Ballot) -> None:
+    def _promised(self, machine: Machine, found: ReplicaState, epoch: int, ballot: Ballot) -> None:
         if found.view.epoch == epoch and (found.promised is None or found.promised < ballot):
             self._object("durable", f"{machine.name}: promised {ballot}, which isn't on its disk")
 
     # Requests
 
-    def on_request(self, machine: Machine, request: int, order: Order | None) -> None:
+    def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
         """An operator's request came. One that repeats another shares its answer."""
         heard: frozenset[int] = frozenset()
         for number, (at, _, _, digest, _) in self.requests.items():
@@ -178,7 +185,7 @@
     def on_answer(self, machine: Machine, request: int, outcome: Outcome) -> None:
         """It is answered."""
         heard = self.heard_since.pop(request, frozenset())
-        if isinstance(outcome, Configuration | NoConfiguration | Stale):
+        if isinstance(outcome, ReadResult | NoConfiguration | VersionConflict):
             self._check_certain(machine, heard, outcome)
         super().on_answer(machine, request, outcome)
 
@@ -192,7 +199,7 @@
         if len(heard) + 1 < machine.replica.view.majority:
             self._object("certain", f"{machine.name}: {type(outcome).__name__} after {len(heard)} others were heard")
 
-    def _acknowledged(self, machine: Machine, digest: bytes, outcome: Acknowledged) -> None:
+    def _acknowledged(self, machine: Machine, digest: bytes, outcome: WriteAcknowledged) -> None:
         first = self.place.get(digest, 0) > self.newest_acknowledged()
         super()._acknowledged(machine, digest, outcome)
         if first:
--- a/tests/fleet/exploration/machine.py
+++ b/tests/fleet/exploration/machine.py
@@ -12,14 +12,14 @@
 
 from rosechute.coordination import (
     Action,
-    Answer,
-    Committed,
-    LeaseGained,
-    LeaseLost,
-    Persist,
+    ConfigurationCommitted,
+    LeadershipGained,
+    LeadershipLost,
+    PersistRecords,
     Replica,
     ReplicaConfig,
-    Send,
+    Reply,
+    SendMessage,
 )
 from rosechute.messages.coordination_pb2 import CoreMessage
 from tests.fleet.exploration.packing import Draw, pack, unpack
@@ -200,16 +200,16 @@
 
     def _do(self, action: Action) -> None:
         world = self.world
-        if isinstance(action, Send):
+        if isinstance(action, SendMessage):
             world.send(self, action.address, action.message)
-        elif isinstance(action, Persist):
+        elif isinstance(action, PersistRecords):
             batch = Batch(action.token, tuple(action.records), action.replaces)
             self.change(queue=(*self.state.queue, batch))
-        elif isinstance(action, Answer):
+        elif isinstance(action, Reply):
             world.answered(self, action.request, action.outcome)
-        elif isinstance(action, Committed):
+        elif isinstance(action, ConfigurationCommitted):
             world.ledger.on_committed(self, action.configuration)
-        elif isinstance(action, LeaseGained | LeaseLost):
+        elif isinstance(action, LeadershipGained | LeadershipLost):
             world.ledger.on_lease(self, action)
 
     def _write(self, batch: Batch) -> None:
--- a/tests/fleet/exploration/packing.py
+++ b/tests/fleet/exploration/packing.py
@@ -18,17 +18,17 @@
 from google.protobuf.message import Message
 
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, Identity, Order, ReplicaConfig, Timing
+from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, ReplicaConfig, Timing, WriteRequest
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2
 
 _values: list[Any] = []
 _numbers: dict[Hashable, int] = {}
 _BY_VALUE = (
-    Identity,
+    MachineIdentity,
     Timing,
     ReplicaConfig,
-    Order,
+    WriteRequest,
     CommittedConfiguration,
     Ballot,
     Proposal,
--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -15,9 +15,9 @@
 from rosechute.coordination import Timing
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
-from rosechute.coordination.confirm import Confirmer
+from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.memory import Memory
+from rosechute.coordination.replica_state import ReplicaState
 from rosechute.coordination.views import View
 from rosechute.messages import coordination_pb2 as pb
 from tests.fleet.exploration.choices import DELIVERIES, TROUBLES, Bounds
@@ -65,19 +65,19 @@
 
 
 def _confirmed_without_a_majority(stack: contextlib.ExitStack) -> None:
-    right = Confirmer.on_confirmed
+    right = EpochConfirmer.on_confirmed
 
-    def on_confirmed(self: Confirmer, *arguments: Any) -> None:
+    def on_confirmed(self: EpochConfirmer, *arguments: Any) -> None:
         with mock.patch.object(View, "majority", 1):
             right(self, *arguments)
 
-    _replace(stack, Confirmer, "on_confirmed", on_confirmed)
+    _replace(stack, EpochConfirmer, "on_confirmed", on_confirmed)
     _replace(stack, Chain, "_cut_off", lambda self: False)
 
 
 def _deposed_tail_reads(stack: contextlib.ExitStack) -> None:
     def next_reads(self: Chain) -> None:
-        while self._context.settled and self._reads:
+        while self._context.is_epoch_adopted and self._reads:
             request, since = self._reads.popleft()
             self._read(request, since, True)
 
@@ -86,14 +86,14 @@
 
 
 def _taken_lost_in_a_snapshot(stack: contextlib.ExitStack) -> None:
-    right = Memory.whole
+    right = ReplicaState.whole
 
-    def whole(self: Memory) -> pb.Record:
+    def whole(self: ReplicaState) -> pb.Record:
         record = right(self)
         record.whole.committed.taken = b""
         return record
 
-    _replace(stack, Memory, "whole", whole)
+    _replace(stack, ReplicaState, "whole", whole)
 
 
 def _epoch_not_compared(stack: contextlib.ExitStack) -> None:
@@ -102,7 +102,7 @@
     def on_chain_write(self: Chain, sender: Any, write: pb.ChainWrite) -> None:
         renewed = pb.ChainWrite()
         renewed.CopyFrom(write)
-        renewed.epoch = self._context.memory.view.epoch
+        renewed.epoch = self._context.replica_state.view.epoch
         right(self, sender, renewed)
 
     _replace(stack, Chain, "on_chain_write", on_chain_write)
@@ -124,7 +124,7 @@
 
     def stored(self: Chain, epoch: int, sequence: int) -> None:
         right(self, epoch, sequence)
-        self.note_committed(epoch, sequence)
+        self.on_committed(epoch, sequence)
 
     _replace(stack, Chain, "_stored", stored)
 
--- a/tests/fleet/exploration/probe.py
+++ b/tests/fleet/exploration/probe.py
@@ -4,7 +4,7 @@
 
 import hashlib
 
-from rosechute.coordination import Acknowledged, Elsewhere, Order, Outcome
+from rosechute.coordination import Outcome, Redirect, WriteAcknowledged, WriteRequest
 from tests.fleet.exploration.machine import Machine
 from tests.fleet.exploration.world import World
 from tests.fleet.simulation.checkers import Violation
@@ -24,9 +24,9 @@
         machine = world.machines[target % len(world.machines)]
         request += 1
         outcome = _ask(world, machine, request)
-        if isinstance(outcome, Acknowledged):
+        if isinstance(outcome, WriteAcknowledged):
             return world.now - began
-        target = _number(world, outcome.control_address) if isinstance(outcome, Elsewhere) else target + 1
+        target = _number(world, outcome.control_address) if isinstance(outcome, Redirect) else target + 1
     raise Violation("live", f"no order was acknowledged within {RECOVERED_WITHIN_S} s of calm")
 
 
@@ -39,7 +39,7 @@
         if machine.frozen:
             machine.change(frozen=False, thawed_at=world.now)
         machine.change(hung=False)
-        if machine.replica is not None and machine.replica._context.leaving:
+        if machine.replica is not None and machine.replica._context.is_leaving:
             machine.stop(len(machine.state.queue))
         if not machine.up:
             machine.start()
@@ -51,7 +51,7 @@
     line = world.ledger.line
     base = world.ledger.orders[line[max(line)]].version if line else 0
     body = f"{base + 1} on {base}, {request}".encode()
-    world.submit(machine, Order(request, base, base + 1, body, hashlib.sha256(body).digest()))
+    world.propose_write(machine, WriteRequest(request, base, base + 1, body, hashlib.sha256(body).digest()))
     for _ in world.calm_moments(SILENCE_S):
         if request in world.outcomes:
             break
--- a/tests/fleet/exploration/roots.py
+++ b/tests/fleet/exploration/roots.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from rosechute.coordination import Acknowledged, Order, Timing
+from rosechute.coordination import Timing, WriteAcknowledged, WriteRequest
 from rosechute.messages.coordination_pb2 import CoreMessage
 from tests.fleet.exploration.choices import call
 from tests.fleet.exploration.world import Link, World
@@ -34,10 +34,10 @@
     for machine in world.machines:
         machine.start(bootstrap=True)
     world.calm(FORMED_S)
-    first = Order(0, 0, 1, b"1 on 0", b"the first order's digest")
-    world.submit(world.machines[HEAD], first)
+    first = WriteRequest(0, 0, 1, b"1 on 0", b"the first order's digest")
+    world.propose_write(world.machines[HEAD], first)
     world.calm(0.5)
-    assert world.outcomes.pop(0) == Acknowledged(1)
+    assert world.outcomes.pop(0) == WriteAcknowledged(1)
     return world
 
 
--- a/tests/fleet/exploration/search.py
+++ b/tests/fleet/exploration/search.py
@@ -149,12 +149,12 @@
         if replica is None:
             lines.append(f"{machine.name}: no process")
             continue
-        view, memory = replica.view, replica._context.memory
+        view, replica_state = replica.view, replica._context.replica_state
         marks = [
             f"epoch {view.epoch}",
-            f"sequence {memory.committed.sequence}",
-            f"written {memory.written.sequence}" if memory.written is not None else "",
-            f"sealed by {memory.promised.round}" if memory.promised is not None else "",
+            f"sequence {replica_state.committed.sequence}",
+            f"written {replica_state.written.sequence}" if replica_state.written is not None else "",
+            f"sealed by {replica_state.promised.round}" if replica_state.promised is not None else "",
             f"leads in term {replica.term}" if replica.is_leader(machine.now()) else "",
             "frozen" if machine.frozen else "",
             "its disk hangs" if machine.state.hung else "",
--- a/tests/fleet/exploration/world.py
+++ b/tests/fleet/exploration/world.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rosechute.coordination import Action, Order, Outcome, Replica, Timing
+from rosechute.coordination import Action, Outcome, Replica, Timing, WriteRequest
 from rosechute.messages.coordination_pb2 import CoreMessage, Heartbeat
 from tests.fleet.exploration.invariants import Ledger
 from tests.fleet.exploration.machine import TICK_S, Machine, MachineState
@@ -132,10 +132,10 @@
 
     # Operators
 
-    def submit(self, machine: Machine, order: Order) -> None:
+    def propose_write(self, machine: Machine, order: WriteRequest) -> None:
         def call(replica: Replica) -> list[Action]:
             self.ledger.on_request(machine, order.request, order)
-            return replica.submit(machine.now(), order)
+            return replica.propose_write(machine.now(), order)
 
         machine.run(call)
 
--- a/tests/fleet/planted_faults/kinds.py
+++ b/tests/fleet/planted_faults/kinds.py
@@ -22,7 +22,7 @@
 )
 SYNCS = {"sync", "fsync", "fdatasync", "sync_entries", "_sync_entries"}
 SAVES = {"CopyFrom", "write", "defer", "_record", "_note", "_write_record", "_save_grantee", "commit", "truncate"}
-ENDS = {"abstain", "expire", "stop", "clear", "give_up", "release", "reset", "cancel", "close"}
+ENDS = {"abstain", "expire", "stop", "clear", "give_up", "reject_all", "release", "reset", "cancel", "close"}
 WAITS = {"after", "call_when_synced"}
 STEPS = SYNCS | SAVES | ENDS
 Function = ast.FunctionDef | ast.AsyncFunctionDef
--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -10,7 +10,7 @@
 from rosechute.control_plane.replica_runtime import Done, ReplicaRuntime
 from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, Configuration, Elsewhere, Outcome, ReplicaConfig
+from rosechute.coordination.types import CommittedConfiguration, Outcome, ReadResult, Redirect, ReplicaConfig
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.record_store import RecordStore
 
@@ -182,7 +182,7 @@
                 await self.run_for(0.1)
                 return None
             outcome = await self._answer(ask(machine.runtime))
-            if not isinstance(outcome, Elsewhere):
+            if not isinstance(outcome, Redirect):
                 return None if self.draw.random() < self.answers_lost else outcome
             address = outcome.control_address
             machine = next((each for each in self.machines if each.control == address), None)
@@ -207,12 +207,12 @@
             await self.run_for(0.05)
         return None
 
-    async def read(self, within_s: float) -> Configuration | None:
+    async def read(self, within_s: float) -> ReadResult | None:
         """Ask one machine after the other until one answers."""
         end = self.now + within_s
         while self.now < end:
             outcome = await self.call(self.draw.choice(self.machines), lambda to: to.read())
-            if isinstance(outcome, Configuration):
+            if isinstance(outcome, ReadResult):
                 return outcome
             await self.run_for(0.05)
         return None
--- a/tests/fleet/simulation/certainty.py
+++ b/tests/fleet/simulation/certainty.py
@@ -5,14 +5,21 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from rosechute.coordination import Acknowledged, Configuration, NoConfiguration, Order, Outcome, Stale
+from rosechute.coordination import (
+    NoConfiguration,
+    Outcome,
+    ReadResult,
+    VersionConflict,
+    WriteAcknowledged,
+    WriteRequest,
+)
 from tests.fleet.simulation.checkers import History
 from tests.fleet.simulation.machine import Machine
 from tests.fleet.simulation.observer import Observer, Violation
 from tests.fleet.simulation.world import World
 
 LATEST_MESSAGE_S = 1.0  # what was sent before a cut has arrived by then
-CERTAIN_ANSWERS = (Stale, Configuration, NoConfiguration)
+CERTAIN_ANSWERS = (VersionConflict, ReadResult, NoConfiguration)
 
 
 @dataclass(frozen=True)
@@ -33,7 +40,7 @@
         self._asked: dict[int, _Asked] = {}
         world.observers.append(self)
 
-    def on_request(self, machine: Machine, request: int, order: Order | None) -> None:
+    def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
         if not self.world.network.cuts:
             return
         _, known = self.history.told.get(machine.control, (0, 0))
@@ -44,7 +51,7 @@
         if asked is None or (self.judged is not None and "certain" not in self.judged):
             return
         cut_before = asked.since - LATEST_MESSAGE_S
-        if isinstance(outcome, Acknowledged):
+        if isinstance(outcome, WriteAcknowledged):
             if self.history.place.get(asked.digest, 0) > asked.known and self._hears_nobody(machine, cut_before):
                 raise Violation("certain", f"{machine.name}: acknowledged what it can't have heard of")
         elif self._without_majority(machine, cut_before):
--- a/tests/fleet/simulation/checkers.py
+++ b/tests/fleet/simulation/checkers.py
@@ -10,16 +10,16 @@
 from typing import TYPE_CHECKING
 
 from rosechute.coordination import (
-    Acknowledged,
     CommittedConfiguration,
-    Configuration,
-    LeaseGained,
-    LeaseLost,
+    LeadershipGained,
+    LeadershipLost,
     NoConfiguration,
-    Order,
     Outcome,
-    Stale,
+    ReadResult,
+    VersionConflict,
     View,
+    WriteAcknowledged,
+    WriteRequest,
 )
 from tests.fleet.simulation.observer import Observer, Violation
 from tests.fleet.simulation.storage import mark_of
@@ -42,7 +42,7 @@
         self.judged = judged  # the checks that object; none: all
         self.next_look = 0.0
         world.observers.append(self)
-        self.orders: dict[bytes, Order] = {}
+        self.orders: dict[bytes, WriteRequest] = {}
         self.line: dict[int, bytes] = {}  # sequence -> digest
         self.place: dict[bytes, int] = {}  # digest -> sequence
         self.refused: set[bytes] = set()
@@ -97,7 +97,7 @@
         if digest in self.refused:
             self._object("refused", f"{machine.name}: refused version {version} is in force at {sequence}")
 
-    def _fits(self, machine: Machine, sequence: int, order: Order) -> None:
+    def _fits(self, machine: Machine, sequence: int, order: WriteRequest) -> None:
         before = self.line.get(sequence - 1)
         base = self.orders[before].version if before is not None else (0 if sequence == 1 else None)
         after = self.line.get(sequence + 1)
@@ -108,7 +108,7 @@
 
     # Requests
 
-    def on_request(self, machine: Machine, request: int, order: Order | None) -> None:
+    def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
         """The process takes a request up."""
         digest = order.digest if order is not None else None
         if order is not None:
@@ -122,11 +122,11 @@
             return
         _, _, since, digest, floor = asked
         self.longest_answer = max(self.longest_answer, self.world.now - since)
-        if isinstance(outcome, Acknowledged) and digest is not None:
+        if isinstance(outcome, WriteAcknowledged) and digest is not None:
             self._acknowledged(machine, digest, outcome)
-        elif isinstance(outcome, Stale) and digest is not None:
+        elif isinstance(outcome, VersionConflict) and digest is not None:
             self._refused(machine, digest)
-        elif isinstance(outcome, Configuration):
+        elif isinstance(outcome, ReadResult):
             self.reads += 1
             self._in_line(machine, outcome.sequence, outcome.version, outcome.digest)
             if outcome.sequence < floor:
@@ -136,7 +136,7 @@
             if floor:
                 self._object("read", f"{machine.name}: read nothing, {floor} was acknowledged before")
 
-    def _acknowledged(self, machine: Machine, digest: bytes, outcome: Acknowledged) -> None:
+    def _acknowledged(self, machine: Machine, digest: bytes, outcome: WriteAcknowledged) -> None:
         self.acknowledgements += 1
         sequence = self.place.get(digest)
         if sequence is None:
@@ -166,7 +166,7 @@
         synced = machine.disk.synced
         if synced is None or machine.replica is None:
             return
-        found = mark_of(machine.replica._context.memory)
+        found = mark_of(machine.replica._context.replica_state)
         older = found.epoch < synced.epoch or found.tag < synced.tag or found.term < synced.term
         if found.epoch == synced.epoch and synced.promised is not None:
             older = older or found.promised is None or found.promised < synced.promised
@@ -182,8 +182,8 @@
 
     # Leader lease
 
-    def on_lease(self, machine: Machine, action: LeaseGained | LeaseLost) -> None:
-        if isinstance(action, LeaseLost):
+    def on_lease(self, machine: Machine, action: LeadershipGained | LeadershipLost) -> None:
+        if isinstance(action, LeadershipLost):
             self.claims.discard(machine)
             return
         self.claims.add(machine)
--- a/tests/fleet/simulation/cluster.py
+++ b/tests/fleet/simulation/cluster.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Any
 
-from rosechute.coordination import Acknowledged, Order, Outcome, Replica, View
+from rosechute.coordination import Outcome, Replica, View, WriteAcknowledged, WriteRequest
 from tests.fleet.simulation.certainty import Certainty
 from tests.fleet.simulation.checkers import History
 from tests.fleet.simulation.operators import Operator
@@ -76,18 +76,18 @@
     def version(self) -> int:
         return self.history.newest_version()
 
-    def make(self, base: int | None = None, version: int | None = None) -> Order:
+    def make(self, base: int | None = None, version: int | None = None) -> WriteRequest:
         self._made += 1
         base = self.version() if base is None else base
         version = base + 1 if version is None else version
         body = f"schedule {self._made}: {version} on {base}".encode()
-        return Order(0, base, version, body, hashlib.sha256(body).digest())
+        return WriteRequest(0, base, version, body, hashlib.sha256(body).digest())
 
-    def submit(self, machine: Machine, order: Order) -> list[Outcome]:
+    def propose_write(self, machine: Machine, order: WriteRequest) -> list[Outcome]:
         """Send an order once; the list holds its answer when that has come."""
-        request = Order(self.world.new_request(), order.base_version, order.version, order.body, order.digest)
+        request = WriteRequest(self.world.new_request(), order.base_version, order.version, order.body, order.digest)
         outcomes: list[Outcome] = []
-        self.world.submit(machine, request, lambda _, outcome: outcomes.append(outcome))
+        self.world.propose_write(machine, request, lambda _, outcome: outcomes.append(outcome))
         return outcomes
 
     def read(self, machine: Machine) -> list[Outcome]:
@@ -95,12 +95,12 @@
         self.world.read(machine, lambda _, outcome: outcomes.append(outcome))
         return outcomes
 
-    def settle(self, order: Order | None = None) -> Order:
+    def settle(self, order: WriteRequest | None = None) -> WriteRequest:
         """An order that is acknowledged at the head at once."""
         order = order or self.make()
-        outcomes = self.submit(self.role("head"), order)
+        outcomes = self.propose_write(self.role("head"), order)
         self.run(0.5)
-        assert outcomes == [Acknowledged(order.version)], outcomes
+        assert outcomes == [WriteAcknowledged(order.version)], outcomes
         return order
 
     def restart(self, machines: Iterable[Machine]) -> None:
--- a/tests/fleet/simulation/losses.py
+++ b/tests/fleet/simulation/losses.py
@@ -196,7 +196,7 @@
             self._hand_over(machine, machine.boots, self.world.now + HAND_OVER_WITHIN_S, end)
 
     def _hand_over(self, machine: Machine, boot: int, until: float, end: Callable[[], None]) -> None:
-        waits = machine.boots == boot and machine.replica is not None and not machine.replica.handed_over
+        waits = machine.boots == boot and machine.replica is not None and not machine.replica.is_handed_over
         if waits and self.world.now < until:
             self._at(HAND_OVER_POLL_S, self._hand_over, machine, boot, until, end)
         else:
--- a/tests/fleet/simulation/machine.py
+++ b/tests/fleet/simulation/machine.py
@@ -10,10 +10,10 @@
 from rosechute.control_plane.replica_runtime import ReplicaRuntime
 from rosechute.coordination import (
     Action,
-    Committed,
     CommittedConfiguration,
-    LeaseGained,
-    LeaseLost,
+    ConfigurationCommitted,
+    LeadershipGained,
+    LeadershipLost,
     Outcome,
     Replica,
     ReplicaConfig,
@@ -122,7 +122,7 @@
         )
         replica = self.world.make_replica(config, saved, self.now(), self.draws.random)
         self.runtime = SimulatedRuntime(self, replica, not store.can_append)
-        self.disk.memory = replica._context.memory
+        self.disk.replica_state = replica._context.replica_state
         self.world.on_boot(self)
         self.run(lambda replica: replica.start(self.now()))
         self.world.after(self.world.random.uniform(0, TICK_S), self._tick, self.boots)
@@ -216,13 +216,13 @@
         self.world.network.send(self, address, message)
 
     def committed(self, configuration: CommittedConfiguration) -> None:
-        self.world.on_committed(self, Committed(configuration))
+        self.world.on_committed(self, ConfigurationCommitted(configuration))
 
     def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None:
-        self.world.on_lease(self, LeaseGained(term, rate_lease_owners))
+        self.world.on_lease(self, LeadershipGained(term, rate_lease_owners))
 
     def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
         pass
 
     def leadership_lost(self) -> None:
-        self.world.on_lease(self, LeaseLost())
+        self.world.on_lease(self, LeadershipLost())
--- a/tests/fleet/simulation/membership.py
+++ b/tests/fleet/simulation/membership.py
@@ -148,7 +148,7 @@
         machine.run(lambda replica: replica.resign(machine.now()))
         replica = machine.replica
         assert replica is not None
-        self.world.run_while(lambda: not replica.handed_over, HANDED_OVER_WITHIN_S)
+        self.world.run_while(lambda: not replica.is_handed_over, HANDED_OVER_WITHIN_S)
         machine.kill()
 
     # Helpers
--- a/tests/fleet/simulation/observer.py
+++ b/tests/fleet/simulation/observer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from rosechute.coordination import CommittedConfiguration, LeaseGained, LeaseLost, Order, Outcome
+from rosechute.coordination import CommittedConfiguration, LeadershipGained, LeadershipLost, Outcome, WriteRequest
 
 if TYPE_CHECKING:
     from tests.fleet.simulation.machine import Machine
@@ -30,7 +30,7 @@
     def on_end(self, machine: Machine) -> None:
         """A process ends."""
 
-    def on_request(self, machine: Machine, request: int, order: Order | None) -> None:
+    def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
         """A process takes up an order, or a read."""
 
     def on_answer(self, machine: Machine, request: int, outcome: Outcome) -> None:
@@ -39,5 +39,5 @@
     def on_committed(self, machine: Machine, configuration: CommittedConfiguration) -> None:
         """A process knows that this configuration stays."""
 
-    def on_lease(self, machine: Machine, action: LeaseGained | LeaseLost) -> None:
+    def on_lease(self, machine: Machine, action: LeadershipGained | LeadershipLost) -> None:
         """A process leads, or leads no more."""
--- a/tests/fleet/simulation/operators.py
+++ b/tests/fleet/simulation/operators.py
@@ -5,16 +5,24 @@
 from random import Random
 
 from rosechute.control_plane.write_requests import write_request_digest
-from rosechute.coordination import Acknowledged, Configuration, Elsewhere, NoConfiguration, Order, Outcome, Stale
+from rosechute.coordination import (
+    NoConfiguration,
+    Outcome,
+    ReadResult,
+    Redirect,
+    VersionConflict,
+    WriteAcknowledged,
+    WriteRequest,
+)
 from tests.fleet.simulation.world import Machine, World
 
 SILENCE_S = 1.0
 REDIRECTS = 2
 
 
-def order_of(base: int, version: int, body: bytes) -> Order:
+def order_of(base: int, version: int, body: bytes) -> WriteRequest:
     """The order that replaces `base` by this body."""
-    return Order(0, base, version, body, write_request_digest(base, body))
+    return WriteRequest(0, base, version, body, write_request_digest(base, body))
 
 
 class Operator:
@@ -28,9 +36,9 @@
         self.known = 0  # newest version this operator has heard of
         self.stopped = False
         self.lose_answers = 0.0
-        self.order: Order | None = None
+        self.order: WriteRequest | None = None
         self.began = 0.0
-        self.past: list[Order] = []
+        self.past: list[WriteRequest] = []
         self.waits: list[float] = []  # of acknowledged orders
         self._call = 0
         self._made = 0
@@ -53,7 +61,7 @@
         else:
             self.give(self.known)
 
-    def give(self, base: int, to: Machine | None = None) -> Order:
+    def give(self, base: int, to: Machine | None = None) -> WriteRequest:
         """Give a new order on this base."""
         self._made += 1
         version = base + self.random.randint(1, 3)
@@ -62,7 +70,7 @@
         self.give_order(order, to)
         return order
 
-    def give_order(self, order: Order, to: Machine | None = None) -> None:
+    def give_order(self, order: WriteRequest, to: Machine | None = None) -> None:
         """Give this order, a new one or one that was given before."""
         self.order = order
         self.began = self.world.now
@@ -82,14 +90,14 @@
         if target is None or not target.up:
             self.world.after(0.01, self._next_try, call, tries)
             return
-        request = Order(self.world.new_request(), order.base_version, order.version, order.body, order.digest)
+        request = WriteRequest(self.world.new_request(), order.base_version, order.version, order.body, order.digest)
 
         def answered(machine: Machine, outcome: Outcome) -> None:
             if self.random.random() >= self.lose_answers:
                 wait = self.random.uniform(0.001, 0.005)
                 self.world.after(wait, self._answered, call, tries, redirects, machine, outcome)
 
-        self.world.after(self.random.uniform(0.001, 0.005), self.world.submit, target, request, answered)
+        self.world.after(self.random.uniform(0.001, 0.005), self.world.propose_write, target, request, answered)
         self.world.after(SILENCE_S, self._next_try, call, tries)
 
     def _next_try(self, call: int, tries: int) -> None:
@@ -106,16 +114,16 @@
         order = self.order
         if call != self._call or order is None:
             return
-        if isinstance(outcome, Acknowledged):
+        if isinstance(outcome, WriteAcknowledged):
             self.known = max(self.known, outcome.version)
             self.waits.append(self.world.now - self.began)
             if order not in self.past:
                 self.past.append(order)
             self._done()
-        elif isinstance(outcome, Stale):
+        elif isinstance(outcome, VersionConflict):
             self._done()
             self._read(0)
-        elif isinstance(outcome, Elsewhere) and redirects < REDIRECTS:
+        elif isinstance(outcome, Redirect) and redirects < REDIRECTS:
             self._try(tries, redirects + 1, self.world.by_control(outcome.control_address) or None)
         else:
             self._next_try(call, tries)
@@ -134,9 +142,9 @@
             return self._after_read()
 
         def answered(machine: Machine, outcome: Outcome) -> None:
-            if isinstance(outcome, Configuration):
+            if isinstance(outcome, ReadResult):
                 self.known = max(self.known, outcome.version)
-            if isinstance(outcome, Elsewhere) and redirects < REDIRECTS:
+            if isinstance(outcome, Redirect) and redirects < REDIRECTS:
                 self._read(redirects + 1, self.world.by_control(outcome.control_address))
             elif not isinstance(outcome, NoConfiguration):
                 pass
--- a/tests/fleet/simulation/play.py
+++ b/tests/fleet/simulation/play.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from rosechute.coordination import Configuration, Elsewhere, Outcome
+from rosechute.coordination import Outcome, ReadResult, Redirect
 from tests.fleet.simulation.certainty import Certainty
 from tests.fleet.simulation.checkers import History, Violation
 from tests.fleet.simulation.faults import Troubles
@@ -133,7 +133,7 @@
     world.run_for(READ_BACK_S)
     if len(found) != len(there):
         raise Violation("live", f"{len(found)} of {len(there)} reads were answered")
-    if not all(isinstance(each, Configuration) for each in found.values()):
+    if not all(isinstance(each, ReadResult) for each in found.values()):
         raise Violation("live", f"a read was not answered: {found}")
 
 
@@ -144,7 +144,7 @@
     """
 
     def answered(_: Machine, outcome: Outcome) -> None:
-        target = world.by_control(outcome.control_address) if isinstance(outcome, Elsewhere) else None
+        target = world.by_control(outcome.control_address) if isinstance(outcome, Redirect) else None
         if target is None:
             found[first.name] = outcome
         elif redirects < REDIRECTS:
--- a/tests/fleet/simulation/races.py
+++ b/tests/fleet/simulation/races.py
@@ -8,7 +8,7 @@
 
 from random import Random
 
-from rosechute.coordination import Order
+from rosechute.coordination import WriteRequest
 from tests.fleet.simulation.checkers import History
 from tests.fleet.simulation.operators import Operator, order_of
 from tests.fleet.simulation.world import World
@@ -28,7 +28,7 @@
         self.operators: list[Operator] = []
         self.stopped = False
         self._count = 0
-        self._due: list[tuple[int, Order]] = []  # sequence at which an order is sent again
+        self._due: list[tuple[int, WriteRequest]] = []  # sequence at which an order is sent again
 
     def start(self) -> None:
         self.world.after(self.random.uniform(*self.pause), self._meet)
@@ -53,14 +53,14 @@
             self._give(order)
             self._plan(order)
 
-    def _give(self, order: Order) -> None:
+    def _give(self, order: WriteRequest) -> None:
         operator = Operator(self.world, f"race {self._count}", (0.0, 0.0))
         operator.stopped = True
         operator.lose_answers = self.random.choice((0.0, 0.0, 0.5))
         operator.give_order(order)
         self.operators.append(operator)
 
-    def _plan(self, order: Order) -> None:
+    def _plan(self, order: WriteRequest) -> None:
         if self.random.random() < 0.3:
             after = self.random.choice(LATER_ORDERS)
             self._due.append((max(self.history.line, default=0) + after, order))
--- a/tests/fleet/simulation/storage.py
+++ b/tests/fleet/simulation/storage.py
@@ -14,7 +14,7 @@
 from returns.result import Failure, Success
 
 from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES
-from rosechute.coordination.memory import Memory
+from rosechute.coordination.replica_state import ReplicaState
 from rosechute.coordination.views import Ballot
 from rosechute.storage.record_store import RecordStore
 from rosechute.storage.writer import OnWritten, WriteResult
@@ -37,9 +37,9 @@
     term: int
 
 
-def mark_of(memory: Memory) -> Mark:
+def mark_of(replica_state: ReplicaState) -> Mark:
     """How far this knowledge has come."""
-    return Mark(memory.view.epoch, memory.newest.tag, memory.promised, memory.term.number)
+    return Mark(replica_state.view.epoch, replica_state.newest.tag, replica_state.promised, replica_state.term.number)
 
 
 @dataclass(frozen=True)
@@ -69,7 +69,7 @@
         self.sync_s = SYNC_S
         self.hung = False
         self.snapshots = 0  # written so far
-        self.memory: Memory | None = None  # of the process
+        self.replica_state: ReplicaState | None = None  # of the process
         self.synced: Mark | None = None  # what a process was told to be synced
 
     @property
@@ -144,7 +144,7 @@
     # The writer
 
     def _mark(self) -> Mark | None:
-        return mark_of(self.memory) if self.memory is not None else None
+        return mark_of(self.replica_state) if self.replica_state is not None else None
 
     def _ended(self, job: Job, outcome: WriteResult) -> None:
         if isinstance(outcome, Success) and job.mark is not None:
@@ -210,6 +210,6 @@
         """The next process finds this folder."""
         after.full = self.folder.full
         self.folder = after
-        self._store, self.memory = None, None
+        self._store, self.replica_state = None, None
         self._waiting, self._under_way = [], []
         self._generation += 1
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -8,7 +8,16 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from rosechute.coordination import Action, Committed, LeaseGained, LeaseLost, Order, Outcome, Replica, Timing
+from rosechute.coordination import (
+    Action,
+    ConfigurationCommitted,
+    LeadershipGained,
+    LeadershipLost,
+    Outcome,
+    Replica,
+    Timing,
+    WriteRequest,
+)
 from tests.fleet.simulation.machine import TICK_S, Clock, Machine
 from tests.fleet.simulation.network import Network
 from tests.fleet.simulation.storage import SYNC_S
@@ -91,13 +100,15 @@
 
     # Requests of operators
 
-    def submit(self, machine: Machine, order: Order, answered: Callable[[Machine, Outcome], None]) -> None:
+    def propose_write(
+        self, machine: Machine, order: WriteRequest, answered: Callable[[Machine, Outcome], None]
+    ) -> None:
         """An order reaches a machine; nothing comes back where no process runs."""
         self.answers[order.request] = answered
 
         def call(replica: Replica) -> list[Action]:
             self.on_request(machine, order.request, order)
-            return replica.submit(machine.now(), order)
+            return replica.propose_write(machine.now(), order)
 
         machine.request(lambda: machine.run(call))
 
@@ -129,7 +140,7 @@
         for observer in self.observers:
             observer.on_end(machine)
 
-    def on_request(self, machine: Machine, request: int, order: Order | None) -> None:
+    def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
         for observer in self.observers:
             observer.on_request(machine, request, order)
 
@@ -140,10 +151,10 @@
         if answered is not None:
             answered(machine, outcome)
 
-    def on_committed(self, machine: Machine, action: Committed) -> None:
+    def on_committed(self, machine: Machine, action: ConfigurationCommitted) -> None:
         for observer in self.observers:
             observer.on_committed(machine, action.configuration)
 
-    def on_lease(self, machine: Machine, action: LeaseGained | LeaseLost) -> None:
+    def on_lease(self, machine: Machine, action: LeadershipGained | LeadershipLost) -> None:
         for observer in self.observers:
             observer.on_lease(machine, action)
--- a/tests/fleet/simulation/worlds.py
+++ b/tests/fleet/simulation/worlds.py
@@ -100,7 +100,7 @@
             replica = machine.replica
             if replica is None or not view.is_acceptor(replica.identity.id):
                 raise Violation("joined", f"{machine.name} is no acceptor {CATCH_UP_S} s after the last return")
-            known = replica._context.memory.newest.sequence
+            known = replica._context.replica_state.newest.sequence
             if known < newest:
                 raise Violation("behind", f"{machine.name} knows {known}, {newest} was acknowledged")
 
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -10,14 +10,14 @@
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.coordination.types import CommittedConfiguration, Identity, Unsure
+from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, OutcomeUnknown
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind
 from rosechute.messages.link_connection import LinkConnection
 
-OWN = Identity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
-OTHER = Identity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
+OWN = MachineIdentity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
+OTHER = MachineIdentity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
 EDGE = pb.Edge(name="e", zone="z", address="10.0.0.9:7515")
 
 
@@ -51,20 +51,20 @@
     """Says what it is told to."""
 
     def __init__(self) -> None:
-        self.leader: Identity | None = OWN
+        self.leader: MachineIdentity | None = OWN
         self.identity = OWN
         self.fresh: tuple[int, float] | None = (1, 0.1)
 
     def is_leader(self, now: float) -> bool:
         return self.leader is OWN
 
-    def leader_hint(self) -> Identity | None:
+    def leader_hint(self) -> MachineIdentity | None:
         return self.leader
 
     def freshness(self, now: float) -> tuple[int, float] | None:
         return self.fresh
 
-    def core_machines(self) -> list[Identity]:
+    def core_machines(self) -> list[MachineIdentity]:
         return [OWN, OTHER]
 
 
@@ -103,8 +103,8 @@
         return self.told("renewed")[-1]
 
     async def test_unsure_until_the_records_are_loaded(self) -> None:
-        self.assertEqual(await self.machine.read(), Unsure())
-        self.assertEqual(await self.machine.propose_write(0, 1, b"", b""), Unsure())
+        self.assertEqual(await self.machine.read(), OutcomeUnknown())
+        self.assertEqual(await self.machine.propose_write(0, 1, b"", b""), OutcomeUnknown())
         self.assertFalse(self.renew().config_known)
 
     async def test_a_leader_answers_as_one(self) -> None:
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -13,13 +13,13 @@
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER, READ_PATH, REPLACE_PATH, OperatorApi
 from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination.types import (
-    Acknowledged,
-    Configuration,
-    Elsewhere,
     NoConfiguration,
     Outcome,
-    Stale,
-    Unsure,
+    OutcomeUnknown,
+    ReadResult,
+    Redirect,
+    VersionConflict,
+    WriteAcknowledged,
 )
 
 OWN = "127.0.0.1:8367"
@@ -80,24 +80,24 @@
             return answer.status, await answer.read(), answer.headers
 
     async def test_taken(self) -> None:
-        self.configurations.outcome = Acknowledged(7)
+        self.configurations.outcome = WriteAcknowledged(7)
         status, told, _ = await self.replace(body(7))
         self.assertEqual((status, told), (200, {"config_version": 7}))
         self.assertEqual(self.configurations.orders, [(5, 7, body(7), write_request_digest(5, body(7)))])
 
     async def test_stale(self) -> None:
-        self.configurations.outcome = Stale(6)
+        self.configurations.outcome = VersionConflict(6)
         status, told, _ = await self.replace(body(7))
         self.assertEqual((status, told["current_version"]), (412, 6))
 
     async def test_version_not_above_the_current_one(self) -> None:
-        self.configurations.outcome = Stale(5)
+        self.configurations.outcome = VersionConflict(5)
         for version in (5, 4):
             status, told, _ = await self.replace(body(version))
             self.assertEqual((status, told["place"]), (400, "config_version"))
 
     async def test_invalid_ones_never_reach_the_chain(self) -> None:
-        self.configurations.outcome = Acknowledged(7)
+        self.configurations.outcome = WriteAcknowledged(7)
         cases = ((b"{", ""), (b"", ""), (body(7, timeout_ms=0), "routes[0].timeout_ms"))
         cases += ((body(7, service="other"), "routes[0].service"),)
         for data, place in cases:
@@ -111,19 +111,19 @@
             self.assertEqual((status, told["place"]), (400, BASE_VERSION_HEADER), base)
 
     async def test_sent_on_to_the_machine_that_knows(self) -> None:
-        self.configurations.outcome = Elsewhere("10.0.0.4:8367")
+        self.configurations.outcome = Redirect("10.0.0.4:8367")
         status, _, headers = await self.replace(body(7))
         self.assertEqual((status, headers["Location"]), (307, "http://10.0.0.4:8367/config/replace"))
         status, _, headers = await self.read()
         self.assertEqual((status, headers["Location"]), (307, "http://10.0.0.4:8367/config/read"))
 
     async def test_never_sent_on_to_itself(self) -> None:
-        self.configurations.outcome = Elsewhere(OWN)
+        self.configurations.outcome = Redirect(OWN)
         self.assertEqual((await self.replace(body(7)))[0], 503)
         self.assertEqual((await self.read())[0], 503)
 
     async def test_unsure(self) -> None:
-        self.configurations.outcome = Unsure()
+        self.configurations.outcome = OutcomeUnknown()
         status, _, headers = await self.replace(body(7))
         self.assertEqual(status, 503)
         self.assertIn("Retry-After", headers)
@@ -135,7 +135,7 @@
             self.assertEqual((await self.read())[0], 503)
 
     async def test_read_is_byte_for_byte(self) -> None:
-        self.configurations.outcome = Configuration(3, 7, body(7), b"")
+        self.configurations.outcome = ReadResult(3, 7, body(7), b"")
         status, told, _ = await self.read()
         self.assertEqual((status, told), (200, body(7)))
 
@@ -144,6 +144,6 @@
         self.assertEqual((await self.read())[0], 404)
 
     async def test_a_large_configuration_is_taken(self) -> None:
-        self.configurations.outcome = Acknowledged(7)
+        self.configurations.outcome = WriteAcknowledged(7)
         data = body(7, padding="x" * (5 * 1024 * 1024))
         self.assertEqual((await self.replace(data))[0], 200)
--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -8,7 +8,7 @@
 from rosechute.control_plane.quota_allocator import QuotaAllocator, QuotaBounds, TenantLimit, TokenDemand
 from rosechute.control_plane.rate_lease_owners import PRUNE_INTERVAL_S, RateLeaseOwnerTracker
 from rosechute.control_plane.rate_leases import FULL_RATE_EXPIRY_S, LEASE_EXPIRY_S, LeaseOwner
-from rosechute.coordination.memory import Memory, RateLeaseHolders, load
+from rosechute.coordination.replica_state import RateLeaseOwners, ReplicaState, load_replica_state
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseReport
 
@@ -201,15 +201,18 @@
 
     def test_a_later_note_replaces(self) -> None:
         records = [self.note(3, A).SerializeToString(), self.note(3, A, B).SerializeToString()]
-        self.assertEqual(load(records).holders, RateLeaseHolders(3, names(A, B)))
+        self.assertEqual(load_replica_state(records).rate_lease_owners, RateLeaseOwners(3, names(A, B)))
 
     def test_a_note_of_an_earlier_term_is_passed_over(self) -> None:
-        memory = Memory()
-        memory.apply(self.note(4, A))
-        memory.apply(self.note(3, B))
-        self.assertEqual(memory.holders, RateLeaseHolders(4, names(A)))
+        replica_state = ReplicaState()
+        replica_state.apply(self.note(4, A))
+        replica_state.apply(self.note(3, B))
+        self.assertEqual(replica_state.rate_lease_owners, RateLeaseOwners(4, names(A)))
 
     def test_a_whole_record_has_it(self) -> None:
-        memory = Memory()
-        memory.apply(self.note(4, A, B))
-        self.assertEqual(load([memory.whole().SerializeToString()]).holders, RateLeaseHolders(4, names(A, B)))
+        replica_state = ReplicaState()
+        replica_state.apply(self.note(4, A, B))
+        self.assertEqual(
+            load_replica_state([replica_state.whole().SerializeToString()]).rate_lease_owners,
+            RateLeaseOwners(4, names(A, B)),
+        )
--- a/tests/fleet/test_control_worst_days.py
+++ b/tests/fleet/test_control_worst_days.py
@@ -15,7 +15,7 @@
 from rosechute.control_plane import core_machine
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.operator_api import BODY_LIMIT_BYTES
-from rosechute.coordination.types import Identity
+from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import (
     APPLIED_WRITE_BYTES,
     MAX_APPLIED_WRITES,
@@ -53,7 +53,7 @@
         state = RegisterState(
             9, 9, 9, b" " * BODY_LIMIT_BYTES, b"d" * 16, b"t" * (APPLIED_WRITE_BYTES * MAX_APPLIED_WRITES)
         )
-        machine = Identity("i" * 16, "n" * 64, "z" * 64, "255.255.255.255:65535", "255.255.255.255:65535")
+        machine = MachineIdentity("i" * 16, "n" * 64, "z" * 64, "255.255.255.255:65535", "255.255.255.255:65535")
         view = View(9, (machine,) * MOST_ACCEPTORS, (machine.id,) * MOST_ACCEPTORS, MOST_ACCEPTORS)
         proposal = Proposal(Ballot(9, machine.id, 2**52), view, state)
         configuration = pb.Configuration(version=9, body=state.body, digest=state.digest)
@@ -105,7 +105,7 @@
 
         class Replica:
             @property
-            def handed_over(self) -> bool:
+            def is_handed_over(self) -> bool:
                 nonlocal asked
                 asked += 1
                 return asked > handed_over_after
--- a/tests/fleet/test_coordination_calm.py
+++ b/tests/fleet/test_coordination_calm.py
@@ -5,13 +5,13 @@
 import hashlib
 import unittest
 
-from rosechute.coordination import Acknowledged, Configuration, Elsewhere, Order, Outcome, Stale
+from rosechute.coordination import Outcome, ReadResult, Redirect, VersionConflict, WriteAcknowledged, WriteRequest
 from tests.fleet.simulation.world import World
 
 
-def make_order(world: World, base: int, version: int) -> Order:
+def make_order(world: World, base: int, version: int) -> WriteRequest:
     body = f"configuration {version} on {base}".encode()
-    return Order(world.new_request(), base, version, body, hashlib.sha256(body).digest())
+    return WriteRequest(world.new_request(), base, version, body, hashlib.sha256(body).digest())
 
 
 class Calm(unittest.TestCase):
@@ -33,16 +33,18 @@
         outcomes: list[Outcome] = []
         order = make_order(world, 0, 3)
         for each in (order, make_order(world, 0, 5), order, make_order(world, 3, 4)):
-            repeated = Order(world.new_request(), each.base_version, each.version, each.body, each.digest)
-            world.submit(world.machines[0], repeated, lambda machine, outcome: outcomes.append(outcome))
+            repeated = WriteRequest(world.new_request(), each.base_version, each.version, each.body, each.digest)
+            world.propose_write(world.machines[0], repeated, lambda machine, outcome: outcomes.append(outcome))
             world.run_for(0.2)
-        self.assertEqual(outcomes, [Acknowledged(3), Stale(3), Acknowledged(3), Acknowledged(4)])
+        self.assertEqual(
+            outcomes, [WriteAcknowledged(3), VersionConflict(3), WriteAcknowledged(3), WriteAcknowledged(4)]
+        )
         reads: list[Outcome] = []
         for machine in world.machines:
             world.read(machine, lambda machine, outcome: reads.append(outcome))
         world.run_for(0.2)
-        self.assertEqual(sum(isinstance(each, Configuration) and each.version == 4 for each in reads), 1)
-        self.assertEqual(sum(isinstance(each, Elsewhere) for each in reads), size - 1)
+        self.assertEqual(sum(isinstance(each, ReadResult) and each.version == 4 for each in reads), 1)
+        self.assertEqual(sum(isinstance(each, Redirect) for each in reads), size - 1)
 
     def test_seeds_in_any_order(self) -> None:
         world = World(1, 4)
@@ -70,9 +72,9 @@
                     assert head is not None
                     target = world.by_control(head.control_address)
                     assert target is not None
-                    world.submit(target, order, lambda machine, outcome, into=outcomes: into.append(outcome))
+                    world.propose_write(target, order, lambda machine, outcome, into=outcomes: into.append(outcome))
                     world.run_for(0.3)
-                    self.assertEqual(outcomes, [Acknowledged(1)])
+                    self.assertEqual(outcomes, [WriteAcknowledged(1)])
                     world.run_until(11.0)
                     self.assertEqual(
                         {len(each.replica.view.chain) for each in world.machines if each.replica}, {size}
--- a/tests/fleet/test_coordination_explored_orders.py
+++ b/tests/fleet/test_coordination_explored_orders.py
@@ -4,11 +4,11 @@
 
 import unittest
 
-from rosechute.coordination.memory import Memory
+from rosechute.coordination.replica_state import ReplicaState
 from tests.fleet.exploration import roots
 from tests.fleet.exploration.invariants import on_disk
 
-PARTS = tuple(Memory.__dataclass_fields__)
+PARTS = tuple(ReplicaState.__dataclass_fields__)
 
 
 class OldRecordsBehindANewerSnapshot(unittest.TestCase):
@@ -35,7 +35,7 @@
         world = roots.begin(roots.BY_NAME["epoch_sealed"], 3)
         leader = world.machines[roots.LEADER]
         assert leader.replica is not None
-        memory = leader.replica._context.memory
-        self.assertIsNotNone(memory.accepted, "accepted, and not decided")
+        replica_state = leader.replica._context.replica_state
+        self.assertIsNotNone(replica_state.accepted, "accepted, and not decided")
         behind = on_disk((*leader.replica.snapshot(), *leader.state.records))
-        self.assertEqual(behind.view, memory.view)
+        self.assertEqual(behind.view, replica_state.view)
--- a/tests/fleet/test_coordination_planted.py
+++ b/tests/fleet/test_coordination_planted.py
@@ -17,14 +17,14 @@
     ReplicaConfig,
     acceptor,
     chain,
-    confirm,
     context,
+    epoch_confirmer,
     freshness,
     leader_lease,
     lease_grantor,
     membership,
-    memory,
     proposer,
+    replica_state,
     views,
 )
 from rosechute.coordination import replica as replica_module
@@ -101,18 +101,18 @@
         self.objects_to("read", wiped_machine_returns_first, change)
 
     def test_reads_of_a_deposed_tail(self) -> None:
-        self.plant(confirm.Confirmer, "ask", lambda self, done, since: done(True))
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
         self.plant(chain.Chain, "_cut_off", lambda self: False)
         self.objects_to("read", deposed_tail_reads)
 
     def test_refusals_of_a_deposed_head(self) -> None:
-        self.plant(confirm.Confirmer, "ask", lambda self, done, since: done(True))
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
         self.plant(chain.Chain, "_cut_off", lambda self: False)
         self.plant(chain.Chain, "_early", lambda self, order: False)
         self.objects_to("refused", deposed_head_refuses)
 
     def test_sealed_acceptor_goes_on(self) -> None:
-        self.plant(context.Context, "settled", property(lambda self: True))
+        self.plant(context.Context, "is_epoch_adopted", property(lambda self: True))
         self.objects_to("read", write_in_a_sealed_epoch)
 
     def test_proposal_from_an_old_state(self) -> None:
@@ -121,8 +121,14 @@
         self.objects_to("read", head_and_tail_lost_after_the_answer, size=5)
 
     def test_promise_forgotten(self) -> None:
-        self.plant(memory.Memory, "_apply_accepted", lambda self, proposal: setattr(self, "accepted", None))
-        self.plant(memory.Memory, "_apply_promise", lambda self, epoch, ballot: setattr(self, "promised", ballot))
+        self.plant(
+            replica_state.ReplicaState, "_apply_accepted", lambda self, proposal: setattr(self, "accepted", None)
+        )
+        self.plant(
+            replica_state.ReplicaState,
+            "_apply_promise",
+            lambda self, epoch, ballot: setattr(self, "promised", ballot),
+        )
         self.objects({"view", "live"}, {"freeze_some", "cut_in_two", "bad_links", "kill_some"}, troubles=8)
 
     def test_grants_right_after_a_restart(self) -> None:
@@ -137,13 +143,13 @@
         self.objects_to("lease", grantors_restart)
 
     def test_change_of_the_grantee_not_noted(self) -> None:
-        right = memory.Memory._apply_grantee
+        right = replica_state.ReplicaState._apply_grantee
 
-        def first_only(self: memory.Memory, record: Any) -> None:
+        def first_only(self: replica_state.ReplicaState, record: Any) -> None:
             if not self.grantee:
                 right(self, record)
 
-        self.plant(memory.Memory, "_apply_grantee", first_only)
+        self.plant(replica_state.ReplicaState, "_apply_grantee", first_only)
         self.objects_to("lease", grantors_restart_after_another_leader)
 
     def test_lease_by_a_clock_that_steps(self) -> None:
@@ -192,7 +198,7 @@
 
         def stored(self: chain.Chain, epoch: int, sequence: int) -> None:
             right(self, epoch, sequence)
-            self.note_committed(epoch, sequence)
+            self.on_committed(epoch, sequence)
 
         self.plant(chain.Chain, "_stored", stored)
         self.objects({"lost", "line", "read", "back", "fresh"}, {"freeze_one", "cut_one", "kill_one"}, troubles=8)
@@ -206,8 +212,8 @@
 
         def following(self: chain.Chain) -> None:
             for pending in self._queue:
-                object.__setattr__(pending.order, "base_version", self._context.memory.committed.version)
-                object.__setattr__(pending.order, "version", self._context.memory.committed.version + 1)
+                object.__setattr__(pending.order, "base_version", self._context.replica_state.committed.version)
+                object.__setattr__(pending.order, "version", self._context.replica_state.committed.version + 1)
             right(self)
 
         self.plant(replica_module.RegisterState, "applied_version", lambda self, digest: None)
@@ -218,7 +224,7 @@
         right = freshness.Freshness.update
 
         def update(self: freshness.Freshness) -> None:
-            with mock.patch.object(type(self.context.memory.view), "majority", 1):
+            with mock.patch.object(type(self.context.replica_state.view), "majority", 1):
                 right(self)
 
         self.plant(freshness.Freshness, "update", update)
@@ -253,7 +259,7 @@
 
 def _any_term(right: Callable[..., bool]) -> Callable[..., bool]:
     def may_grant(self: lease_grantor.LeaseGrantor, *arguments: Any) -> bool:
-        self.context.memory.term = views.LeaderTerm()
+        self.context.replica_state.term = views.LeaderTerm()
         return right(self, *arguments)
 
     return may_grant
@@ -263,7 +269,7 @@
     """The newest write is left out where the machine doesn't know yet that it counts."""
 
     def call(self: Any, *arguments: Any) -> None:
-        known = self._context.memory
+        known = self._context.replica_state
         written, known.written = known.written, None
         right(self, *arguments)
         known.written = written
--- a/tests/fleet/test_coordination_planted_worlds.py
+++ b/tests/fleet/test_coordination_planted_worlds.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.coordination import Stale, chain, confirm, membership, planning
+from rosechute.coordination import VersionConflict, chain, epoch_confirmer, membership, planning
 from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.storage.record_store import RecordStore
 from tests.fleet.simulated_disk import SimulatedDirectory
@@ -27,7 +27,7 @@
     head = cluster.role("head")
     cluster.world.network.cut_off(head, outward=False)
     cluster.run(1.5)
-    cluster.submit(head, cluster.make())
+    cluster.propose_write(head, cluster.make())
     cluster.run(1.5)
 
 
@@ -38,7 +38,7 @@
     head = cluster.role("head")
     cluster.world.network.cut_off(head)
     cluster.run(3.0)
-    cluster.submit(head, cluster.make(base, base + 1))
+    cluster.propose_write(head, cluster.make(base, base + 1))
     cluster.run(1.5)
 
 
@@ -67,12 +67,12 @@
     # Answers of machines that are cut off
 
     def test_refusal_without_a_majority(self) -> None:
-        self.plant(confirm.Confirmer, "ask", lambda self, done, since: done(True))
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
         self.plant(chain.Chain, "_cut_off", lambda self: False)
         self.objects_to("certain", stale_order_behind_a_cut)
 
     def test_read_without_a_majority(self) -> None:
-        self.plant(confirm.Confirmer, "ask", lambda self, done, since: done(True))
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
         self.plant(chain.Chain, "_cut_off", lambda self: False)
         self.objects_to("certain", deposed_tail_reads)
 
@@ -81,7 +81,7 @@
 
         def stored(self: chain.Chain, epoch: int, sequence: int) -> None:
             right(self, epoch, sequence)
-            self.note_committed(epoch, sequence)
+            self.on_committed(epoch, sequence)
 
         self.plant(chain.Chain, "_stored", stored)
         self.plant(chain.Chain, "_cut_off", lambda self: False)
@@ -96,7 +96,7 @@
 
     def test_proper_order_refused(self) -> None:
         def start(self: chain.Chain, pending: chain.PendingOrder) -> None:
-            self._answer(pending, Stale(self._context.memory.committed.version))
+            self._answer(pending, VersionConflict(self._context.replica_state.committed.version))
 
         self.plant(chain.Chain, "_start", start)
         self.objects({"proper"}, Kind.SHORT)
--- a/tests/fleet/test_coordination_repeats.py
+++ b/tests/fleet/test_coordination_repeats.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from rosechute.coordination import Acknowledged, Elsewhere, Order, Stale, Unsure, views
+from rosechute.coordination import OutcomeUnknown, Redirect, VersionConflict, WriteAcknowledged, WriteRequest, views
 from tests.fleet.simulation.cluster import Cluster
 from tests.fleet.simulation.operators import order_of
 from tests.fleet.simulation.world import Machine
@@ -14,11 +14,11 @@
 ANSWERED_S = 1.2
 
 
-def send_everywhere(cluster: Cluster, order: Order) -> dict[Machine, object]:
+def send_everywhere(cluster: Cluster, order: WriteRequest) -> dict[Machine, object]:
     """Send an order to each machine in turn; the answer of each."""
     answers: dict[Machine, object] = {}
     for machine in cluster.machines:
-        outcomes = cluster.submit(machine, order)
+        outcomes = cluster.propose_write(machine, order)
         cluster.run_until(outcomes.__len__, ANSWERED_S)
         answers[machine] = outcomes[0]
     return answers
@@ -27,9 +27,9 @@
 def take(cluster: Cluster, count: int) -> None:
     """So many orders, one after the other."""
     for _ in range(count):
-        outcomes = cluster.submit(cluster.role("head"), cluster.make())
+        outcomes = cluster.propose_write(cluster.role("head"), cluster.make())
         assert cluster.run_until(outcomes.__len__, ANSWERED_S)
-        assert isinstance(outcomes[0], Acknowledged)
+        assert isinstance(outcomes[0], WriteAcknowledged)
 
 
 class Repeats(unittest.TestCase):
@@ -40,7 +40,7 @@
             take(cluster, later)
             cluster.run(0.5)
             answers = send_everywhere(cluster, first)
-            self.assertEqual(set(answers.values()), {Acknowledged(first.version)})
+            self.assertEqual(set(answers.values()), {WriteAcknowledged(first.version)})
 
     def test_at_machines_that_never_saw_it_or_start_from_a_snapshot(self) -> None:
         for size in (3, 4, 5):
@@ -54,22 +54,22 @@
                 cluster.world.add_machine("another", "10.9.1.1").start()
                 cluster.run(4.0)
                 answers = send_everywhere(cluster, first)
-                self.assertEqual(set(answers.values()), {Acknowledged(first.version)})
+                self.assertEqual(set(answers.values()), {WriteAcknowledged(first.version)})
                 cluster.restart(cluster.machines)
                 cluster.run(4.0)
                 answers = send_everywhere(cluster, first)
-                self.assertEqual(set(answers.values()), {Acknowledged(first.version)})
+                self.assertEqual(set(answers.values()), {WriteAcknowledged(first.version)})
 
     def test_bytes_that_differ_by_a_space_are_another_order(self) -> None:
         cluster = Cluster(3)
         base = cluster.settle().version
         one, other = order_of(base, base + 1, b'{"a": 1}'), order_of(base, base + 1, b'{"a": 1} ')
-        answers = [cluster.submit(cluster.role("head"), each) for each in (one, other)]
+        answers = [cluster.propose_write(cluster.role("head"), each) for each in (one, other)]
         cluster.run(ANSWERED_S)
-        self.assertEqual(answers, [[Acknowledged(base + 1)], [Stale(base + 1)]])
+        self.assertEqual(answers, [[WriteAcknowledged(base + 1)], [VersionConflict(base + 1)]])
         again = send_everywhere(cluster, other)
-        self.assertTrue(all(isinstance(each, Stale | Elsewhere) for each in again.values()), again)
-        self.assertEqual(set(send_everywhere(cluster, one).values()), {Acknowledged(base + 1)})
+        self.assertTrue(all(isinstance(each, VersionConflict | Redirect) for each in again.values()), again)
+        self.assertEqual(set(send_everywhere(cluster, one).values()), {WriteAcknowledged(base + 1)})
 
     def test_orders_that_are_no_longer_remembered_get_no_certain_answer(self) -> None:
         with mock.patch.object(views, "MAX_APPLIED_WRITES", REMEMBERED):
@@ -77,15 +77,15 @@
             first = cluster.settle()
             take(cluster, REMEMBERED - 1)
             cluster.run(0.5)
-            self.assertEqual(set(send_everywhere(cluster, first).values()), {Acknowledged(first.version)})
+            self.assertEqual(set(send_everywhere(cluster, first).values()), {WriteAcknowledged(first.version)})
             take(cluster, 1)
             cluster.run(0.5)
-            head = cluster.submit(cluster.role("head"), first)
+            head = cluster.propose_write(cluster.role("head"), first)
             cluster.run(ANSWERED_S)
-            self.assertEqual(head, [Unsure()])
-            never = cluster.submit(cluster.role("head"), cluster.make(base=first.version + 2))
+            self.assertEqual(head, [OutcomeUnknown()])
+            never = cluster.propose_write(cluster.role("head"), cluster.make(base=first.version + 2))
             cluster.run(ANSWERED_S)
-            self.assertEqual(never, [Stale(cluster.version())])
+            self.assertEqual(never, [VersionConflict(cluster.version())])
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_coordination_schedules.py
+++ b/tests/fleet/test_coordination_schedules.py
@@ -6,7 +6,14 @@
 import unittest
 from typing import Any
 
-from rosechute.coordination import Acknowledged, Configuration, Elsewhere, LeaseLost, Stale, Unsure
+from rosechute.coordination import (
+    LeadershipLost,
+    OutcomeUnknown,
+    ReadResult,
+    Redirect,
+    VersionConflict,
+    WriteAcknowledged,
+)
 from tests.fleet.simulation.cluster import Cluster, kind
 from tests.fleet.simulation.world import Machine
 
@@ -31,10 +38,10 @@
     assert new_head in others
     cluster.settle()
     order = cluster.make()
-    at_old = cluster.submit(head, order)
-    stale = cluster.submit(head, cluster.make(0, 1))
+    at_old = cluster.propose_write(head, order)
+    stale = cluster.propose_write(head, cluster.make(0, 1))
     cluster.run(1.2)
-    at_new = cluster.submit(new_head, order)
+    at_new = cluster.propose_write(new_head, order)
     cluster.run(1.0)
     return [*at_old, *at_new, *stale]
 
@@ -91,14 +98,14 @@
     new = cluster.world.add_machine("another", "10.9.1.1")
     new.start()  # it asks for a new view, in which all others stay
     assert cluster.run_until(held.__len__)
-    cluster.submit(head, order)
+    cluster.propose_write(head, order)
     cluster.run(0.2)
     cluster.world.network.release(held)
     cluster.run(2.0)
-    again = cluster.submit(cluster.role("head"), order)
+    again = cluster.propose_write(cluster.role("head"), order)
     outcomes = cluster.read(cluster.role("tail"))
     cluster.run(1.0)
-    assert again and isinstance(outcomes[0], Configuration)
+    assert again and isinstance(outcomes[0], ReadResult)
 
 
 def head_and_tail_lost_after_the_answer(cluster: Cluster) -> list[object]:
@@ -107,14 +114,14 @@
     head, tail = cluster.role("head"), cluster.role("tail")
     cluster.world.network.capture(lambda source, target, message: source is tail and target is not head)
     order = cluster.make()
-    outcomes = cluster.submit(head, order)
+    outcomes = cluster.propose_write(head, order)
     assert cluster.run_until(outcomes.__len__)
     head.kill()
     tail.kill()
     cluster.world.network.intercept = None
     cluster.run(4.0)
     reads = cluster.read(cluster.role("tail"))
-    again = cluster.submit(cluster.role("head"), order)
+    again = cluster.propose_write(cluster.role("head"), order)
     cluster.run(1.0)
     return [*outcomes, *reads, *again]
 
@@ -140,7 +147,7 @@
     cluster.run(1.2)
     last.start()
     cluster.run(4.0)
-    again = cluster.submit(cluster.role("head"), order)
+    again = cluster.propose_write(cluster.role("head"), order)
     cluster.run(1.0)
     return [*outcomes, *again]
 
@@ -153,14 +160,14 @@
     back.thaw()
     epoch = cluster.epoch()
     for _ in range(60):
-        outcomes = cluster.submit(cluster.role("head"), cluster.make())
+        outcomes = cluster.propose_write(cluster.role("head"), cluster.make())
         assert cluster.run_until(lambda outcomes=outcomes: outcomes or cluster.epoch() > epoch, ANSWERED_WITHIN_S)
         if cluster.epoch() > epoch:
             break
     cluster.run(1.0)
     outcomes = cluster.read(cluster.role("tail"))
     cluster.run(1.0)
-    assert isinstance(outcomes[0], Configuration)
+    assert isinstance(outcomes[0], ReadResult)
 
 
 class ViewAndAcceptors(unittest.TestCase):
@@ -238,8 +245,8 @@
     def test_wiped_machine_returns_before_the_last_one_that_remembers(self) -> None:
         for seed in range(3):
             *reads, again = wiped_machine_returns_first(Cluster(3, seed))
-            self.assertFalse([each for each in reads if isinstance(each, Configuration)])
-            self.assertIsInstance(again, Acknowledged)
+            self.assertFalse([each for each in reads if isinstance(each, ReadResult)])
+            self.assertIsInstance(again, WriteAcknowledged)
 
     def test_orders_while_a_member_returns(self) -> None:
         for size, seed in itertools.product((3, 4), range(3)):
@@ -248,7 +255,7 @@
     def test_head_and_tail_lost_right_after_the_answer(self) -> None:
         for seed in range(3):
             first, read, again = head_and_tail_lost_after_the_answer(Cluster(5, seed))
-            assert isinstance(read, Configuration)
+            assert isinstance(read, ReadResult)
             self.assertEqual(first, again)
 
     def test_two_wiped_and_a_third_that_returns(self) -> None:
@@ -264,10 +271,10 @@
         self.assertEqual(cluster.epoch(), epoch, "two of five with their memory decide nothing")
         reads = [cluster.read(each) for each in cluster.machines if each.up]
         cluster.run(1.2)
-        self.assertFalse([each for outcomes in reads for each in outcomes if isinstance(each, Configuration)])
+        self.assertFalse([each for outcomes in reads for each in outcomes if isinstance(each, ReadResult)])
         down.start()
         cluster.run(4.0)
-        self.assertEqual(cluster.submit(cluster.role("head"), order), [Acknowledged(order.version)])
+        self.assertEqual(cluster.propose_write(cluster.role("head"), order), [WriteAcknowledged(order.version)])
         self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
 
     def test_two_wiped_of_three_never_decide(self) -> None:
@@ -279,10 +286,10 @@
             machine.start()
         cluster.run(20.0)
         self.assertEqual(cluster.epoch(), epoch)
-        outcomes = [cluster.submit(each, cluster.make()) for each in cluster.machines]
+        outcomes = [cluster.propose_write(each, cluster.make()) for each in cluster.machines]
         cluster.run(1.2)
         for each in outcomes:
-            self.assertIsInstance(each[0], Unsure | Elsewhere)
+            self.assertIsInstance(each[0], OutcomeUnknown | Redirect)
 
     def test_power_lost_at_every_step_of_a_view_change(self) -> None:
         for step, kept in itertools.product(range(0, 48, 4), (True, False)):
@@ -308,15 +315,15 @@
                 cluster.settle()
                 cluster.world.random.random = (lambda: 0.0) if kept else (lambda: 0.9)  # type: ignore[method-assign]
                 order = cluster.make()
-                outcomes = cluster.submit(cluster.role("head"), order)
+                outcomes = cluster.propose_write(cluster.role("head"), order)
                 cluster.run(step / 1000)
                 for machine in cluster.machines:
                     machine.power_loss()
                     machine.start()
                 cluster.run(2.5)
-                again = cluster.submit(cluster.role("head"), order)
+                again = cluster.propose_write(cluster.role("head"), order)
                 cluster.run(0.5)
-                self.assertEqual(again, [Acknowledged(order.version)], outcomes)
+                self.assertEqual(again, [WriteAcknowledged(order.version)], outcomes)
 
     def test_removed_machine_that_never_heard(self) -> None:
         for role in ("head", "middle", "tail"):
@@ -329,10 +336,10 @@
                 self.assertFalse(cluster.replica(lone).is_leader(lone.now()), "the lease ends by the steady clock")
                 cluster.run(2.0)
                 cluster.settle()
-                orders, reads = cluster.submit(lone, cluster.make()), cluster.read(lone)
+                orders, reads = cluster.propose_write(lone, cluster.make()), cluster.read(lone)
                 cluster.run(1.2)
-                self.assertIsInstance(orders[0], Unsure | Elsewhere)
-                self.assertIsInstance(reads[0], Unsure | Elsewhere)
+                self.assertIsInstance(orders[0], OutcomeUnknown | Redirect)
+                self.assertIsInstance(reads[0], OutcomeUnknown | Redirect)
                 fresh = cluster.replica(lone).freshness(lone.now())
                 assert fresh is not None
                 self.assertGreater(fresh[1], 4.0)
@@ -347,13 +354,15 @@
                 machines = [cluster.machines[each] for each in order]
                 machines[0].start()
                 cluster.run(2.0)
-                self.assertFalse(isinstance(_only(cluster, cluster.read(machines[0])), Configuration))
+                self.assertFalse(isinstance(_only(cluster, cluster.read(machines[0])), ReadResult))
                 machines[1].start()
                 self.assertLessEqual(cluster.operate(), RECOVERED_WITHIN_S)
                 machines[2].start()
                 cluster.run(BACK_IN_CHAIN_WITHIN_S)
                 self.assertEqual(len(cluster.newest_view().chain), 3)
-                self.assertEqual(_only(cluster, cluster.submit(machines[2], first)), Acknowledged(first.version))
+                self.assertEqual(
+                    _only(cluster, cluster.propose_write(machines[2], first)), WriteAcknowledged(first.version)
+                )
 
     def test_killed_at_once_with_sizes(self) -> None:
         for size in (3, 4, 5, 8):
@@ -467,7 +476,9 @@
             cluster.run(5.0)
             self.assertIn(cluster.replica(new).identity.id, cluster.newest_view().chain)
         self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
-        self.assertEqual(_only(cluster, cluster.submit(cluster.role("head"), order)), Acknowledged(order.version))
+        self.assertEqual(
+            _only(cluster, cluster.propose_write(cluster.role("head"), order)), WriteAcknowledged(order.version)
+        )
 
 
 class Chain(unittest.TestCase):
@@ -479,13 +490,15 @@
         held = cluster.world.network.capture(
             lambda source, target, message: kind(message) == "chain_write" and source is middle
         )
-        first = cluster.submit(head, order)
+        first = cluster.propose_write(head, order)
         self.assertTrue(cluster.run_until(lambda: held))
         head.kill()
         cluster.world.network.intercept = None
         cluster.run(3.0)
         self.assertEqual(first, [])
-        self.assertEqual(_only(cluster, cluster.submit(cluster.role("head"), order)), Acknowledged(order.version))
+        self.assertEqual(
+            _only(cluster, cluster.propose_write(cluster.role("head"), order)), WriteAcknowledged(order.version)
+        )
         cluster.world.network.release(held)
         self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
 
@@ -497,16 +510,16 @@
                 head, tail = cluster.role("head"), cluster.role("tail")
                 order = cluster.make()
                 cluster.world.network.cut_off(tail, inward=False)
-                outcomes = cluster.submit(head, order)
+                outcomes = cluster.propose_write(head, order)
                 cluster.run(0.05)
                 tail.kill()
                 cluster.world.network.heal(tail)
                 if not gone:
                     tail.start()
                 cluster.run(3.0)
-                self.assertIsInstance(outcomes[0], Acknowledged | Unsure)
-                again = cluster.submit(cluster.role("head"), order)
-                self.assertEqual(_only(cluster, again), Acknowledged(order.version))
+                self.assertIsInstance(outcomes[0], WriteAcknowledged | OutcomeUnknown)
+                again = cluster.propose_write(cluster.role("head"), order)
+                self.assertEqual(_only(cluster, again), WriteAcknowledged(order.version))
 
     def test_middle_fails_at_every_step(self) -> None:
         for step in range(0, 30, 3):
@@ -515,12 +528,12 @@
                 cluster.settle()
                 head, middle = cluster.role("head"), cluster.role("middle")
                 order = cluster.make()
-                cluster.submit(head, order)
+                cluster.propose_write(head, order)
                 cluster.run(step / 1000)
                 middle.kill()
                 cluster.run(2.5)
-                again = cluster.submit(cluster.role("head"), order)
-                self.assertEqual(_only(cluster, again), Acknowledged(order.version))
+                again = cluster.propose_write(cluster.role("head"), order)
+                self.assertEqual(_only(cluster, again), WriteAcknowledged(order.version))
 
     def test_reads_through_a_view_change(self) -> None:
         for role in ("head", "tail", "leader"):
@@ -534,7 +547,7 @@
                     cluster.run(0.02)
                 cluster.run(1.2)
                 self.assertTrue(all(len(each) == 1 for each in reads))
-                self.assertIsInstance(_only(cluster, cluster.read(cluster.role("tail"))), Configuration)
+                self.assertIsInstance(_only(cluster, cluster.read(cluster.role("tail"))), ReadResult)
 
     def test_reads_that_fail_to_be_confirmed_are_answered_in_time(self) -> None:
         cluster = Cluster(3)
@@ -545,26 +558,28 @@
         middle.start()  # its restart seals the epoch
         first = cluster.read(tail)
         cluster.run(0.7)
-        self.assertTrue(cluster.replica(tail)._context.memory.sealed)
+        self.assertTrue(cluster.replica(tail)._context.replica_state.sealed)
         second = cluster.read(tail)  # waits for the next view; behind it the first one, once it can't be confirmed
         cluster.run(0.35)
-        self.assertEqual((first, second), ([Unsure()], []))
+        self.assertEqual((first, second), ([OutcomeUnknown()], []))
         cluster.run(0.65)
-        self.assertEqual(second, [Unsure()])
+        self.assertEqual(second, [OutcomeUnknown()])
 
     def test_same_order_again(self) -> None:
         cluster = Cluster(3)
         head = cluster.role("head")
         order = cluster.make()
-        under_way = [cluster.submit(head, order) for _ in range(3)]
+        under_way = [cluster.propose_write(head, order) for _ in range(3)]
         cluster.run(0.3)
-        self.assertEqual(under_way, [[Acknowledged(order.version)]] * 3)
+        self.assertEqual(under_way, [[WriteAcknowledged(order.version)]] * 3)
         later = cluster.settle()
         for machine in cluster.machines:
-            self.assertEqual(_only(cluster, cluster.submit(machine, order)), Acknowledged(order.version))
+            self.assertEqual(_only(cluster, cluster.propose_write(machine, order)), WriteAcknowledged(order.version))
         head.kill()
         cluster.run(3.0)
-        self.assertEqual(_only(cluster, cluster.submit(cluster.role("head"), order)), Acknowledged(order.version))
+        self.assertEqual(
+            _only(cluster, cluster.propose_write(cluster.role("head"), order)), WriteAcknowledged(order.version)
+        )
         head.start()
         cluster.run(2.0)
         for machine in cluster.machines:
@@ -572,27 +587,29 @@
             machine.start()
         cluster.run(3.0)
         for each in (order, later):
-            self.assertEqual(_only(cluster, cluster.submit(cluster.role("head"), each)), Acknowledged(each.version))
+            self.assertEqual(
+                _only(cluster, cluster.propose_write(cluster.role("head"), each)), WriteAcknowledged(each.version)
+            )
 
     def test_eight_orders_on_one_base(self) -> None:
         cluster = Cluster(3)
         orders = [cluster.make(0, 1 + each) for each in range(8)]
-        outcomes = [cluster.submit(cluster.role("head"), each) for each in orders]
+        outcomes = [cluster.propose_write(cluster.role("head"), each) for each in orders]
         cluster.run(1.0)
-        self.assertEqual(sum(isinstance(each[0], Acknowledged) for each in outcomes), 1)
-        self.assertEqual(sum(isinstance(each[0], Stale) for each in outcomes), 7)
+        self.assertEqual(sum(isinstance(each[0], WriteAcknowledged) for each in outcomes), 1)
+        self.assertEqual(sum(isinstance(each[0], VersionConflict) for each in outcomes), 7)
 
     def test_deposed_head_does_not_refuse(self) -> None:
         for size in (3, 4):
             outcomes = deposed_head_refuses(Cluster(size))
-            self.assertIsInstance(outcomes[0], Unsure | Elsewhere)
-            self.assertIsInstance(outcomes[1], Acknowledged)
-            self.assertIsInstance(outcomes[2], Unsure | Elsewhere)
+            self.assertIsInstance(outcomes[0], OutcomeUnknown | Redirect)
+            self.assertIsInstance(outcomes[1], WriteAcknowledged)
+            self.assertIsInstance(outcomes[2], OutcomeUnknown | Redirect)
 
     def test_deposed_tail_does_not_answer_reads(self) -> None:
         for size in (3, 4):
             outcomes = deposed_tail_reads(Cluster(size))
-            self.assertIsInstance(outcomes[0], Unsure | Elsewhere)
+            self.assertIsInstance(outcomes[0], OutcomeUnknown | Redirect)
 
     def test_no_write_in_a_sealed_epoch(self) -> None:
         write_in_a_sealed_epoch(Cluster(3))
@@ -638,7 +655,7 @@
         cluster.role("head").kill()
         cluster.run(3.0)
         outcome = _only(cluster, cluster.read(cluster.role("tail")))
-        assert isinstance(outcome, Configuration)
+        assert isinstance(outcome, ReadResult)
         self.assertEqual(len(outcome.body), 4_000_000)
 
 
@@ -656,7 +673,7 @@
                 self.assertIsNot(other, leader)
                 self.assertFalse(cluster.replica(leader).is_leader(leader.now()))
                 actions = cluster.replica(leader).tick(leader.now())
-                self.assertIsInstance(actions[0], LeaseLost, "before anything else")
+                self.assertIsInstance(actions[0], LeadershipLost, "before anything else")
                 cluster.history.claims.discard(leader)
                 leader.thaw()
                 cluster.run(1.0)
@@ -709,7 +726,7 @@
         cluster = Cluster(3)
         leader = cluster.role("leader")
         leader.hang_disk(True)
-        cluster.submit(cluster.role("head"), cluster.make())
+        cluster.propose_write(cluster.role("head"), cluster.make())
         cluster.run(1.6)
         self.assertIsNotNone(cluster.leader())
         self.assertIsNot(cluster.leader(), leader)
--- a/tests/fleet/test_coordination_snapshots.py
+++ b/tests/fleet/test_coordination_snapshots.py
@@ -12,7 +12,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.coordination import Acknowledged, Configuration, memory
+from rosechute.coordination import ReadResult, WriteAcknowledged, replica_state
 from rosechute.coordination.proposer import Phase
 from rosechute.messages import coordination_pb2 as pb
 from tests.fleet.simulation.checkers import Violation
@@ -44,9 +44,9 @@
     cluster.settle()
     cluster.restart(cluster.machines)
     cluster.run(3.0)
-    again = cluster.submit(cluster.role("head"), first)
+    again = cluster.propose_write(cluster.role("head"), first)
     cluster.run(1.2)
-    require(again == [Acknowledged(first.version)], f"the repeated order got {again}")
+    require(again == [WriteAcknowledged(first.version)], f"the repeated order got {again}")
 
 
 def all_restarted(cluster: Cluster) -> None:
@@ -63,7 +63,7 @@
 def _read_everywhere(cluster: Cluster) -> None:
     reads = [cluster.read(each) for each in cluster.machines]
     cluster.run(1.2)
-    require(any(isinstance(each, Configuration) for outcomes in reads for each in outcomes), "nothing was read")
+    require(any(isinstance(each, ReadResult) for outcomes in reads for each in outcomes), "nothing was read")
 
 
 def only_middle_members_are_left(cluster: Cluster) -> None:
@@ -75,7 +75,7 @@
     head, tail = cluster.role("head"), cluster.role("tail")
     cluster.world.network.capture(lambda source, target, message: source is tail and target is not head)
     order = cluster.make()
-    outcomes = cluster.submit(head, order)
+    outcomes = cluster.propose_write(head, order)
     require(cluster.run_until(outcomes.__len__), "the order was not acknowledged")
     head.kill()
     tail.kill()
@@ -83,7 +83,7 @@
     cluster.world.network.intercept = None
     cluster.run(4.0)
     cluster.read(cluster.role("tail"))
-    cluster.submit(cluster.role("head"), order)
+    cluster.propose_write(cluster.role("head"), order)
     cluster.run(1.0)
 
 
@@ -273,15 +273,18 @@
                 self._found(lost)
 
     def _found(self, lost: Lost) -> None:
-        right = memory.Memory.whole
+        right = replica_state.ReplicaState.whole
 
-        def whole(known: memory.Memory) -> pb.Record:
+        def whole(known: replica_state.ReplicaState) -> pb.Record:
             record = right(known)
             lost.clear(record.whole)
             return record
 
         judged = {lost.check}
-        with mock.patch.object(memory.Memory, "whole", whole), self.assertRaises(AssertionError) as caught:
+        with (
+            mock.patch.object(replica_state.ReplicaState, "whole", whole),
+            self.assertRaises(AssertionError) as caught,
+        ):
             for seed in range(SEEDS):
                 lost.schedule(Cluster(lost.size, seed, judged, EVERY_WRITE))
         found = caught.exception.check if isinstance(caught.exception, Violation) else ""
--- a/tests/fleet/test_coordination_worst_days.py
+++ b/tests/fleet/test_coordination_worst_days.py
@@ -11,8 +11,16 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.coordination import Acknowledged, Configuration, Elsewhere, Order, Stale, Unsure, views
-from rosechute.coordination.memory import Memory, RateLeaseHolders, load
+from rosechute.coordination import (
+    OutcomeUnknown,
+    ReadResult,
+    Redirect,
+    VersionConflict,
+    WriteAcknowledged,
+    WriteRequest,
+    views,
+)
+from rosechute.coordination.replica_state import RateLeaseOwners, ReplicaState, load_replica_state
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.storage.record_store import RecordStore
 from tests.fleet.simulation.cluster import Cluster, kind
@@ -30,7 +38,7 @@
 def leave(cluster: Cluster, machine: Machine) -> None:
     """A process gets SIGTERM: it ends once it has handed over, or after the time that it has for that."""
     machine.run(lambda replica: replica.resign(machine.now()))
-    cluster.run_until(lambda: cluster.replica(machine).handed_over, HANDED_OVER_WITHIN_S)
+    cluster.run_until(lambda: cluster.replica(machine).is_handed_over, HANDED_OVER_WITHIN_S)
     machine.kill()
 
 
@@ -55,13 +63,13 @@
                 cluster.world.network.cut_off(lone, inward=inward)
                 outcomes = []
                 while cluster.world.now < LONG_CUT_S:
-                    outcomes.append(cluster.submit(lone, cluster.make(taken.version, taken.version + 1)))
-                    outcomes.append(cluster.submit(lone, cluster.make(0, 1)))  # long stale: no refusal either
+                    outcomes.append(cluster.propose_write(lone, cluster.make(taken.version, taken.version + 1)))
+                    outcomes.append(cluster.propose_write(lone, cluster.make(0, 1)))  # long stale: no refusal either
                     outcomes.append(cluster.read(lone))
                     cluster.run(0.5)
                 cluster.run(1.2)
                 for each in outcomes:
-                    self.assertIsInstance(each[0], Unsure | Elsewhere)
+                    self.assertIsInstance(each[0], OutcomeUnknown | Redirect)
                 cluster.world.network.heal()
                 self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
 
@@ -76,7 +84,7 @@
             cluster.settle()
             tail.thaw()
             cluster.run(1.2)
-            self.assertIsInstance(read[0], Unsure | Elsewhere)
+            self.assertIsInstance(read[0], OutcomeUnknown | Redirect)
 
     def test_requests_in_the_buffers_of_a_machine_that_wakes(self) -> None:
         for seed, role, asleep in itertools.product(range(3), ("head", "tail", "leader"), (0.0, 1.0)):
@@ -85,14 +93,14 @@
             sleeper = cluster.role(role)
             sleeper.freeze()
             cluster.run(asleep)  # before the requests, or behind them, lie the messages of the others
-            order = cluster.submit(sleeper, cluster.make(taken.version, taken.version + 5))
+            order = cluster.propose_write(sleeper, cluster.make(taken.version, taken.version + 5))
             read = cluster.read(sleeper)
             cluster.run(LONG_CUT_S)
             cluster.settle()
             sleeper.thaw()
             cluster.run(1.2)
-            self.assertIsInstance(order[0], Unsure | Elsewhere | Stale)
-            if isinstance(read[0], Configuration):
+            self.assertIsInstance(order[0], OutcomeUnknown | Redirect | VersionConflict)
+            if isinstance(read[0], ReadResult):
                 self.assertEqual(read[0].version, cluster.version())
 
 
@@ -105,19 +113,19 @@
         second = cluster.make()
         third = cluster.make(second.version, second.version + 1)
         head = cluster.role("head")
-        late = cluster.submit(head, third)
+        late = cluster.propose_write(head, third)
         cluster.run(0.1)
-        early = cluster.submit(head, second)
+        early = cluster.propose_write(head, second)
         cluster.run(0.5)
         self.assertEqual(first.version + 1, second.version)
-        self.assertEqual((early, late), ([Acknowledged(second.version)], [Acknowledged(third.version)]))
+        self.assertEqual((early, late), ([WriteAcknowledged(second.version)], [WriteAcknowledged(third.version)]))
 
     def test_an_order_on_a_version_that_never_comes_is_left_unclear(self) -> None:
         cluster = Cluster(3)
         first = cluster.settle()
-        outcomes = cluster.submit(cluster.role("head"), cluster.make(first.version + 5))
+        outcomes = cluster.propose_write(cluster.role("head"), cluster.make(first.version + 5))
         cluster.run(1.0)
-        self.assertEqual(outcomes, [Unsure()])
+        self.assertEqual(outcomes, [OutcomeUnknown()])
         self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
 
     def test_an_order_older_than_all_that_are_remembered_is_not_refused(self) -> None:
@@ -125,15 +133,17 @@
             cluster = Cluster(3)
             orders = [cluster.settle() for _ in range(4)]
             unknown = cluster.make(orders[0].version - 1, orders[0].version)
-            refused = cluster.submit(cluster.role("head"), unknown)
+            refused = cluster.propose_write(cluster.role("head"), unknown)
             cluster.run(0.3)
-            self.assertEqual(refused, [Stale(orders[-1].version)])  # all orders of this version are remembered
+            self.assertEqual(
+                refused, [VersionConflict(orders[-1].version)]
+            )  # all orders of this version are remembered
             cluster.settle()
             for order in (orders[0], unknown):
-                outcomes = cluster.submit(cluster.role("head"), order)
+                outcomes = cluster.propose_write(cluster.role("head"), order)
                 cluster.run(0.3)
-                self.assertEqual(outcomes, [Unsure()])
-            self.assertEqual(_answers(cluster, orders[1]), [Acknowledged(orders[1].version)] * 3)
+                self.assertEqual(outcomes, [OutcomeUnknown()])
+            self.assertEqual(_answers(cluster, orders[1]), [WriteAcknowledged(orders[1].version)] * 3)
 
     def test_a_taken_order_after_many_later_ones_and_restarts(self) -> None:
         cluster = Cluster(3)
@@ -146,17 +156,17 @@
         cluster.run(CATCH_UP_S)
         for later in (1, 10, 500):
             while cluster.version() < first.version + later:
-                outcomes = cluster.submit(cluster.role("head"), cluster.make())
+                outcomes = cluster.propose_write(cluster.role("head"), cluster.make())
                 assert cluster.run_until(outcomes.__len__)
             for machine in cluster.machines:  # restored from a whole record alone
                 machine.kill()
                 store, records = RecordStore.open(machine.disk.folder).unwrap()
-                store.write_snapshot([load(records).whole().SerializeToString()]).unwrap()
+                store.write_snapshot([load_replica_state(records).whole().SerializeToString()]).unwrap()
                 machine.start()
             self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
             cluster.run(1.0)
             for machine in cluster.machines:
-                self.assertEqual(_answer(cluster, machine, first), Acknowledged(first.version))
+                self.assertEqual(_answer(cluster, machine, first), WriteAcknowledged(first.version))
 
     def test_same_number_on_both_sides_of_a_cut(self) -> None:
         for size, blank in itertools.product((3, 4), (b"", b" ")):
@@ -164,26 +174,28 @@
             base = cluster.settle()
             head = cluster.role("head")
             one = cluster.make()
-            other = Order(0, base.version, one.version, one.body + blank, one.digest if not blank else b"o" * 16)
+            other = WriteRequest(
+                0, base.version, one.version, one.body + blank, one.digest if not blank else b"o" * 16
+            )
             cluster.world.network.cut_off(head)
-            at_old = cluster.submit(head, one)
+            at_old = cluster.propose_write(head, one)
             cluster.run(2.5)
-            at_new = cluster.submit(cluster.role("head"), other)
+            at_new = cluster.propose_write(cluster.role("head"), other)
             cluster.run(0.5)
             cluster.world.network.heal()
             cluster.run(2.0)
-            self.assertIsInstance(at_old[0], Unsure | Elsewhere)
-            self.assertEqual(at_new, [Acknowledged(other.version)])
+            self.assertIsInstance(at_old[0], OutcomeUnknown | Redirect)
+            self.assertEqual(at_new, [WriteAcknowledged(other.version)])
             again = _answer(cluster, cluster.role("head"), one)
-            self.assertEqual(again, Stale(other.version) if blank else Acknowledged(one.version))
+            self.assertEqual(again, VersionConflict(other.version) if blank else WriteAcknowledged(one.version))
 
     def test_same_number_in_one_turn(self) -> None:
         cluster = Cluster(3)
         cluster.settle()
         orders = [cluster.make(), cluster.make()]
-        outcomes = [cluster.submit(cluster.role("head"), each) for each in (*orders, *orders)]
+        outcomes = [cluster.propose_write(cluster.role("head"), each) for each in (*orders, *orders)]
         cluster.run(0.5)
-        taken = [isinstance(each[0], Acknowledged) for each in outcomes]
+        taken = [isinstance(each[0], WriteAcknowledged) for each in outcomes]
         self.assertEqual(taken, [True, False, True, False])
 
 
@@ -212,16 +224,16 @@
                 gone = cluster.replica(machine).identity.id
                 machine.run(lambda replica, machine=machine: replica.resign(machine.now()))
                 order = cluster.make()
-                cluster.submit(machine, order)
+                cluster.propose_write(machine, order)
                 self.assertTrue(
-                    cluster.run_until(lambda: cluster.replica(machine).handed_over, HANDED_OVER_WITHIN_S)  # noqa: B023
+                    cluster.run_until(lambda: cluster.replica(machine).is_handed_over, HANDED_OVER_WITHIN_S)  # noqa: B023
                 )
                 machine.wipe()
                 machine.removed = True
                 self.assertNotIn(gone, cluster.newest_view().chain)
                 self.assertLessEqual(cluster.operate(), 1.0)
                 again = _answer(cluster, cluster.role("head"), order)
-                self.assertIsInstance(again, Acknowledged | Stale)
+                self.assertIsInstance(again, WriteAcknowledged | VersionConflict)
 
     def test_a_member_back_from_many_freezes_takes_its_place_at_the_next_loss(self) -> None:
         cluster = Cluster(3)
@@ -309,7 +321,7 @@
         state = views.RegisterState(7, 2, 3, b"body", b"d" * 16, b"t" * views.APPLIED_WRITE_BYTES)
         ballot = views.Ballot(8, "i", 9)
         later = dataclasses.replace(view, epoch=8)
-        kept = Memory(
+        kept = ReplicaState(
             machine=machine,
             newcomer=True,
             view=view,
@@ -320,12 +332,12 @@
             term=term,
             grantee="i",
             grantee_number=6,
-            holders=RateLeaseHolders(4, frozenset({"edge"})),
+            rate_lease_owners=RateLeaseOwners(4, frozenset({"edge"})),
         )
-        empty = Memory()
-        for each in dataclasses.fields(Memory):
+        empty = ReplicaState()
+        for each in dataclasses.fields(ReplicaState):
             self.assertNotEqual(getattr(kept, each.name), getattr(empty, each.name), each.name)
-        self.assertEqual(load([kept.whole().SerializeToString()]), kept)
+        self.assertEqual(load_replica_state([kept.whole().SerializeToString()]), kept)
 
     def test_a_grantee_noted_for_later_is_dropped_where_the_machine_joins_anew(self) -> None:
         cluster = Cluster(3)
@@ -334,18 +346,20 @@
         replica._context.record_writer.defer(pb.Record(grantee=pb.GranteeRecord(holder="old", number=99)))
         view = replica.view.to_message()
         view.epoch += 2  # the epoch between is not known here, nor who had the lease in it
-        message = pb.CoreMessage(decided=pb.Decided(view=view, state=replica._context.memory.committed.to_message()))
+        message = pb.CoreMessage(
+            decided=pb.Decided(view=view, state=replica._context.replica_state.committed.to_message())
+        )
         message.sender.CopyFrom(view.acceptors[0])
         replica.receive(tail.now(), message)
-        self.assertEqual(replica._context.memory.grantee, "")
+        self.assertEqual(replica._context.replica_state.grantee, "")
 
 
 def _change(cluster: Cluster, body_bytes: int) -> None:
     order = cluster.make()
-    large = Order(0, order.base_version, order.version, order.body + b"x" * body_bytes, order.digest)
-    outcomes = cluster.submit(cluster.role("head"), large)
+    large = WriteRequest(0, order.base_version, order.version, order.body + b"x" * body_bytes, order.digest)
+    outcomes = cluster.propose_write(cluster.role("head"), large)
     assert cluster.run_until(outcomes.__len__)
-    assert outcomes == [Acknowledged(order.version)], outcomes
+    assert outcomes == [WriteAcknowledged(order.version)], outcomes
 
 
 def _lose(cluster: Cluster, reason: str, number: int) -> None:
@@ -376,13 +390,13 @@
     cluster.run(CATCH_UP_S)
 
 
-def _answer(cluster: Cluster, machine: Machine, order: Order) -> Any:
-    outcomes = cluster.submit(machine, order)
+def _answer(cluster: Cluster, machine: Machine, order: WriteRequest) -> Any:
+    outcomes = cluster.propose_write(machine, order)
     cluster.run(0.5)
     return outcomes[0]
 
 
-def _answers(cluster: Cluster, order: Order) -> list[Any]:
+def _answers(cluster: Cluster, order: WriteRequest) -> list[Any]:
     return [_answer(cluster, machine, order) for machine in cluster.machines]
 
 
--- a/tests/fleet/test_coordination_worst_planted.py
+++ b/tests/fleet/test_coordination_worst_planted.py
@@ -10,13 +10,13 @@
 
 from rosechute.coordination import (
     chain,
-    confirm,
+    epoch_confirmer,
     leader_lease,
     lease_grantor,
     membership,
-    memory,
     planning,
     record_writer,
+    replica_state,
     views,
 )
 from rosechute.coordination.planning import Situation
@@ -43,17 +43,17 @@
     # Point 1
 
     def test_reads_and_refusals_without_a_majority(self) -> None:
-        self.plant(confirm.Confirmer, "ask", lambda self, done, since: done(True))
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
         self.plant(chain.Chain, "_cut_off", lambda self: False)
         self.assert_fails(days.CutOff("test_orders_and_reads_at_a_machine_cut_off_for_twenty_seconds"))
 
     def test_buffered_reads_without_a_majority(self) -> None:
-        self.plant(confirm.Confirmer, "ask", lambda self, done, since: done(True))
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
         self.plant(chain.Chain, "_cut_off", lambda self: False)
         self.assert_fails(days.CutOff("test_requests_in_the_buffers_of_a_machine_that_wakes"))
 
     def test_confirmations_without_an_end(self) -> None:
-        self.plant(confirm.Confirmer, "_late", lambda self, question: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "_late", lambda self, question: False)
         self.assert_fails(days.CutOff("test_a_read_confirmed_before_a_freeze_is_not_answered_after_it"))
 
     # Point 2
@@ -63,14 +63,14 @@
         self.assert_fails(days.SameNumber("test_a_taken_order_after_many_later_ones_and_restarts"))
 
     def test_taken_orders_lost_with_a_snapshot(self) -> None:
-        right = memory.Memory.whole
+        right = replica_state.ReplicaState.whole
 
-        def whole(self: memory.Memory) -> pb.Record:
+        def whole(self: replica_state.ReplicaState) -> pb.Record:
             record = right(self)
             record.whole.committed.taken = b""
             return record
 
-        self.plant(memory.Memory, "whole", whole)
+        self.plant(replica_state.ReplicaState, "whole", whole)
         self.assert_fails(days.SameNumber("test_a_taken_order_after_many_later_ones_and_restarts"))
 
     def test_oldest_taken_orders_refused(self) -> None:
@@ -86,8 +86,8 @@
 
         def following(self: chain.Chain) -> None:
             for pending in self._queue:
-                object.__setattr__(pending.order, "base_version", self._context.memory.committed.version)
-                object.__setattr__(pending.order, "version", self._context.memory.committed.version + 1)
+                object.__setattr__(pending.order, "base_version", self._context.replica_state.committed.version)
+                object.__setattr__(pending.order, "version", self._context.replica_state.committed.version + 1)
             right(self)
 
         self.plant(chain.Chain, "_next", following)
@@ -137,7 +137,9 @@
         )
         self.plant(lease_grantor.LeaseGrantor, "_grant", _grant_whatever_the_epoch)
         self.plant(
-            leader_lease, "count_available_grantors", lambda context, grantor: len(context.memory.view.acceptors)
+            leader_lease,
+            "count_available_grantors",
+            lambda context, grantor: len(context.replica_state.view.acceptors),
         )
         self.assert_fails(days.OldState("test_a_member_with_old_state_leads_only_once_it_has_caught_up"))
 
@@ -156,7 +158,7 @@
     def may_grant(self: lease_grantor.LeaseGrantor, sender: Any, request: pb.LeaseRequest, asked: Any) -> bool:
         own = pb.LeaseRequest()
         own.CopyFrom(request)
-        own.epoch = self.context.memory.view.epoch
+        own.epoch = self.context.replica_state.view.epoch
         return right(self, sender, own, asked)
 
     return may_grant
