--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -26,7 +26,7 @@
 from rosechute.control_plane.core_report import CoreReport, build_core_report
 from rosechute.control_plane.endpoint_list_client import EndpointListClient
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER
-from rosechute.coordination.types import CommittedConfiguration, Identity, ReplicaConfig, Unsure
+from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, OutcomeUnknown, ReplicaConfig
 from rosechute.distribution.actions import DialedLink, SendMessage
 from rosechute.distribution.publisher import CoreAddress, PublisherState
 from rosechute.messages import distribution_pb2 as pb
@@ -292,8 +292,8 @@
         self.play(scene)
 
 
-OWN = Identity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
-OTHER = Identity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
+OWN = MachineIdentity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
+OTHER = MachineIdentity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
 
 
 class ReportTest(SiteCase):
@@ -388,8 +388,8 @@
 
     def test_nothing_is_reported_or_answered_before_the_records_are_loaded(self) -> None:
         async def scene() -> None:
-            self.assertIsInstance(await self.machine.read(), Unsure)
-            self.assertIsInstance(await self.machine.propose_write(0, 1, b"", b""), Unsure)
+            self.assertIsInstance(await self.machine.read(), OutcomeUnknown)
+            self.assertIsInstance(await self.machine.propose_write(0, 1, b"", b""), OutcomeUnknown)
             self.assertIsNone(self.machine._leader_term())
             self.machine._writer = mock.Mock()
             self.assertIsNone(self.machine.report())
@@ -505,7 +505,7 @@
 
             class Replica:
                 @property
-                def handed_over(self) -> bool:
+                def is_handed_over(self) -> bool:
                     return loop.time() - began >= handed_over_after_s
 
             runtime = SimpleNamespace(replica=Replica(), resign=mock.Mock())
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -649,29 +649,29 @@
         return answer.status, json.loads(answer.body)
 
     def test_acknowledged(self) -> None:
-        self.assertEqual(self.told(self.replace(core.Acknowledged(7))), (200, {"config_version": 7}))
+        self.assertEqual(self.told(self.replace(core.WriteAcknowledged(7))), (200, {"config_version": 7}))
         self.assertEqual(self.chain.asked, [(6, 7, self.BODY, write_request_digest(6, self.BODY))])
 
     def test_refused(self) -> None:
-        status, body = self.told(self.replace(core.Stale(9)))
+        status, body = self.told(self.replace(core.VersionConflict(9)))
         self.assertEqual((status, body["current_version"], "place" in body), (412, 9, False))
-        status, body = self.told(self.replace(core.Stale(6)))
+        status, body = self.told(self.replace(core.VersionConflict(6)))
         self.assertEqual((status, body["current_version"], body["place"]), (400, 6, "config_version"))
 
     def test_elsewhere(self) -> None:
-        answer = self.replace(core.Elsewhere("10.0.0.2:8367"))
+        answer = self.replace(core.Redirect("10.0.0.2:8367"))
         self.assertEqual((answer.status, answer.headers["Location"]), (307, "http://10.0.0.2:8367/config/replace"))
-        answer = self.read(core.Elsewhere("10.0.0.2:8367"))
+        answer = self.read(core.Redirect("10.0.0.2:8367"))
         self.assertEqual((answer.status, answer.headers["Location"]), (307, "http://10.0.0.2:8367/config/read"))
         for address in ("", "10.0.0.1:8367"):
-            self.assertEqual(self.replace(core.Elsewhere(address)).status, 503)
+            self.assertEqual(self.replace(core.Redirect(address)).status, 503)
 
     def test_unsure(self) -> None:
-        for answer in (self.replace(core.Unsure()), self.read(core.Unsure())):
+        for answer in (self.replace(core.OutcomeUnknown()), self.read(core.OutcomeUnknown())):
             self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.2"))
 
     def test_configuration_as_it_was_sent(self) -> None:
-        answer = self.read(core.Configuration(1, 7, b"{ }", b""))
+        answer = self.read(core.ReadResult(1, 7, b"{ }", b""))
         self.assertEqual((answer.status, answer.body, answer.content_type), (200, b"{ }", "application/json"))
         self.assertEqual(self.read(core.NoConfiguration()).status, 404)
 
@@ -702,12 +702,12 @@
 
     def test_base_versions(self) -> None:
         for text in (None, "", "x", "-1", "1.5", "\u0661", str(2**63)):
-            self.assertEqual(self.replace(core.Acknowledged(7), text).status, 400, text)
+            self.assertEqual(self.replace(core.WriteAcknowledged(7), text).status, 400, text)
             self.assertEqual(self.chain.asked, [])
-        self.assertEqual(self.replace(core.Acknowledged(7), str(2**63 - 1)).status, 200)
+        self.assertEqual(self.replace(core.WriteAcknowledged(7), str(2**63 - 1)).status, 200)
 
     def test_bodies_that_are_no_configuration(self) -> None:
-        status, body = self.told(self.replace(core.Acknowledged(7), body=b"{}"))
+        status, body = self.told(self.replace(core.WriteAcknowledged(7), body=b"{}"))
         self.assertEqual((status, self.chain.asked), (400, []))
         self.assertTrue(body["error"])
 
@@ -750,13 +750,13 @@
             snapshot=lambda: [b"whole"],
             persisted=lambda now, token: self.called("persisted", token),
             persist_failed=lambda now, token: self.called("failed", token),
-            submit=lambda now, order: self.called("submit", order),
+            propose_write=lambda now, order: self.called("submit", order),
             read=lambda now, request: self.called("read", request),
             resign=lambda now: self.called("resign"),
             receive=lambda now, message: self.called("receive", message),
             tick=lambda now: self.called("tick"),
             start=lambda now: self.called("start"),
-            note_holders=lambda now, term, edges: self.called("note", term, edges),
+            persist_rate_lease_owners=lambda now, term, edges: self.called("note", term, edges),
         )
         observer = SimpleNamespace(
             committed=lambda value: self.observed.append(value),
@@ -783,7 +783,7 @@
 
     def test_each_call_acts(self) -> None:
         for call in (self.runtime.start, self.runtime.resign, lambda: self.runtime.receive(CoreMessage())):
-            self.actions = [core.LeaseLost()]
+            self.actions = [core.LeadershipLost()]
             call()
         self.assertEqual(self.observed, ["lost"] * 3)
         self.assertEqual([call[0] for call in self.calls], ["start", "resign", "receive"])
@@ -791,9 +791,15 @@
     def test_what_is_told(self) -> None:
         configuration = core.CommittedConfiguration(1, 2, b"", b"")
         message = CoreMessage(boot=3)
-        gained = core.LeaseGained(7, frozenset("a"))
-        noted = core.HoldersNoted(7, frozenset("b"))
-        self.act(core.Send("a:1", message), gained, core.Committed(configuration), core.LeaseLost(), noted)
+        gained = core.LeadershipGained(7, frozenset("a"))
+        noted = core.RateLeaseOwnersPersisted(7, frozenset("b"))
+        self.act(
+            core.SendMessage("a:1", message),
+            gained,
+            core.ConfigurationCommitted(configuration),
+            core.LeadershipLost(),
+            noted,
+        )
         self.assertEqual(self.sent, [("a:1", message)])
         told = [(7, frozenset("a")), configuration, "lost", ("noted", 7, frozenset("b"))]
         self.assertEqual(self.observed, told)
@@ -803,37 +809,37 @@
         self.assertEqual(self.calls[-1], ("note", 3, frozenset("b")))
 
     def test_records_are_appended_and_told_once_synced(self) -> None:
-        self.act(core.Persist(4, [b"r"]))
+        self.act(core.PersistRecords(4, [b"r"]))
         ((kind, records, done),) = self.records.jobs
         self.assertEqual((kind, records, self.calls[1:]), ("append", [b"r"], []))
-        self.actions = [core.LeaseGained(1)]
+        self.actions = [core.LeadershipGained(1)]
         done(Success(None))
         self.assertEqual((self.calls[-1], self.observed), (("persisted", 4), [(1, None)]))
 
     def test_a_failed_write_is_followed_by_a_snapshot(self) -> None:
-        self.act(core.Persist(4, [b"r"]))
+        self.act(core.PersistRecords(4, [b"r"]))
         self.records.jobs[0][2](Failure(StorageError("append to", "log", "full")))
         self.assertEqual(self.calls[-1], ("failed", 4))
-        self.act(core.Persist(5, [b"s"], True))
-        self.act(core.Persist(6, [b"t"]))
+        self.act(core.PersistRecords(5, [b"s"], True))
+        self.act(core.PersistRecords(6, [b"t"]))
         self.assertEqual([job[:2] for job in self.records.jobs[1:]], [("replace", [b"whole"]), ("append", [b"t"])])
         self.records.jobs[1][2](Success(None))
         self.assertEqual(self.calls[-1], ("persisted", 5))
 
     def test_a_long_log_is_replaced_once_at_a_time(self) -> None:
         self.records.log_size = LOG_LIMIT_BYTES
-        self.act(core.Persist(1, [b"r"]))
+        self.act(core.PersistRecords(1, [b"r"]))
         self.records.log_size += 1
-        self.act(core.Persist(2, [b"s"]))
-        self.act(core.Persist(3, [b"t"]))
+        self.act(core.PersistRecords(2, [b"s"]))
+        self.act(core.PersistRecords(3, [b"t"]))
         self.assertEqual(self.kinds(), ["append", "replace", "append"])
         self.records.jobs[1][2](Success(None))
-        self.act(core.Persist(4, [b"u"]))
+        self.act(core.PersistRecords(4, [b"u"]))
         self.assertEqual(self.kinds()[3], "replace")
 
     def test_a_snapshot_comes_first_where_the_log_cannot_go_on(self) -> None:
         self.runtime._snapshot_first = True
-        self.act(core.Persist(1, [b"r"]), core.Persist(2, [b"s"]))
+        self.act(core.PersistRecords(1, [b"r"]), core.PersistRecords(2, [b"s"]))
         self.assertEqual(self.kinds(), ["replace", "append"])
 
     def test_answers_reach_their_callers(self) -> None:
@@ -844,12 +850,14 @@
             told = (order.base_version, order.version, order.body, order.digest)
             self.assertEqual(told, (1, 2, b"body", b"digest"))
             self.assertNotEqual(order.request, request)
-            self.act(core.Answer(request, core.NoConfiguration()))
+            self.act(core.Reply(request, core.NoConfiguration()))
             self.assertEqual((first.done(), second.result()), (False, core.NoConfiguration()))
-            self.act(core.Answer(order.request, core.Acknowledged(2)), core.Answer(order.request, core.Unsure()))
-            self.assertEqual(first.result(), core.Acknowledged(2))
+            self.act(
+                core.Reply(order.request, core.WriteAcknowledged(2)), core.Reply(order.request, core.OutcomeUnknown())
+            )
+            self.assertEqual(first.result(), core.WriteAcknowledged(2))
             await asyncio.sleep(0)
-            self.act(core.Answer(request, core.Unsure()), core.Answer(99, core.Unsure()))
+            self.act(core.Reply(request, core.OutcomeUnknown()), core.Reply(99, core.OutcomeUnknown()))
             self.assertEqual(self.runtime._waiting, {})
 
         asyncio.run(scene())
@@ -858,7 +866,7 @@
         async def scene() -> None:
             answer = self.runtime.read()
             answer.cancel()
-            self.act(core.Answer(1, core.Unsure()))
+            self.act(core.Reply(1, core.OutcomeUnknown()))
             await asyncio.sleep(0)
             self.assertEqual(self.runtime._waiting, {})
 
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -9,22 +9,22 @@
 
 from rosechute.coordination import Replica, ReplicaConfig
 from rosechute.coordination.chain import SILENT_HEARTBEATS, Chain
-from rosechute.coordination.confirm import Confirmer
-from rosechute.coordination.memory import load, write_message
+from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.planning import Joiner, Situation, any_view, needed_view
+from rosechute.coordination.replica_state import chain_write_message, load_replica_state
 from rosechute.coordination.types import (
-    Acknowledged,
-    Committed,
-    Configuration,
-    Elsewhere,
-    Identity,
-    LeaseLost,
+    ConfigurationCommitted,
+    LeadershipLost,
+    MachineIdentity,
     NoConfiguration,
-    Persist,
-    Send,
-    Stale,
+    OutcomeUnknown,
+    PersistRecords,
+    ReadResult,
+    Redirect,
+    SendMessage,
     Timing,
-    Unsure,
+    VersionConflict,
+    WriteAcknowledged,
 )
 from rosechute.coordination.views import (
     MAX_APPLIED_WRITES,
@@ -41,14 +41,14 @@
 TIMING = Timing()
 
 
-class Confirmations(Confirmer):
+class Confirmations(EpochConfirmer):
     """Questions wait for the test to answer them."""
 
     def __init__(self, parts: Parts) -> None:
         super().__init__(parts.context)
         self.waiting: list[Any] = []
 
-    def ask(self, done: Any, since: float) -> None:
+    def confirm_epoch(self, done: Any, since: float) -> None:
         self.waiting.append((done, since))
 
     def confirm(self, certain: bool = True) -> None:
@@ -65,11 +65,11 @@
         self.told: list[int] = []
         self.confirmer = Confirmations(self.parts)
         self.chain = Chain(self.parts.context, self.confirmer, self._tell)
-        if own == self.parts.memory.view.chain[0]:
+        if own == self.parts.replica_state.view.chain[0]:
             self.chain.activate()
 
     def _tell(self) -> None:
-        self.told.append(self.parts.memory.committed.sequence)
+        self.told.append(self.parts.replica_state.committed.sequence)
 
     def pass_time(self, seconds: float, hearing: str = "") -> None:
         self.parts.pass_time(seconds, hearing)
@@ -77,7 +77,7 @@
 
     def write(self, sequence: int = 6, sender: str = "a", epoch: int = EPOCH) -> None:
         written = state(sequence, epoch, 51)
-        self.chain.on_chain_write(identity(sender), write_message(written))
+        self.chain.on_chain_write(identity(sender), chain_write_message(written))
 
 
 class HeadTest(unittest.TestCase):
@@ -88,7 +88,7 @@
         self.parts, self.chain = self.link.parts, self.link.chain
 
     def test_order_goes_down_the_chain_once_synced(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.assertEqual(self.parts.sent("chain_write"), [])
         self.parts.sync()
         ((to, write),) = self.parts.messages("chain_write")
@@ -97,160 +97,166 @@
         self.assertEqual(write.configuration.digest, order(1).digest)
 
     def test_acknowledged_once_the_tail_has_stored_it(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.parts.sync()
         self.assertEqual(self.parts.answers(), [])
-        self.chain.note_committed(EPOCH, 5)
-        self.chain.note_committed(EPOCH - 1, 6)
-        self.assertEqual((self.parts.answers(), self.parts.memory.committed.sequence), ([], 5))
-        self.chain.note_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(1, Acknowledged(51))])
-        self.assertEqual((self.parts.memory.committed.version, self.link.told), (51, [6]))
-        self.chain.note_committed(EPOCH, 6)
+        self.chain.on_committed(EPOCH, 5)
+        self.chain.on_committed(EPOCH - 1, 6)
+        self.assertEqual((self.parts.answers(), self.parts.replica_state.committed.sequence), ([], 5))
+        self.chain.on_committed(EPOCH, 6)
+        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
+        self.assertEqual((self.parts.replica_state.committed.version, self.link.told), (51, [6]))
+        self.chain.on_committed(EPOCH, 6)
         self.assertEqual((self.parts.answers(), self.link.told), ([], [6]))
 
     def test_a_repeated_order_gets_the_same_answer(self) -> None:
-        self.chain.submit(order(1))
-        self.chain.submit(order(2))
+        self.chain.propose_write(order(1))
+        self.chain.propose_write(order(2))
         self.parts.sync()
-        self.chain.note_committed(EPOCH, 6)
-        self.chain.submit(order(3))
-        self.assertEqual(self.parts.answers(), [(each, Acknowledged(51)) for each in (1, 2, 3)])
-        self.assertEqual(self.parts.memory.committed.sequence, 6, "taken once")
+        self.chain.on_committed(EPOCH, 6)
+        self.chain.propose_write(order(3))
+        self.assertEqual(self.parts.answers(), [(each, WriteAcknowledged(51)) for each in (1, 2, 3)])
+        self.assertEqual(self.parts.replica_state.committed.sequence, 6, "taken once")
 
     def test_a_repeated_order_that_waits_gets_the_same_answer(self) -> None:
-        self.chain.submit(order(1))
-        self.chain.submit(order(2, 51, 52))
-        self.chain.submit(order(3, 51, 52))
+        self.chain.propose_write(order(1))
+        self.chain.propose_write(order(2, 51, 52))
+        self.chain.propose_write(order(3, 51, 52))
         self.parts.sync()
-        self.chain.note_committed(EPOCH, 6)
+        self.chain.on_committed(EPOCH, 6)
         self.parts.sync()
-        self.chain.note_committed(EPOCH, 7)
-        self.assertEqual(self.parts.answers(), [(1, Acknowledged(51)), (2, Acknowledged(52)), (3, Acknowledged(52))])
+        self.chain.on_committed(EPOCH, 7)
+        self.assertEqual(
+            self.parts.answers(), [(1, WriteAcknowledged(51)), (2, WriteAcknowledged(52)), (3, WriteAcknowledged(52))]
+        )
 
     def test_one_write_at_a_time(self) -> None:
-        self.chain.submit(order(1))
-        self.chain.submit(order(2, 51, 52))
+        self.chain.propose_write(order(1))
+        self.chain.propose_write(order(2, 51, 52))
         self.parts.sync()
         self.assertEqual([each.sequence for each in self.parts.sent("chain_write")], [6])
-        self.chain.note_committed(EPOCH, 6)
+        self.chain.on_committed(EPOCH, 6)
         self.parts.sync()
         self.assertEqual([each.sequence for each in self.parts.sent("chain_write")], [7])
 
     def test_another_order_under_the_same_number_is_refused(self) -> None:
-        self.chain.submit(order(1))
-        self.chain.submit(order(2, note=b" "))
+        self.chain.propose_write(order(1))
+        self.chain.propose_write(order(2, note=b" "))
         self.parts.sync()
-        self.chain.note_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(1, Acknowledged(51))])
+        self.chain.on_committed(EPOCH, 6)
+        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
         self.link.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(2, Stale(51))])
+        self.assertEqual(self.parts.answers(), [(2, VersionConflict(51))])
 
     def test_refused_only_with_certainty(self) -> None:
         for base, version in ((49, 60), (50, 50), (50, 49)):
             self.setUp()
-            self.chain.submit(order(1, base, version))
+            self.chain.propose_write(order(1, base, version))
             self.assertEqual(self.parts.answers(), [])
             self.link.confirmer.confirm()
-            self.assertEqual(self.parts.answers(), [(1, Stale(50))], (base, version))
+            self.assertEqual(self.parts.answers(), [(1, VersionConflict(50))], (base, version))
             self.assertEqual(self.parts.sync(), [])
 
     def test_an_order_that_came_before_the_one_it_builds_on_waits_for_it(self) -> None:
-        self.chain.submit(order(1, 51, 52))
-        self.chain.submit(order(2, 52, 53))
+        self.chain.propose_write(order(1, 51, 52))
+        self.chain.propose_write(order(2, 52, 53))
         self.assertEqual((self.link.confirmer.waiting, self.parts.sync()), ([], []))
-        self.chain.submit(order(3))
+        self.chain.propose_write(order(3))
         for sequence in (6, 7, 8):
             self.parts.sync()
-            self.chain.note_committed(EPOCH, sequence)
-        self.assertEqual(self.parts.answers(), [(3, Acknowledged(51)), (1, Acknowledged(52)), (2, Acknowledged(53))])
+            self.chain.on_committed(EPOCH, sequence)
+        self.assertEqual(
+            self.parts.answers(), [(3, WriteAcknowledged(51)), (1, WriteAcknowledged(52)), (2, WriteAcknowledged(53))]
+        )
 
     def test_orders_that_came_too_early_keep_their_order(self) -> None:
-        self.chain.submit(order(1, 51, 60))
-        self.chain.submit(order(2, 51, 52))
-        self.chain.submit(order(3))
+        self.chain.propose_write(order(1, 51, 60))
+        self.chain.propose_write(order(2, 51, 52))
+        self.chain.propose_write(order(3))
         self.parts.sync()
-        self.chain.note_committed(EPOCH, 6)
+        self.chain.on_committed(EPOCH, 6)
         self.parts.sync()
-        self.assertEqual(self.parts.memory.newest.version, 60)
+        self.assertEqual(self.parts.replica_state.newest.version, 60)
 
     def test_an_order_that_may_be_forgotten_is_not_refused(self) -> None:
         taken = b"".join(b"o" * 16 + (41 + number).to_bytes(8, "big") for number in range(MAX_APPLIED_WRITES))
-        self.parts.memory.committed = replace(self.parts.memory.committed, applied_writes=taken)
-        self.chain.submit(order(1, 39, 40))
-        self.assertEqual((self.parts.answers(), self.link.confirmer.waiting), ([(1, Unsure())], []))
-        self.chain.submit(order(2, 39, 41))
+        self.parts.replica_state.committed = replace(self.parts.replica_state.committed, applied_writes=taken)
+        self.chain.propose_write(order(1, 39, 40))
+        self.assertEqual((self.parts.answers(), self.link.confirmer.waiting), ([(1, OutcomeUnknown())], []))
+        self.chain.propose_write(order(2, 39, 41))
         self.link.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(2, Stale(50))])
-        self.parts.memory.committed = replace(self.parts.memory.committed, applied_writes=taken[24:])
-        self.chain.submit(order(3, 39, 40))
+        self.assertEqual(self.parts.answers(), [(2, VersionConflict(50))])
+        self.parts.replica_state.committed = replace(self.parts.replica_state.committed, applied_writes=taken[24:])
+        self.chain.propose_write(order(3, 39, 40))
         self.link.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(3, Stale(50))], "not so many were taken")
+        self.assertEqual(self.parts.answers(), [(3, VersionConflict(50))], "not so many were taken")
 
     def test_not_refused_without_certainty(self) -> None:
-        self.chain.submit(order(1, 49, 60))
+        self.chain.propose_write(order(1, 49, 60))
         self.link.confirmer.confirm(False)
         self.assertEqual(self.parts.answers(), [])
         self.link.pass_time(0.1, hearing="bc")
         self.link.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(1, Stale(50))], "asked again")
+        self.assertEqual(self.parts.answers(), [(1, VersionConflict(50))], "asked again")
 
     def test_a_refusal_that_turns_out_to_be_taken(self) -> None:
         given = order(1, 49, 60)
-        self.chain.submit(given)
-        self.parts.memory.committed = self.parts.memory.committed.with_write(EPOCH, 60, given.body, given.digest)
+        self.chain.propose_write(given)
+        self.parts.replica_state.committed = self.parts.replica_state.committed.with_write(
+            EPOCH, 60, given.body, given.digest
+        )
         self.link.confirmer.confirm(False)
-        self.assertEqual(self.parts.answers(), [(1, Acknowledged(60))])
+        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(60))])
 
     def test_a_repeated_order_that_waits_for_its_refusal(self) -> None:
-        self.chain.submit(order(1, 49, 60))
-        self.chain.submit(order(2, 49, 60))
+        self.chain.propose_write(order(1, 49, 60))
+        self.chain.propose_write(order(2, 49, 60))
         self.link.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(1, Stale(50)), (2, Stale(50))])
+        self.assertEqual(self.parts.answers(), [(1, VersionConflict(50)), (2, VersionConflict(50))])
 
     def test_refusals_end_with_the_view(self) -> None:
-        self.chain.submit(order(1, 49, 60))
-        self.chain.view_changed()
+        self.chain.propose_write(order(1, 49, 60))
+        self.chain.on_view_change()
         self.link.confirmer.confirm()
         self.assertEqual(self.parts.answers(), [])
 
     def test_no_order_before_all_members_have_adopted(self) -> None:
-        self.chain.active = False
-        self.chain.submit(order(1))
+        self.chain.is_active = False
+        self.chain.propose_write(order(1))
         self.assertEqual(self.parts.sync(), [])
-        self.parts.context.announce = False
+        self.parts.context.heartbeat_due = False
         self.chain.activate()
         self.assertEqual(len(self.parts.sync()), 1)
-        self.assertTrue(self.parts.context.announce)
+        self.assertTrue(self.parts.context.heartbeat_due)
 
     def test_no_order_in_a_sealed_epoch(self) -> None:
         self.parts.seal()
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.assertEqual(self.parts.sync(), [])
 
     def test_no_next_order_in_an_epoch_that_was_sealed_meanwhile(self) -> None:
-        self.chain.submit(order(1))
-        self.chain.submit(order(2, 51, 52))
+        self.chain.propose_write(order(1))
+        self.chain.propose_write(order(2, 51, 52))
         self.parts.sync()
         self.parts.seal()
-        self.chain.note_committed(EPOCH, 6)
+        self.chain.on_committed(EPOCH, 6)
         self.assertEqual(self.parts.sync(), [])
 
     def test_nothing_is_passed_on_once_sealed(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.parts.seal()
         self.parts.sync()
         self.assertEqual(self.parts.sent("chain_write"), [])
 
     def test_nothing_is_passed_on_of_an_epoch_that_ended(self) -> None:
-        self.chain.submit(order(1))
-        self.parts.memory.view = view(epoch=EPOCH + 1)
-        self.parts.context.adopted = EPOCH + 1
+        self.chain.propose_write(order(1))
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
+        self.parts.context.adopted_epoch = EPOCH + 1
         self.parts.sync()
         self.assertEqual(self.parts.sent("chain_write"), [])
 
     def test_repeats_a_write_ever_more_rarely(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.parts.sync()
         self.parts.actions()
         resend, times = TIMING.resend_write, []
@@ -262,99 +268,99 @@
         self.assertAlmostEqual(times[1], 3 * resend, delta=0.03)
 
     def test_an_operator_is_answered_in_time(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.parts.sync()
         self.link.pass_time(0.5, hearing="bc")
-        self.chain.submit(order(2))
+        self.chain.propose_write(order(2))
         self.link.pass_time(TIMING.order_deadline - 0.5 - 0.01, hearing="bc")
         self.assertEqual(self.parts.answers(), [])
         self.link.pass_time(0.02, hearing="bc")
-        self.assertEqual(self.parts.answers(), [(1, Unsure())])
-        self.chain.note_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(2, Acknowledged(51))])
+        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown())])
+        self.chain.on_committed(EPOCH, 6)
+        self.assertEqual(self.parts.answers(), [(2, WriteAcknowledged(51))])
 
     def test_an_order_whose_operator_was_answered_is_not_taken_later(self) -> None:
-        self.chain.active = False
-        self.chain.submit(order(1))
+        self.chain.is_active = False
+        self.chain.propose_write(order(1))
         self.link.pass_time(TIMING.order_deadline, hearing="bc")
-        self.assertEqual(self.parts.answers(), [(1, Unsure())])
+        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown())])
         self.chain.activate()
         self.assertEqual(self.parts.sync(), [])
 
     def test_cut_off_from_the_majority(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.link.pass_time(TIMING.suspect + TIMING.heartbeat - 0.01)
         self.assertEqual(self.parts.answers(), [])
-        self.chain.submit(order(2, 51, 52))
+        self.chain.propose_write(order(2, 51, 52))
         self.assertEqual(self.parts.answers(), [])
         self.link.pass_time(0.02)
-        self.assertEqual(self.parts.answers(), [(1, Unsure()), (2, Unsure())])
-        self.chain.submit(order(3, 51, 52))
+        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
+        self.chain.propose_write(order(3, 51, 52))
         self.chain.read(4)
-        self.assertEqual(self.parts.answers(), [(3, Unsure()), (4, Unsure())])
+        self.assertEqual(self.parts.answers(), [(3, OutcomeUnknown()), (4, OutcomeUnknown())])
 
     def test_an_order_answered_while_cut_off_is_not_taken_once_the_others_are_back(self) -> None:
         self.parts.pass_time(2.0)
-        self.chain.submit(order(1))
-        self.assertEqual(self.parts.answers(), [(1, Unsure())])
+        self.chain.propose_write(order(1))
+        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown())])
         for each in "bc":
             self.parts.hear(each)
-        self.chain.submit(order(2, 51, 52))
+        self.chain.propose_write(order(2, 51, 52))
         self.assertEqual(self.parts.sync(), [])
 
     def test_one_other_machine_is_enough_of_three(self) -> None:
         self.link.pass_time(2.0, hearing="b")
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.assertEqual(self.parts.answers(), [])
 
     def test_not_cut_off_right_after_the_start(self) -> None:
         self.parts.detector.started_at = NOW
         self.parts.detector.peers.clear()
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.assertEqual(self.parts.answers(), [])
         self.parts.detector.started_at = NOW - TIMING.order_deadline - 0.01
-        self.chain.submit(order(2))
-        self.assertEqual(self.parts.answers(), [(1, Unsure()), (2, Unsure())])
+        self.chain.propose_write(order(2))
+        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
 
     # Another view
 
     def test_what_was_under_way_is_settled_by_the_new_state(self) -> None:
-        self.chain.submit(order(1))
-        self.chain.submit(order(2, 51, 52))
-        taken = self.parts.memory.written
+        self.chain.propose_write(order(1))
+        self.chain.propose_write(order(2, 51, 52))
+        taken = self.parts.replica_state.written
         assert taken is not None
-        self.parts.memory.committed, self.parts.memory.written = taken, None
-        self.chain.view_changed()
-        self.assertEqual(self.parts.answers(), [(1, Acknowledged(51))])
-        self.assertFalse(self.chain.active)
+        self.parts.replica_state.committed, self.parts.replica_state.written = taken, None
+        self.chain.on_view_change()
+        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
+        self.assertFalse(self.chain.is_active)
         self.chain.activate()
         (record,) = self.parts.sync()[-1:]
         self.assertEqual(record.write.configuration.version, 52)
 
     def test_what_was_not_taken_is_tried_again(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.parts.sync()
-        self.parts.memory.written = None
-        self.chain.view_changed()
+        self.parts.replica_state.written = None
+        self.chain.on_view_change()
         self.assertEqual(self.parts.answers(), [])
         self.chain.activate()
         self.parts.sync()
-        self.chain.note_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(1, Acknowledged(51))])
+        self.chain.on_committed(EPOCH, 6)
+        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
 
     def test_what_waited_is_tried_again_once(self) -> None:
-        self.chain.active = False
-        self.chain.submit(order(1, 49, 60))
-        self.chain.view_changed()
+        self.chain.is_active = False
+        self.chain.propose_write(order(1, 49, 60))
+        self.chain.on_view_change()
         self.chain.activate()
         self.assertEqual(len(self.link.confirmer.waiting), 1)
 
     def test_what_nobody_waits_for_is_not_tried_again(self) -> None:
-        self.chain.submit(order(1))
+        self.chain.propose_write(order(1))
         self.link.pass_time(TIMING.order_deadline, hearing="bc")
-        self.parts.memory.written = None
+        self.parts.replica_state.written = None
         self.parts.sync()
-        self.chain.view_changed()
+        self.chain.on_view_change()
         self.chain.activate()
         self.assertEqual(self.parts.sync(), [])
 
@@ -362,38 +368,42 @@
 
     def test_orders_go_to_the_head(self) -> None:
         link = Link("b")
-        link.chain.submit(order(1))
-        self.assertEqual(link.parts.answers(), [(1, Elsewhere("a:8367"))])
+        link.chain.propose_write(order(1))
+        self.assertEqual(link.parts.answers(), [(1, Redirect("a:8367"))])
         self.assertEqual(link.parts.sync(), [])
 
     def test_known_orders_are_answered_anywhere(self) -> None:
         link = Link("b")
         given = order(1, 49, 50)
-        link.parts.memory.committed = link.parts.memory.committed.with_write(EPOCH, 50, given.body, given.digest)
-        link.chain.submit(given)
-        self.assertEqual(link.parts.answers(), [(1, Acknowledged(50))])
+        link.parts.replica_state.committed = link.parts.replica_state.committed.with_write(
+            EPOCH, 50, given.body, given.digest
+        )
+        link.chain.propose_write(given)
+        self.assertEqual(link.parts.answers(), [(1, WriteAcknowledged(50))])
 
     def test_an_order_that_waits_for_the_head_and_comes_into_force(self) -> None:
         link, given = Link("b"), order(1)
         del link.parts.detector.peers["a"]
         link.parts.detector.started_at = NOW
-        link.chain.submit(given)
+        link.chain.propose_write(given)
         self.assertEqual(link.parts.answers(), [])
-        link.parts.memory.committed = link.parts.memory.committed.with_write(EPOCH, 51, given.body, given.digest)
+        link.parts.replica_state.committed = link.parts.replica_state.committed.with_write(
+            EPOCH, 51, given.body, given.digest
+        )
         link.pass_time(0.1, hearing="c")
-        self.assertEqual(link.parts.answers(), [(1, Acknowledged(51))])
+        self.assertEqual(link.parts.answers(), [(1, WriteAcknowledged(51))])
 
     def test_nobody_is_sent_to_a_silent_machine(self) -> None:
         for silence, there in ((2, True), (SILENT_HEARTBEATS - 0.1, True), (SILENT_HEARTBEATS + 0.1, False)):
             link = Link("b")
             link.parts.pass_time(silence * TIMING.heartbeat, hearing="c")
-            link.chain.submit(order(1))
+            link.chain.propose_write(order(1))
             self.assertEqual(len(link.parts.answers()), int(there), silence)
 
     def test_nobody_is_sent_to_a_machine_that_answers_nothing(self) -> None:
         link = Link("b")
         link.parts.detector.peers["a"].last_answered_at = NOW - 2.0
-        link.chain.submit(order(1))
+        link.chain.propose_write(order(1))
         self.assertEqual(link.parts.answers(), [])
 
     def test_a_head_that_only_another_machine_reaches(self) -> None:
@@ -401,7 +411,7 @@
             link = Link("b")
             link.parts.pass_time(TIMING.lease + 0.1)
             link.parts.hear("c", reached=reached)
-            link.chain.submit(order(1))
+            link.chain.propose_write(order(1))
             self.assertEqual(len(link.parts.answers()), int(there), reached)
 
 
@@ -412,11 +422,11 @@
         link = Link("b")
         link.write()
         self.assertEqual(link.parts.sent("chain_write"), [])
-        self.assertEqual(link.parts.memory.newest.sequence, 6)
+        self.assertEqual(link.parts.replica_state.newest.sequence, 6)
         link.parts.sync()
         ((to, write),) = link.parts.messages("chain_write")
         self.assertEqual((to, write.sequence), ("c", 6))
-        self.assertEqual(link.parts.memory.committed.sequence, 5, "it counts once the tail has it")
+        self.assertEqual(link.parts.replica_state.committed.sequence, 5, "it counts once the tail has it")
 
     def test_a_repeated_write_is_passed_on_again(self) -> None:
         link = Link("b")
@@ -433,7 +443,7 @@
         link.write(6)
         self.assertEqual(link.told, [])
         link.write(7)
-        self.assertEqual((link.parts.memory.committed.sequence, link.told), (6, [6]))
+        self.assertEqual((link.parts.replica_state.committed.sequence, link.told), (6, [6]))
 
     def test_an_older_write_is_not_passed_on_for_a_newer_one(self) -> None:
         link = Link("b")
@@ -461,7 +471,7 @@
         link.write(epoch=EPOCH - 1)
         link.write(epoch=EPOCH + 1)
         self.assertEqual((link.parts.sync(), link.parts.sent("chain_write")), ([], []))
-        self.assertEqual(link.parts.memory.newest.sequence, 5)
+        self.assertEqual(link.parts.replica_state.newest.sequence, 5)
 
     def test_no_write_in_a_sealed_epoch(self) -> None:
         link = Link("b")
@@ -471,18 +481,18 @@
 
     def test_no_write_before_this_process_has_adopted_the_epoch(self) -> None:
         link = Link("b")
-        link.parts.context.joined = EPOCH - 1
+        link.parts.context.joined_epoch = EPOCH - 1
         link.write()
         self.assertEqual(link.parts.sync(), [])
 
     def test_the_tail_commits_once_synced(self) -> None:
         link = Link("c")
-        link.parts.context.announce = False
+        link.parts.context.heartbeat_due = False
         link.write(sender="b")
-        self.assertEqual((link.parts.memory.committed.sequence, link.parts.context.announce), (5, False))
+        self.assertEqual((link.parts.replica_state.committed.sequence, link.parts.context.heartbeat_due), (5, False))
         self.assertEqual(link.chain.durable_sequence(), 5)
         link.parts.sync()
-        self.assertEqual((link.parts.memory.committed.sequence, link.parts.context.announce), (6, True))
+        self.assertEqual((link.parts.replica_state.committed.sequence, link.parts.context.heartbeat_due), (6, True))
         self.assertEqual((link.chain.durable_sequence(), link.told), (6, [6]))
         self.assertEqual(link.parts.sent("chain_write"), [])
 
@@ -501,7 +511,7 @@
         self.assertEqual(since, NOW)
         link.confirmer.confirm()
         ((request, outcome),) = link.parts.answers()
-        self.assertEqual((request, outcome), (1, Configuration(5, 50, b"body 50", state().digest)))
+        self.assertEqual((request, outcome), (1, ReadResult(5, 50, b"body 50", state().digest)))
 
     def test_reads_give_what_counts_only(self) -> None:
         link = Link("c")
@@ -509,12 +519,12 @@
         link.chain.read(1)
         link.confirmer.confirm()
         ((_, outcome),) = link.parts.answers()
-        assert isinstance(outcome, Configuration)
+        assert isinstance(outcome, ReadResult)
         self.assertEqual(outcome.sequence, 5)
 
     def test_no_configuration_yet(self) -> None:
         link = Link("c")
-        link.parts.memory.committed = RegisterState(epoch=EPOCH)
+        link.parts.replica_state.committed = RegisterState(epoch=EPOCH)
         link.chain.read(1)
         link.confirmer.confirm()
         self.assertEqual(link.parts.answers(), [(1, NoConfiguration())])
@@ -529,7 +539,7 @@
         self.assertEqual(since, NOW)
         link.confirmer.confirm(False)
         link.pass_time(TIMING.order_deadline - 0.39, hearing="ab")
-        self.assertEqual(link.parts.answers(), [(1, Unsure())])
+        self.assertEqual(link.parts.answers(), [(1, OutcomeUnknown())])
         link.confirmer.confirm()
         self.assertEqual(link.parts.answers(), [])
 
@@ -543,7 +553,7 @@
         for own in "ab":
             link = Link(own)
             link.chain.read(1)
-            self.assertEqual((link.parts.answers(), link.confirmer.waiting), ([(1, Elsewhere("c:8367"))], []))
+            self.assertEqual((link.parts.answers(), link.confirmer.waiting), ([(1, Redirect("c:8367"))], []))
 
     def test_reads_wait_for_a_silent_tail(self) -> None:
         link = Link("a")
@@ -553,9 +563,9 @@
 
     def test_without_a_chain_nothing_is_answered_at_once(self) -> None:
         link = Link("b")
-        link.parts.memory.view = view(chain="")
+        link.parts.replica_state.view = view(chain="")
         link.chain.read(1)
-        link.chain.submit(order(2))
+        link.chain.propose_write(order(2))
         self.assertEqual(link.parts.answers(), [])
 
 
@@ -600,7 +610,7 @@
     def stranger(
         self, name: str = "n", address: str = "n:8367", known_as: str = "", newcomer: bool = False
     ) -> Joiner:
-        return Joiner(Identity(name, known_as or f"name-{name}", "z", address, "n:7500"), newcomer)
+        return Joiner(MachineIdentity(name, known_as or f"name-{name}", "z", address, "n:7500"), newcomer)
 
     def test_nothing_where_all_is_right(self) -> None:
         self.assertIsNone(self.needed())
@@ -622,7 +632,7 @@
 
     def test_new_details_of_an_acceptor(self) -> None:
         old = view()
-        moved = Identity("c", "c", "z", "elsewhere:8367", "elsewhere:7500")
+        moved = MachineIdentity("c", "c", "z", "elsewhere:8367", "elsewhere:7500")
         situation = self.situation()
         object.__setattr__(situation, "details", lambda name: moved if name == "c" else None)
         found = needed_view(old, situation)
@@ -640,8 +650,8 @@
         self.assertEqual(self.needed(usable="abcn", joiners=[joiner], silent={"c": 0.69}), ("abcn", "abcn"))
 
     def test_machines_without_a_name_are_not_the_same(self) -> None:
-        nameless = Identity("c", "", "z", "c:8367", "c:7500")
-        situation = self.situation("abn", joiners=[Joiner(Identity("n", "", "z", "n:8367", "n:7500"), False)])
+        nameless = MachineIdentity("c", "", "z", "c:8367", "c:7500")
+        situation = self.situation("abn", joiners=[Joiner(MachineIdentity("n", "", "z", "n:8367", "n:7500"), False)])
         object.__setattr__(situation, "silence_s", lambda name: 0.8 if name == "c" else 0.0)
         object.__setattr__(situation, "details", lambda name: nameless if name == "c" else identity(name))
         found = needed_view(view(), situation)
@@ -748,7 +758,7 @@
         return self.replica
 
     def sync(self, now: float = NOW) -> list[Any]:
-        (persist,) = [each for each in self.actions if isinstance(each, Persist)]
+        (persist,) = [each for each in self.actions if isinstance(each, PersistRecords)]
         self.actions = self.replica.persisted(now, persist.token)
         return self.actions
 
@@ -756,8 +766,8 @@
         """What a machine's disk holds in the middle of its life."""
         parts = Parts(own)
         for name, value in fields.items():
-            setattr(parts.memory, name, value)
-        return [parts.memory.whole().SerializeToString()]
+            setattr(parts.replica_state, name, value)
+        return [parts.replica_state.whole().SerializeToString()]
 
     def handle(self, kind: str, body: Any, sender: str = "b", boot: int = 8, now: float = NOW) -> list[Any]:
         message = pb.CoreMessage(**{kind: body}, boot=boot, sender=identity_to_message(identity(sender)))
@@ -766,13 +776,13 @@
     def test_first_start_of_the_system(self) -> None:
         replica = self.start()
         (persist,) = self.actions
-        assert isinstance(persist, Persist)
+        assert isinstance(persist, PersistRecords)
         self.assertTrue(persist.replaces)
-        memory = load(persist.records)
-        self.assertEqual(memory.machine, replica.identity)
-        self.assertEqual((replica.identity.id, memory.view.epoch), (bootstrap_id("a:8367"), 1))
-        self.assertEqual(memory.committed, RegisterState(epoch=1))
-        sent = [each for each in self.sync() if isinstance(each, Send)]
+        replica_state = load_replica_state(persist.records)
+        self.assertEqual(replica_state.machine, replica.identity)
+        self.assertEqual((replica.identity.id, replica_state.view.epoch), (bootstrap_id("a:8367"), 1))
+        self.assertEqual(replica_state.committed, RegisterState(epoch=1))
+        sent = [each for each in self.sync() if isinstance(each, SendMessage)]
         self.assertEqual({each.address for each in sent}, {"b:7500", "c:7500"})
         self.assertEqual(sent[0].message.heartbeat.epoch, 1)
         self.assertEqual(identity_from_message(sent[0].message.sender), replica.identity)
@@ -781,8 +791,8 @@
     def test_a_machine_outside_of_the_seeds_is_a_newcomer_or_not(self) -> None:
         for bootstrap in (True, False):
             self.start(bootstrap=bootstrap, seeds=(("x:8367", "x:7500"),))
-            (persist,) = [each for each in self.actions if isinstance(each, Persist)]
-            self.assertEqual(load(persist.records).newcomer, bootstrap)
+            (persist,) = [each for each in self.actions if isinstance(each, PersistRecords)]
+            self.assertEqual(load_replica_state(persist.records).newcomer, bootstrap)
 
     def test_a_later_machine_knows_no_view(self) -> None:
         replica = self.start(bootstrap=False)
@@ -807,11 +817,13 @@
         replica = self.start(self.saved(term=term(6), grantee="b"))
         self.assertEqual((replica.identity.id, replica.view.epoch, replica.term), ("a", EPOCH, 6))
         self.assertEqual(replica.identity.control_address, "a:8367")
-        self.assertEqual([each for each in self.actions if isinstance(each, Persist)], [])
-        beat = next(each.message.heartbeat for each in self.actions if isinstance(each, Send))
+        self.assertEqual([each for each in self.actions if isinstance(each, PersistRecords)], [])
+        beat = next(each.message.heartbeat for each in self.actions if isinstance(each, SendMessage))
         self.assertEqual((beat.epoch, beat.joined, beat.sequence), (EPOCH, False, 5))
         self.assertEqual((beat.lease_free, beat.lease_kept_for), (False, "b"))
-        self.assertEqual([each.configuration.sequence for each in self.actions if isinstance(each, Committed)], [5])
+        self.assertEqual(
+            [each.configuration.sequence for each in self.actions if isinstance(each, ConfigurationCommitted)], [5]
+        )
 
     def test_a_restarted_tail_knows_that_its_write_counts(self) -> None:
         written = state().with_write(EPOCH, 51, b"w", b"W" * 32)
@@ -827,9 +839,11 @@
             self.hear("c", now)
             request = pb.LeaseRequest(epoch=EPOCH, term=3, stamp=1.0)
             actions = self.handle("lease_request", request, "c", now=now)
-            for each in [each for each in actions if isinstance(each, Persist)]:
+            for each in [each for each in actions if isinstance(each, PersistRecords)]:
                 actions = self.replica.persisted(now, each.token)
-            grants = [each for each in actions if isinstance(each, Send) and each.message.HasField("lease_grant")]
+            grants = [
+                each for each in actions if isinstance(each, SendMessage) and each.message.HasField("lease_grant")
+            ]
             self.assertEqual(len(grants), granted, now)
 
     def hear(self, sender: str, now: float = NOW, **fields: Any) -> list[Any]:
@@ -843,7 +857,7 @@
         for each in "bc":
             self.hear(each)
         actions = self.replica.tick(NOW + 0.01)
-        for persist in [each for each in actions if isinstance(each, Persist)]:
+        for persist in [each for each in actions if isinstance(each, PersistRecords)]:
             self.replica.persisted(NOW + 0.01, persist.token)
         grant = pb.LeaseGrant(epoch=EPOCH, term=1, stamp=NOW + 0.01, boot=2**51 + 1)
         self.handle("lease_grant", grant, now=NOW + 0.02)
@@ -854,19 +868,19 @@
         self.lead()
         self.assertEqual(self.replica.leader_hint(), self.replica.identity)
         actions = self.hear("b", NOW + 5.0)
-        self.assertIsInstance(actions[0], LeaseLost)
+        self.assertIsInstance(actions[0], LeadershipLost)
         self.assertFalse(self.replica.is_leader(NOW + 5.0))
 
     def test_resigns(self) -> None:
         self.lead()
         actions = self.replica.resign(NOW + 0.1)
-        self.assertIsInstance(actions[0], LeaseLost)
-        kinds = [(each.address, each.message.WhichOneof("body")) for each in actions if isinstance(each, Send)]
+        self.assertIsInstance(actions[0], LeadershipLost)
+        kinds = [(each.address, each.message.WhichOneof("body")) for each in actions if isinstance(each, SendMessage)]
         self.assertIn(("b:7500", "lease_release"), kinds)
         beats = [
             each.message.heartbeat
             for each in actions
-            if isinstance(each, Send) and each.message.HasField("heartbeat")
+            if isinstance(each, SendMessage) and each.message.HasField("heartbeat")
         ]
         self.assertEqual([(each.healthy, each.leads) for each in beats], [(False, False)] * 2)
 
@@ -888,11 +902,11 @@
             ("bcde", "bcde", 3, True),
         ):
             self.start(self.saved(view=view(members, chain=chain, size=size)))
-            self.assertEqual(self.replica.handed_over, over, (members, chain))
+            self.assertEqual(self.replica.is_handed_over, over, (members, chain))
 
     def test_term_while_it_leads(self) -> None:
         self.lead()
-        self.replica._context.memory.term = term(9)  # another one has asked meanwhile
+        self.replica._context.replica_state.term = term(9)  # another one has asked meanwhile
         self.assertEqual(self.replica.term, 1)
 
     def test_who_leads_as_far_as_it_knows(self) -> None:
@@ -935,7 +949,7 @@
         self.assertEqual(len(times), 3)
 
     def beats(self, actions: list[Any]) -> list[Any]:
-        return [each for each in actions if isinstance(each, Send) and each.message.HasField("heartbeat")]
+        return [each for each in actions if isinstance(each, SendMessage) and each.message.HasField("heartbeat")]
 
     def test_committed_is_told_once_and_never_an_older_one(self) -> None:
         self.start(self.saved("c"))
@@ -943,12 +957,12 @@
         for later, sequence in enumerate((6, 6, 5, 7), 1):
             decided = pb.Decided(view=view(epoch=EPOCH + later).to_message(), state=state(sequence).to_message())
             actions = self.handle("decided", decided)
-            told += [each.configuration.sequence for each in actions if isinstance(each, Committed)]
+            told += [each.configuration.sequence for each in actions if isinstance(each, ConfigurationCommitted)]
         self.assertEqual(told, [6, 7])
 
     def test_snapshot_stands_for_everything(self) -> None:
         self.start(self.saved(term=term(6), grantee="b"))
-        self.assertEqual(load(self.replica.snapshot()), self.replica._context.memory)
+        self.assertEqual(load_replica_state(self.replica.snapshot()), self.replica._context.replica_state)
 
     def test_machines_of_the_core(self) -> None:
         self.start(self.saved())
@@ -961,23 +975,25 @@
     def test_other_seeds_of_the_settings(self) -> None:
         self.start(bootstrap=False)
         self.replica.update_seeds([("x:8367", "x:7500")])
-        self.assertEqual([each.address for each in self.sync() if isinstance(each, Send)], ["x:7500"])
+        self.assertEqual([each.address for each in self.sync() if isinstance(each, SendMessage)], ["x:7500"])
 
     def test_a_refused_write_is_taken_into_account(self) -> None:
         self.start(self.saved())
         self.hear("b")
         actions = self.handle("prepare", pb.Prepare(epoch=EPOCH, ballot=pb.Ballot(round=1, proposer="b", boot=8)))
-        (persist,) = [each for each in actions if isinstance(each, Persist)]
+        (persist,) = [each for each in actions if isinstance(each, PersistRecords)]
         self.replica.persist_failed(NOW, persist.token)
-        self.assertFalse(self.replica._context.healthy)
+        self.assertFalse(self.replica._context.is_healthy)
 
     def test_answers_to_a_behind_machine_bring_it_forward(self) -> None:
         self.start(self.saved())
         actions = self.hear("b", epoch=EPOCH + 1)
-        sent = [each.message for each in actions if isinstance(each, Send)]
+        sent = [each.message for each in actions if isinstance(each, SendMessage)]
         self.assertEqual([each.fetch.epoch for each in sent if each.HasField("fetch")], [EPOCH])
         actions = self.handle("fetch", pb.Fetch(epoch=EPOCH - 1))
-        ((address, decided),) = [(each.address, each.message.decided) for each in actions if isinstance(each, Send)]
+        ((address, decided),) = [
+            (each.address, each.message.decided) for each in actions if isinstance(each, SendMessage)
+        ]
         self.assertEqual((address, View.from_message(decided.view).epoch), ("b:7500", EPOCH))
 
     def test_freshness_by_heartbeats(self) -> None:
--- a/tests/fleet/test_planted_coordination_leases.py
+++ b/tests/fleet/test_planted_coordination_leases.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from rosechute.coordination.chain import Chain
-from rosechute.coordination.confirm import Confirmer
+from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.failure_detector import FORGET_UNKNOWN_AFTER_S, NEVER, FailureDetector
 from rosechute.coordination.freshness import Freshness
 from rosechute.coordination.heartbeats import Heartbeats
 from rosechute.coordination.leader_lease import LeaderLease, LeaseRole, count_available_grantors
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.memory import RateLeaseHolders
-from rosechute.coordination.types import LeaseGained, LeaseLost, Send, Timing
+from rosechute.coordination.replica_state import RateLeaseOwners
+from rosechute.coordination.types import LeadershipGained, LeadershipLost, SendMessage, Timing
 from rosechute.coordination.views import LeaderTerm
 from rosechute.messages import coordination_pb2 as pb
 
@@ -87,17 +87,17 @@
         kinds = [record.WhichOneof("body") for record in self.parts.sync()]
         self.assertEqual(kinds, ["grantee", "term"])
         self.assertEqual(len(self.parts.sent("lease_grant")), 1)
-        self.assertEqual((self.parts.memory.term, self.parts.memory.grantee), (term(4), "b"))
-        self.assertEqual(self.parts.memory.grantee_number, 1)
+        self.assertEqual((self.parts.replica_state.term, self.parts.replica_state.grantee), (term(4), "b"))
+        self.assertEqual(self.parts.replica_state.grantee_number, 1)
 
     def test_grant_tells_the_term_before(self) -> None:
-        self.parts.memory.term = term(3)
+        self.parts.replica_state.term = term(3)
         self.assertEqual([each.previous for each in self.request(number=4)], [3])
         self.assertEqual([each.previous for each in self.request(number=4)], [3], "asked again")
         self.assertEqual([each.previous for each in self.request(number=6)], [4])
 
     def test_grant_for_a_term_that_was_synced_by_an_earlier_process_tells_of_none_before(self) -> None:
-        self.parts.memory.term = term(4)
+        self.parts.replica_state.term = term(4)
         self.assertEqual([each.previous for each in self.request(number=4)], [4])
 
     def test_repeated_request_waits_for_the_same_sync(self) -> None:
@@ -160,10 +160,10 @@
         self.ask("b", 4, renewal=True)
         self.assertEqual(len(self.parts.sent("lease_grant")), 1)
         self.assertIsNone(self.parts.flush())
-        self.assertEqual(self.parts.memory.term, LeaderTerm(), "a renewal gains no term")
+        self.assertEqual(self.parts.replica_state.term, LeaderTerm(), "a renewal gains no term")
         self.parts.disk.write(pb.Record(probe=pb.ProbeRecord()))
         self.parts.sync()
-        self.assertEqual(self.parts.memory.grantee, "b")
+        self.assertEqual(self.parts.replica_state.grantee, "b")
 
     def test_renewal_of_another_grantee_is_synced_first(self) -> None:
         self.request("b", 1)
@@ -174,7 +174,7 @@
         self.assertEqual(self.parts.sent_to("lease_grant"), ["c"])
 
     def test_terms_are_gained_once(self) -> None:
-        self.parts.memory.term = term(5, "c")
+        self.parts.replica_state.term = term(5, "c")
         self.assertEqual(self.request("b", 5), [])
         self.assertEqual(self.request("b", 4), [])
         self.assertEqual(self.request("c", 5, boot=9), [], "by one process")
@@ -182,12 +182,12 @@
         self.assertEqual(len(self.request("c", 6)), 1)
 
     def test_a_renewal_goes_on_where_another_has_asked_for_a_higher_term(self) -> None:
-        self.parts.memory.term = term(6, "c")
+        self.parts.replica_state.term = term(6, "c")
         self.assertEqual(len(self.request("b", 4, renewal=True)), 1)
 
     def test_term_of_another_that_came_before_the_sync(self) -> None:
         self.ask("b", 5)
-        self.parts.memory.term = term(6, "c")
+        self.parts.replica_state.term = term(6, "c")
         self.parts.sync()
         self.assertEqual(self.parts.sent("lease_grant"), [])
 
@@ -212,8 +212,8 @@
 
     def test_no_grant_of_an_epoch_that_ended_before_the_sync(self) -> None:
         self.ask()
-        self.parts.memory.view = view(epoch=EPOCH + 1)
-        self.parts.context.adopted = EPOCH + 1
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
+        self.parts.context.adopted_epoch = EPOCH + 1
         self.parts.sync()
         self.assertEqual(self.parts.sent("lease_grant"), [])
 
@@ -256,7 +256,7 @@
         self.grantor.abstain()
         self.parts.disk.write(pb.Record(probe=pb.ProbeRecord()))
         self.parts.sync()
-        self.assertEqual(self.parts.memory.grantee, "")
+        self.assertEqual(self.parts.replica_state.grantee, "")
 
     def test_abstains_no_shorter_than_before(self) -> None:
         self.grantor.abstain_until = NOW + 9.0
@@ -274,7 +274,7 @@
         self.grantor.on_release(identity("b"), 8, pb.LeaseRelease(term=1))
         self.assertTrue(self.grantor.is_free())
         self.assertEqual(self.grantor.granted_term, LeaderTerm())
-        self.assertTrue(self.parts.context.announce)
+        self.assertTrue(self.parts.context.heartbeat_due)
         self.assertEqual(len(self.request("c", 2)), 1)
 
     def test_release_of_another_term_frees_nothing(self) -> None:
@@ -316,7 +316,7 @@
         self.parts.actions()
 
     def test_asks_all_acceptors_under_a_new_term(self) -> None:
-        self.parts.memory.term = term(3)
+        self.parts.replica_state.term = term(3)
         self.parts.hear("c", term=6)
         self.holder.tick()
         self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
@@ -326,7 +326,7 @@
             self.assertEqual((each.epoch, each.term, each.stamp, each.renewal), (EPOCH, 7, NOW, False))
 
     def test_terms_go_up(self) -> None:
-        self.parts.memory.term = term(3)
+        self.parts.replica_state.term = term(3)
         self.holder.tick()
         self.assertEqual(self.holder.term, 4)
         self.holder.release()
@@ -341,24 +341,24 @@
         self.parts.actions()
         self.grant("c")
         self.assertTrue(self.holder.is_held(NOW))
-        self.assertEqual(self.parts.actions(), [LeaseGained(self.holder.term, frozenset())])
-        self.assertTrue(self.parts.context.announce)
+        self.assertEqual(self.parts.actions(), [LeadershipGained(self.holder.term, frozenset())])
+        self.assertTrue(self.parts.context.heartbeat_due)
         self.grant("a")
         self.assertEqual(self.parts.actions(), [], "gained once")
 
     def test_noted_edges_are_known_where_nobody_led_since(self) -> None:
-        self.parts.memory.holders = RateLeaseHolders(3, frozenset("x"))
+        self.parts.replica_state.rate_lease_owners = RateLeaseOwners(3, frozenset("x"))
         for previous, known in (((3, 2), frozenset("x")), ((2, 3), frozenset("x")), ((2, 2), None), ((3, 4), None)):
             with self.subTest(previous=previous):
-                self.parts.memory.term = term(self.holder.term + 1)
+                self.parts.replica_state.term = term(self.holder.term + 1)
                 self.holder.tick()
                 for acceptor, number in zip("bc", previous, strict=True):
                     grant = pb.LeaseGrant(
                         epoch=EPOCH, term=self.holder.term, stamp=NOW, boot=OWN_INCARNATION, previous=number
                     )
                     self.holder.on_grant(identity(acceptor), grant)
-                gained = [each for each in self.parts.actions() if isinstance(each, LeaseGained)]
-                self.assertEqual(gained, [LeaseGained(self.holder.term, known)])
+                gained = [each for each in self.parts.actions() if isinstance(each, LeadershipGained)]
+                self.assertEqual(gained, [LeadershipGained(self.holder.term, known)])
                 self.holder.release()
                 self.holder.next_candidacy_at = 0.0
 
@@ -377,7 +377,7 @@
             self.grant(each, NOW - 0.9)
         self.assertEqual(self.holder.valid_until, until)
         self.assertEqual(self.holder.count_granting_acceptors(), 3)
-        self.parts.memory.view = view(epoch=EPOCH + 1)
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
         for each in "abc":
             self.grant(each, NOW - 0.5, epoch=EPOCH + 1)
         self.assertEqual(self.holder.valid_until, until)
@@ -403,7 +403,7 @@
     def test_grants_of_an_epoch_do_not_count_in_the_next(self) -> None:
         self.holder.tick()
         self.grant("a")
-        self.parts.memory.view = view(epoch=EPOCH + 1)
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.grant("b", epoch=EPOCH + 1)
         self.assertFalse(self.holder.is_held(NOW))
         self.grant("c", epoch=EPOCH + 1)
@@ -420,17 +420,17 @@
         self.parts.pass_time(0.02)
         self.holder.expire()
         self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
-        self.assertEqual(self.parts.actions(), [LeaseLost()])
+        self.assertEqual(self.parts.actions(), [LeadershipLost()])
         self.holder.expire()
         self.assertEqual(self.parts.actions(), [])
         self.assertFalse(self.holder.is_held(NOW))
 
     def test_tells_when_it_ends(self) -> None:
         self.lead()
-        self.parts.context.announce = False
+        self.parts.context.heartbeat_due = False
         self.parts.pass_time(2.0)
         self.holder.expire()
-        self.assertTrue(self.parts.context.announce)
+        self.assertTrue(self.parts.context.heartbeat_due)
 
     def test_a_candidate_does_not_expire(self) -> None:
         self.holder.tick()
@@ -481,14 +481,14 @@
         self.holder.tick()
         self.parts.actions()
         self.holder.release()
-        self.assertNotIn(LeaseLost(), self.parts.actions())
+        self.assertNotIn(LeadershipLost(), self.parts.actions())
 
     def test_loses_it_with_its_place_in_the_chain_or_its_disk(self) -> None:
         for trouble in ("chain", "disk"):
             self.setUp()
             self.lead()
             if trouble == "chain":
-                self.parts.memory.view = view(chain="bc")
+                self.parts.replica_state.view = view(chain="bc")
             else:
                 self.parts.disk.is_suspect = True
             self.holder.tick()
@@ -806,7 +806,7 @@
         self.assertIsNone(self.freshness.as_of)
 
     def test_none_without_a_chain(self) -> None:
-        self.parts.memory.view = view(chain="")
+        self.parts.replica_state.view = view(chain="")
         self.freshness.update()
         self.assertIsNone(self.freshness.as_of)
 
@@ -838,11 +838,11 @@
 
     def setUp(self) -> None:
         self.parts = Parts()
-        self.confirmer = Confirmer(self.parts.context)
+        self.confirmer = EpochConfirmer(self.parts.context)
         self.told: list[bool] = []
 
     def ask(self, since: float = NOW) -> int:
-        self.confirmer.ask(self.told.append, since)
+        self.confirmer.confirm_epoch(self.told.append, since)
         (question, *_) = self.parts.sent("confirm")
         self.assertEqual(question.epoch, EPOCH)
         return int(question.round)
@@ -851,7 +851,7 @@
         self.confirmer.on_confirmed(identity(sender), pb.Confirmed(epoch=epoch, round=number))
 
     def test_asks_all_acceptors(self) -> None:
-        self.confirmer.ask(self.told.append, NOW)
+        self.confirmer.confirm_epoch(self.told.append, NOW)
         self.assertEqual(sorted(self.parts.sent_to("confirm")), ["a", "b", "c"])
 
     def test_majority_confirms_once(self) -> None:
@@ -891,13 +891,13 @@
 
     def test_not_confirmed_in_another_epoch(self) -> None:
         number = self.ask()
-        self.parts.memory.view = view(epoch=EPOCH + 1)
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.confirm("b", number)
         self.confirm("c", number)
         self.assertEqual(self.told, [])
-        self.confirmer.stop()
+        self.confirmer.reject_all()
         self.assertEqual(self.told, [False])
-        self.confirmer.stop()
+        self.confirmer.reject_all()
         self.assertEqual(self.told, [False])
 
     def test_too_late(self) -> None:
@@ -930,7 +930,7 @@
         self.assertEqual({each.round for _, each in again}, {number})
 
     def confirmed(self, parts: Parts, epoch: int = EPOCH) -> list[Any]:
-        Confirmer(parts.context).on_confirm(identity("b"), pb.Confirm(epoch=epoch, round=6))
+        EpochConfirmer(parts.context).on_confirm(identity("b"), pb.Confirm(epoch=epoch, round=6))
         return parts.messages("confirmed")
 
     def test_an_acceptor_confirms_its_open_epoch_only(self) -> None:
@@ -943,7 +943,7 @@
         self.assertEqual(self.confirmed(Parts("z", "abc")), [])
 
     def test_an_epoch_whose_adoption_is_not_synced_is_not_confirmed(self) -> None:
-        self.parts.context.adopted = EPOCH - 1
+        self.parts.context.adopted_epoch = EPOCH - 1
         self.assertEqual(self.confirmed(self.parts), [])
 
 
@@ -958,17 +958,19 @@
         self.grantor = LeaseGrantor(parts.context, NOW - 1.0)
         self.holder = LeaderLease(parts.context, self.grantor)
         self.told: list[int] = []
-        self.chain = Chain(parts.context, Confirmer(parts.context), lambda: self.told.append(1))
+        self.chain = Chain(parts.context, EpochConfirmer(parts.context), lambda: self.told.append(1))
         seeds = [("s:8367", "s:7500"), ("b:8367", "b:7500")]
         self.heartbeats = Heartbeats(parts.context, self.chain, self.grantor, self.holder, seeds)
 
     def beats(self) -> dict[str, Any]:
         self.heartbeats.send()
-        return {each.address: each.message.heartbeat for each in self.parts.actions() if isinstance(each, Send)}
+        return {
+            each.address: each.message.heartbeat for each in self.parts.actions() if isinstance(each, SendMessage)
+        }
 
     def test_what_is_told(self) -> None:
-        self.parts.memory.newcomer = True
-        self.parts.memory.term = term(4)
+        self.parts.replica_state.newcomer = True
+        self.parts.replica_state.term = term(4)
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.stamp, beat.epoch, beat.sequence, beat.committed), (NOW, EPOCH, 5, 5))
         self.assertEqual((beat.sealed, beat.joined, beat.active, beat.healthy), (False, True, False, True))
@@ -979,26 +981,26 @@
 
     def test_what_is_told_in_other_states(self) -> None:
         self.parts.seal()
-        self.parts.context.leaving = True
-        self.parts.context.joined = 0
-        self.chain.active = True
-        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"", b"")
+        self.parts.context.is_leaving = True
+        self.parts.context.joined_epoch = 0
+        self.chain.is_active = True
+        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"", b"")
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.sealed, beat.joined, beat.active, beat.healthy), (True, False, True, False))
         self.assertTrue(beat.leaving)
         self.assertEqual((beat.sequence, beat.committed, beat.lease_free, beat.newcomer), (6, 5, False, False))
 
     def test_nothing_is_joined_before_the_first_epoch(self) -> None:
-        self.parts.context.joined = self.parts.context.adopted = 0
+        self.parts.context.joined_epoch = self.parts.context.adopted_epoch = 0
         self.assertFalse(self.beats()["b:7500"].joined)
 
     def test_the_epoch_told_is_the_synced_one(self) -> None:
-        self.parts.context.adopted = EPOCH - 1
+        self.parts.context.adopted_epoch = EPOCH - 1
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.epoch, beat.sealed, beat.joined), (EPOCH - 1, True, False))
 
     def test_the_term_told_by_the_leader(self) -> None:
-        self.parts.memory.term = term(4)
+        self.parts.replica_state.term = term(4)
         self.holder.role, self.holder.term, self.holder.valid_until = LeaseRole.LEADER, 9, NOW + 1.0
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.term, beat.leads), (9, True))
@@ -1031,13 +1033,13 @@
     def test_nobody_is_told_twice(self) -> None:
         self.parts.pass_time(2.0)
         self.heartbeats.send()
-        addresses = [each.address for each in self.parts.actions() if isinstance(each, Send)]
+        addresses = [each.address for each in self.parts.actions() if isinstance(each, SendMessage)]
         self.assertEqual(sorted(addresses), ["b:7500", "c:7500", "s:7500"])
 
     def test_announced_once(self) -> None:
-        self.parts.context.announce = True
+        self.parts.context.heartbeat_due = True
         self.beats()
-        self.assertFalse(self.parts.context.announce)
+        self.assertFalse(self.parts.context.heartbeat_due)
 
     def receive(self, name: str, boot: int = 8, **fields: Any) -> Any:
         known: dict[str, Any] = {"stamp": self.parts.now, "epoch": EPOCH, "sequence": 6, "healthy": True}
@@ -1052,13 +1054,15 @@
         self.assertNotIn("a", self.parts.detector.peers)
 
     def test_what_the_tail_has_stored_counts(self) -> None:
-        written = self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"", b"")
+        written = self.parts.replica_state.written = self.parts.replica_state.committed.with_write(
+            EPOCH, 51, b"", b""
+        )
         for name, fields in (("b", {}), ("c", {"sealed": True}), ("c", {"epoch": EPOCH - 1}), ("c", {"sequence": 5})):
             self.receive(name, **fields)
-            self.assertEqual(self.parts.memory.written, written, (name, fields))
+            self.assertEqual(self.parts.replica_state.written, written, (name, fields))
         self.receive("c")
-        self.assertEqual(self.parts.memory.committed, written)
+        self.assertEqual(self.parts.replica_state.committed, written)
 
     def test_a_machine_without_a_view_hears_heartbeats(self) -> None:
-        self.parts.memory.view = view(chain="")
+        self.parts.replica_state.view = view(chain="")
         self.assertIsNotNone(self.receive("c"))
--- a/tests/fleet/test_planted_coordination_records.py
+++ b/tests/fleet/test_planted_coordination_records.py
@@ -5,9 +5,9 @@
 import unittest
 from dataclasses import replace
 
-from rosechute.coordination.memory import Memory, load, write_message
 from rosechute.coordination.record_writer import RecordWriter
-from rosechute.coordination.types import Identity, Timing
+from rosechute.coordination.replica_state import ReplicaState, chain_write_message, load_replica_state
+from rosechute.coordination.types import MachineIdentity, Timing
 from rosechute.coordination.views import (
     APPLIED_WRITE_BYTES,
     MAX_APPLIED_WRITES,
@@ -27,16 +27,16 @@
 from .coordination_parts import DIGEST, EPOCH, Parts, ballot, identity, machine, proposal, state, term, view
 
 
-def full_memory() -> Memory:
+def full_memory() -> ReplicaState:
     """Every field has a value of its own."""
-    memory = Memory(machine=identity("a"), newcomer=True)
-    memory.view = view(term=term(4), size=5, base_tag=StateTag(2, 4))
-    memory.committed = state()
-    memory.written = memory.committed.with_write(EPOCH, 51, b"written", b"W" * 32)
-    memory.promised, memory.accepted = ballot(9), proposal(8, "c")
-    memory.term = LeaderTerm(6, "b", 11)
-    memory.grantee, memory.grantee_number = "c", 13
-    return memory
+    replica_state = ReplicaState(machine=identity("a"), newcomer=True)
+    replica_state.view = view(term=term(4), size=5, base_tag=StateTag(2, 4))
+    replica_state.committed = state()
+    replica_state.written = replica_state.committed.with_write(EPOCH, 51, b"written", b"W" * 32)
+    replica_state.promised, replica_state.accepted = ballot(9), proposal(8, "c")
+    replica_state.term = LeaderTerm(6, "b", 11)
+    replica_state.grantee, replica_state.grantee_number = "c", 13
+    return replica_state
 
 
 class Messages(unittest.TestCase):
@@ -61,25 +61,25 @@
         self.assertEqual(Proposal.from_message(value.to_message()), value)
 
     def test_identity(self) -> None:
-        value = Identity("id", "name", "zone", "control", "peer")
+        value = MachineIdentity("id", "name", "zone", "control", "peer")
         self.assertEqual(identity_from_message(identity_to_message(value)), value)
 
     def test_chain_write(self) -> None:
         written = state().with_write(EPOCH, 51, b"new", b"W" * 32)
-        memory = Memory(view=view(), committed=state())
-        memory.apply(pb.Record(write=write_message(written)))
-        self.assertEqual(memory.written, written)
+        replica_state = ReplicaState(view=view(), committed=state())
+        replica_state.apply(pb.Record(write=chain_write_message(written)))
+        self.assertEqual(replica_state.written, written)
 
 
 class Snapshot(unittest.TestCase):
     """A record of everything keeps each durable field."""
 
     def setUp(self) -> None:
-        self.memory = full_memory()
-        self.found = load([self.memory.whole().SerializeToString()])
+        self.replica_state = full_memory()
+        self.found = load_replica_state([self.replica_state.whole().SerializeToString()])
 
     def test_snapshot_keeps_everything(self) -> None:
-        self.assertEqual(self.found, self.memory)
+        self.assertEqual(self.found, self.replica_state)
 
     def test_snapshot_keeps_the_promised_ballot(self) -> None:
         self.assertEqual(self.found.promised, ballot(9))
@@ -88,8 +88,8 @@
         self.assertEqual(self.found.accepted, proposal(8, "c"))
 
     def test_snapshot_keeps_the_write_that_does_not_count_yet(self) -> None:
-        self.assertEqual(self.found.written, self.memory.written)
-        self.assertEqual(self.found.committed, self.memory.committed)
+        self.assertEqual(self.found.written, self.replica_state.written)
+        self.assertEqual(self.found.committed, self.replica_state.committed)
 
     def test_snapshot_keeps_the_taken_orders(self) -> None:
         self.assertEqual(self.found.newest.applied_version(DIGEST), 50)
@@ -105,15 +105,18 @@
         self.assertEqual((self.found.machine, self.found.newcomer), (identity("a"), True))
 
     def test_snapshot_replaces_what_was_known(self) -> None:
-        for empty in (Memory(machine=identity("a")), Memory(machine=identity("a"), view=view(), committed=state())):
+        for empty in (
+            ReplicaState(machine=identity("a")),
+            ReplicaState(machine=identity("a"), view=view(), committed=state()),
+        ):
             known = full_memory()
             known.apply(empty.whole())
             self.assertEqual(known, empty)
 
     def test_older_records_behind_a_snapshot_change_nothing(self) -> None:
-        memory = self.memory
-        memory.written = None
-        memory.newcomer = False
+        replica_state = self.replica_state
+        replica_state.written = None
+        replica_state.newcomer = False
         for record in (
             pb.Record(machine=pb.MachineRecord(machine=machine("a"), newcomer=True)),
             pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(8).to_message())),
@@ -131,132 +134,134 @@
             pb.Record(grantee=pb.GranteeRecord(holder="b", number=12)),
             pb.Record(adopt=pb.AdoptRecord(view=view("bcd").to_message(), state=state(9).to_message())),
             pb.Record(adopt=pb.AdoptRecord(accepted=ballot(7).to_message())),
-            pb.Record(write=write_message(state(5))),
-            pb.Record(write=write_message(state(7))),
-            pb.Record(write=write_message(state(6, EPOCH - 1))),
+            pb.Record(write=chain_write_message(state(5))),
+            pb.Record(write=chain_write_message(state(7))),
+            pb.Record(write=chain_write_message(state(6, EPOCH - 1))),
             pb.Record(probe=pb.ProbeRecord()),
         ):
             with self.subTest(record=str(record)[:40]):
-                before = load([memory.whole().SerializeToString()])
-                memory.apply(record)
-                self.assertEqual(memory, before)
+                before = load_replica_state([replica_state.whole().SerializeToString()])
+                replica_state.apply(record)
+                self.assertEqual(replica_state, before)
 
 
 class Records(unittest.TestCase):
     """One record changes what it is there for."""
 
     def setUp(self) -> None:
-        self.memory = Memory(machine=identity("a"), view=view(), committed=state())
+        self.replica_state = ReplicaState(machine=identity("a"), view=view(), committed=state())
 
     def test_machine(self) -> None:
-        memory = Memory()
-        memory.apply(pb.Record(machine=pb.MachineRecord(machine=machine("b"), newcomer=True)))
-        self.assertEqual((memory.machine, memory.newcomer), (identity("b"), True))
+        replica_state = ReplicaState()
+        replica_state.apply(pb.Record(machine=pb.MachineRecord(machine=machine("b"), newcomer=True)))
+        self.assertEqual((replica_state.machine, replica_state.newcomer), (identity("b"), True))
 
     def test_promise_seals_the_epoch(self) -> None:
-        self.assertFalse(self.memory.sealed)
-        self.memory.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(1).to_message())))
-        self.assertEqual(self.memory.promised, ballot(1))
-        self.assertTrue(self.memory.sealed)
-        self.memory.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(2).to_message())))
-        self.assertEqual(self.memory.promised, ballot(2))
+        self.assertFalse(self.replica_state.sealed)
+        self.replica_state.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(1).to_message())))
+        self.assertEqual(self.replica_state.promised, ballot(1))
+        self.assertTrue(self.replica_state.sealed)
+        self.replica_state.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(2).to_message())))
+        self.assertEqual(self.replica_state.promised, ballot(2))
 
     def test_acceptance_promises_its_ballot_too(self) -> None:
-        self.memory.apply(pb.Record(accepted=proposal(3).to_message()))
-        self.assertEqual((self.memory.promised, self.memory.accepted), (ballot(3), proposal(3)))
+        self.replica_state.apply(pb.Record(accepted=proposal(3).to_message()))
+        self.assertEqual((self.replica_state.promised, self.replica_state.accepted), (ballot(3), proposal(3)))
 
     def test_acceptance_of_the_promised_ballot(self) -> None:
-        self.memory.promised = ballot(3)
-        self.memory.apply(pb.Record(accepted=proposal(3).to_message()))
-        self.assertEqual(self.memory.accepted, proposal(3))
+        self.replica_state.promised = ballot(3)
+        self.replica_state.apply(pb.Record(accepted=proposal(3).to_message()))
+        self.assertEqual(self.replica_state.accepted, proposal(3))
 
     def test_learned_state_counts(self) -> None:
-        self.memory.written = self.memory.committed.with_write(EPOCH, 51, b"", b"")
-        self.memory.apply(pb.Record(learn=pb.LearnRecord(state=state(8).to_message())))
-        self.assertEqual((self.memory.committed, self.memory.written), (state(8), None))
+        self.replica_state.written = self.replica_state.committed.with_write(EPOCH, 51, b"", b"")
+        self.replica_state.apply(pb.Record(learn=pb.LearnRecord(state=state(8).to_message())))
+        self.assertEqual((self.replica_state.committed, self.replica_state.written), (state(8), None))
 
     def test_learned_state_older_than_a_write(self) -> None:
-        written = self.memory.written = self.memory.committed.with_write(EPOCH, 51, b"", b"")
-        self.memory.apply(pb.Record(learn=pb.LearnRecord(state=state(6).to_message())))
-        self.assertEqual((self.memory.committed, self.memory.written), (state(5), written))
+        written = self.replica_state.written = self.replica_state.committed.with_write(EPOCH, 51, b"", b"")
+        self.replica_state.apply(pb.Record(learn=pb.LearnRecord(state=state(6).to_message())))
+        self.assertEqual((self.replica_state.committed, self.replica_state.written), (state(5), written))
 
     def test_write_commits_the_one_before(self) -> None:
-        first = self.memory.committed.with_write(EPOCH, 51, b"1", b"1" * 32)
+        first = self.replica_state.committed.with_write(EPOCH, 51, b"1", b"1" * 32)
         second = first.with_write(EPOCH, 52, b"2", b"2" * 32)
         for each in (first, second):
-            self.memory.apply(pb.Record(write=write_message(each)))
-        self.assertEqual((self.memory.committed, self.memory.written), (first, second))
+            self.replica_state.apply(pb.Record(write=chain_write_message(each)))
+        self.assertEqual((self.replica_state.committed, self.replica_state.written), (first, second))
 
     def test_term_goes_up_only(self) -> None:
-        self.memory.apply(pb.Record(term=term(6, "c").to_message()))
-        self.memory.apply(pb.Record(term=term(6, "b").to_message()))
-        self.memory.apply(pb.Record(term=term(5, "b").to_message()))
-        self.assertEqual(self.memory.term, term(6, "c"))
+        self.replica_state.apply(pb.Record(term=term(6, "c").to_message()))
+        self.replica_state.apply(pb.Record(term=term(6, "b").to_message()))
+        self.replica_state.apply(pb.Record(term=term(5, "b").to_message()))
+        self.assertEqual(self.replica_state.term, term(6, "c"))
 
     def test_grantee_by_number(self) -> None:
-        self.memory.apply(pb.Record(grantee=pb.GranteeRecord(holder="b", number=1)))
-        self.memory.apply(pb.Record(grantee=pb.GranteeRecord(holder="c", number=2)))
-        self.memory.apply(pb.Record(grantee=pb.GranteeRecord(holder="b", number=1)))
-        self.assertEqual((self.memory.grantee, self.memory.grantee_number), ("c", 2))
+        self.replica_state.apply(pb.Record(grantee=pb.GranteeRecord(holder="b", number=1)))
+        self.replica_state.apply(pb.Record(grantee=pb.GranteeRecord(holder="c", number=2)))
+        self.replica_state.apply(pb.Record(grantee=pb.GranteeRecord(holder="b", number=1)))
+        self.assertEqual((self.replica_state.grantee, self.replica_state.grantee_number), ("c", 2))
 
 
 class Adoption(unittest.TestCase):
     """A decided view replaces the one before, and its seal."""
 
     def setUp(self) -> None:
-        self.memory = full_memory()
+        self.replica_state = full_memory()
 
     def adopt(self, adopted: View, found: RegisterState) -> None:
-        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(view=adopted.to_message(), state=found.to_message())))
+        self.replica_state.apply(pb.Record(adopt=pb.AdoptRecord(view=adopted.to_message(), state=found.to_message())))
 
     def test_takes_view_and_state_and_opens_the_epoch(self) -> None:
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
-        memory = self.memory
-        self.assertEqual((memory.view, memory.committed), (view(epoch=EPOCH + 1), state(9, EPOCH + 1)))
-        self.assertEqual((memory.written, memory.promised, memory.accepted), (None, None, None))
-        self.assertFalse(memory.sealed)
+        replica_state = self.replica_state
+        self.assertEqual((replica_state.view, replica_state.committed), (view(epoch=EPOCH + 1), state(9, EPOCH + 1)))
+        self.assertEqual((replica_state.written, replica_state.promised, replica_state.accepted), (None, None, None))
+        self.assertFalse(replica_state.sealed)
 
     def test_takes_the_accepted_proposal_of_the_ballot(self) -> None:
-        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
-        self.assertEqual((self.memory.view, self.memory.committed), (proposal(8).view, proposal(8).state))
+        self.replica_state.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
+        self.assertEqual(
+            (self.replica_state.view, self.replica_state.committed), (proposal(8).view, proposal(8).state)
+        )
 
     def test_not_without_the_proposal(self) -> None:
-        self.memory.accepted = None
-        self.memory.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
-        self.assertEqual(self.memory.view.epoch, EPOCH)
+        self.replica_state.accepted = None
+        self.replica_state.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
+        self.assertEqual(self.replica_state.view.epoch, EPOCH)
 
     def test_takes_a_higher_term_only(self) -> None:
         self.adopt(view(epoch=EPOCH + 1, term=LeaderTerm(5, "c", 1)), state(9, EPOCH + 1))
-        self.assertEqual(self.memory.term, LeaderTerm(6, "b", 11))
+        self.assertEqual(self.replica_state.term, LeaderTerm(6, "b", 11))
         self.adopt(view(epoch=EPOCH + 2, term=LeaderTerm(7, "c", 1)), state(9, EPOCH + 2))
-        self.assertEqual(self.memory.term, LeaderTerm(7, "c", 1))
+        self.assertEqual(self.replica_state.term, LeaderTerm(7, "c", 1))
 
     def test_grantee_is_kept_by_an_acceptor_that_stays(self) -> None:
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
-        self.assertEqual(self.memory.grantee, "c")
+        self.assertEqual(self.replica_state.grantee, "c")
 
     def test_grantee_is_forgotten_by_an_acceptor_that_joins(self) -> None:
-        self.memory.view = view("bcd")
+        self.replica_state.view = view("bcd")
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
-        self.assertEqual(self.memory.grantee, "")
+        self.assertEqual(self.replica_state.grantee, "")
 
     def test_grantee_is_forgotten_over_a_missed_epoch(self) -> None:
         self.adopt(view(epoch=EPOCH + 2), state(9, EPOCH + 2))
-        self.assertEqual(self.memory.grantee, "")
+        self.assertEqual(self.replica_state.grantee, "")
 
     def test_newcomer_until_it_is_an_acceptor(self) -> None:
         self.adopt(view("bcd", epoch=EPOCH + 1), state(9, EPOCH + 1))
-        self.assertTrue(self.memory.newcomer)
+        self.assertTrue(self.replica_state.newcomer)
         self.adopt(view("abcd", epoch=EPOCH + 2), state(9, EPOCH + 2))
-        self.assertFalse(self.memory.newcomer)
+        self.assertFalse(self.replica_state.newcomer)
         self.adopt(view("bcd", epoch=EPOCH + 3), state(9, EPOCH + 3))
-        self.assertFalse(self.memory.newcomer)
+        self.assertFalse(self.replica_state.newcomer)
 
     def test_machine_without_identity_joins(self) -> None:
-        self.memory.machine = None
-        self.assertTrue(self.memory.joins(view(epoch=EPOCH + 1)))
+        self.replica_state.machine = None
+        self.assertTrue(self.replica_state.joins(view(epoch=EPOCH + 1)))
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
-        self.assertTrue(self.memory.newcomer)
+        self.assertTrue(self.replica_state.newcomer)
 
 
 class TakenOrders(unittest.TestCase):
@@ -335,7 +340,7 @@
 
     def test_completion_waits_for_the_sync(self) -> None:
         self.write("x")
-        self.assertEqual(self.parts.memory.grantee, "x")
+        self.assertEqual(self.parts.replica_state.grantee, "x")
         persist = self.parts.flush()
         assert persist is not None
         self.assertFalse(persist.replaces)
@@ -395,7 +400,7 @@
         whole = self.parts.flush()
         assert whole is not None
         self.assertTrue(whole.replaces)
-        self.assertEqual(load(whole.records), self.parts.memory)
+        self.assertEqual(load_replica_state(whole.records), self.parts.replica_state)
         self.assertEqual(self.done, [])
         self.disk.on_persisted(self.parts.now, whole.token)
         self.assertEqual(self.done, ["x", "y", "z"])
@@ -489,7 +494,7 @@
         persist = self.parts.flush()
         assert persist is not None
         self.assertEqual(pb.Record.FromString(persist.records[-1]), deferred)
-        self.assertEqual(self.parts.memory.grantee, "deferred")
+        self.assertEqual(self.parts.replica_state.grantee, "deferred")
         self.disk.on_persisted(self.parts.now, persist.token)
         self.assertEqual(self.disk.synced_number, 2)
         self.write("y", 3)
@@ -498,7 +503,7 @@
         self.assertEqual(len(again.records), 1)
 
     def test_first_batch_of_an_empty_disk_replaces(self) -> None:
-        disk = RecordWriter(Timing(), Memory(), replace_next=True)
+        disk = RecordWriter(Timing(), ReplicaState(), replace_next=True)
         flags = []
         for number in (1, 2):
             disk.write(pb.Record(grantee=pb.GranteeRecord(holder="x", number=number)))
--- a/tests/fleet/test_planted_coordination_views.py
+++ b/tests/fleet/test_planted_coordination_views.py
@@ -8,12 +8,12 @@
 
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
-from rosechute.coordination.confirm import Confirmer
+from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.membership import FETCH_PAUSE_S, Membership
 from rosechute.coordination.proposer import BACKOFF_MIN_S, BACKOFF_SPREAD_S, Phase, Proposer
-from rosechute.coordination.types import Acknowledged, Order
+from rosechute.coordination.types import WriteAcknowledged, WriteRequest
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
@@ -38,7 +38,7 @@
 
     def test_promise_is_sent_once_synced(self) -> None:
         self.prepare(1)
-        self.assertEqual(self.parts.memory.promised, ballot(1))
+        self.assertEqual(self.parts.replica_state.promised, ballot(1))
         self.assertEqual(self.parts.sent("promise"), [])
         (record,) = self.parts.sync()
         self.assertEqual((record.promise.epoch, Ballot.from_message(record.promise.ballot)), (EPOCH, ballot(1)))
@@ -73,7 +73,7 @@
         self.prepare(1, "c")
         self.parts.sync()
         (refused,) = self.parts.sent("refused")
-        self.assertEqual(self.parts.memory.promised, ballot(2))
+        self.assertEqual(self.parts.replica_state.promised, ballot(2))
         self.assertEqual(Ballot.from_message(refused.ballot), ballot(1, "c"))
         self.assertEqual((refused.epoch, Ballot.from_message(refused.promised)), (EPOCH, ballot(2)))
 
@@ -85,7 +85,7 @@
         self.accept(proposal(1, "c"), "c")
         self.assertEqual(self.parts.sync(), [])
         self.assertEqual(self.parts.sent_to("refused") + self.parts.sent_to("promise"), ["c", "c"])
-        self.assertIsNone(self.parts.memory.accepted)
+        self.assertIsNone(self.parts.replica_state.accepted)
 
     def test_no_promise_of_a_ballot_that_was_overtaken_before_its_sync(self) -> None:
         self.prepare(1)
@@ -109,12 +109,12 @@
         self.assertEqual(Proposal.from_message(promise.accepted), proposal(1))
 
     def test_promise_brings_a_newer_state_and_the_term(self) -> None:
-        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
-        self.parts.memory.term = term(4)
+        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.replica_state.term = term(4)
         self.prepare(1, known=(EPOCH, 5))
         self.parts.sync()
         (promise,) = self.parts.sent("promise")
-        self.assertEqual(RegisterState.from_message(promise.state), self.parts.memory.written)
+        self.assertEqual(RegisterState.from_message(promise.state), self.parts.replica_state.written)
         self.assertEqual((promise.term.number, promise.term.holder, promise.term.boot), (4, "b", 8))
 
     def test_acceptance_is_sent_once_synced(self) -> None:
@@ -139,18 +139,18 @@
     def test_higher_ballot_is_accepted_after_another(self) -> None:
         self.accept(proposal(1))
         self.accept(proposal(2, "c"), "c")
-        self.assertEqual(self.parts.memory.accepted, proposal(2, "c"))
+        self.assertEqual(self.parts.replica_state.accepted, proposal(2, "c"))
 
     def test_another_epoch_gets_nothing(self) -> None:
         for epoch in (EPOCH - 1, EPOCH + 1):
             self.prepare(1, epoch=epoch)
             self.accept(proposal(1), epoch=epoch)
-        self.assertEqual((self.parts.memory.promised, self.parts.sync(), self.parts.actions()), (None, [], []))
+        self.assertEqual((self.parts.replica_state.promised, self.parts.sync(), self.parts.actions()), (None, [], []))
 
     def test_nothing_of_an_epoch_that_ended_before_the_sync(self) -> None:
         self.prepare(1)
         self.accept(proposal(1))
-        self.parts.memory.view = view(epoch=EPOCH + 1)
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.parts.sync()
         self.assertEqual(self.parts.actions(), [])
 
@@ -158,19 +158,19 @@
         self.parts.hear("z")
         self.prepare(1, "z")
         self.accept(proposal(1, "z"), "z")
-        self.assertEqual((self.parts.memory.promised, self.parts.sync()), (None, []))
+        self.assertEqual((self.parts.replica_state.promised, self.parts.sync()), (None, []))
         outside = Parts("z", "abc")
         acceptor = Acceptor(outside.context)
         acceptor.on_prepare(identity("b"), pb.Prepare(epoch=EPOCH, ballot=ballot(1).to_message()))
-        self.assertEqual((outside.memory.promised, outside.sync()), (None, []))
+        self.assertEqual((outside.replica_state.promised, outside.sync()), (None, []))
 
     def test_a_proposer_that_hears_no_answer_seals_nothing(self) -> None:
         self.parts.pass_time(2.0, hearing="c")
         self.prepare(1, "b")
         self.accept(proposal(1, "b"), "b")
-        self.assertFalse(self.parts.memory.sealed)
+        self.assertFalse(self.parts.replica_state.sealed)
         self.prepare(1, "c")
-        self.assertTrue(self.parts.memory.sealed)
+        self.assertTrue(self.parts.replica_state.sealed)
 
     def test_sealed_since_the_newest(self) -> None:
         self.parts.pass_time(1.0, hearing="bc")
@@ -222,13 +222,13 @@
         self.assertEqual(sorted(self.parts.sent_to("prepare")), ["a", "b", "c"])
 
     def test_tells_the_state_that_it_has(self) -> None:
-        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
         self.proposer.begin()
         for each in self.parts.sent("prepare"):
             self.assertEqual((each.epoch, each.state_epoch, each.state_sequence), (EPOCH, EPOCH, 6))
 
     def test_ballot_is_its_own_and_above_all_seen(self) -> None:
-        self.parts.memory.promised = ballot(4)
+        self.parts.replica_state.promised = ballot(4)
         first = self.begin()
         self.assertEqual(first, Ballot(5, "a", OWN_INCARNATION))
         self.proposer.on_refused(
@@ -280,7 +280,7 @@
         self.promise("b", own, epoch=EPOCH - 1)
         self.promise("c", own)
         self.assertEqual(self.parts.sent("accept"), [])
-        self.parts.memory.view = view(epoch=EPOCH + 1)
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.promise("b", own)
         self.promise("b", own, epoch=EPOCH + 1)
         self.assertEqual(self.parts.sent("accept"), [])
@@ -423,7 +423,7 @@
 
     def test_ended_by_another_epoch(self) -> None:
         self.begin()
-        self.parts.memory.view = view(epoch=EPOCH + 1)
+        self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.proposer.tick()
         self.assertEqual(self.proposer.phase, Phase.IDLE)
 
@@ -441,7 +441,7 @@
         self.parts = parts = Parts(own, members, chain)
         self.told: list[int] = []
         self.acceptor = Acceptor(parts.context)
-        self.confirmer = Confirmer(parts.context)
+        self.confirmer = EpochConfirmer(parts.context)
         self.chain = Chain(parts.context, self.confirmer, self._tell)
         self.grantor = LeaseGrantor(parts.context, NOW - 1.0)
         self.holder = LeaderLease(parts.context, self.grantor)
@@ -450,15 +450,15 @@
         )
 
     def _tell(self) -> None:
-        self.told.append(self.parts.memory.committed.sequence)
+        self.told.append(self.parts.replica_state.committed.sequence)
 
     def lead(self) -> None:
         """It holds the leader lease, granted by all acceptors."""
         holder, parts = self.holder, self.parts
         holder.tick()
-        for each in parts.memory.view.acceptors:
+        for each in parts.replica_state.view.acceptors:
             grant = pb.LeaseGrant(
-                epoch=parts.memory.view.epoch, term=holder.term, stamp=parts.now, boot=OWN_INCARNATION
+                epoch=parts.replica_state.view.epoch, term=holder.term, stamp=parts.now, boot=OWN_INCARNATION
             )
             holder.on_grant(each, grant)
         assert holder.is_held(parts.now)
@@ -485,13 +485,17 @@
     def test_adopted_once_synced(self) -> None:
         self.decided(EPOCH + 1)
         context = self.parts.context
-        self.assertEqual(self.parts.memory.view.epoch, EPOCH + 1)
-        self.assertEqual((context.adopted, context.joined, context.settled), (EPOCH, EPOCH, False))
+        self.assertEqual(self.parts.replica_state.view.epoch, EPOCH + 1)
+        self.assertEqual(
+            (context.adopted_epoch, context.joined_epoch, context.is_epoch_adopted), (EPOCH, EPOCH, False)
+        )
         (record,) = self.parts.sync()
         self.assertEqual(record.adopt.view.epoch, EPOCH + 1)
         self.assertEqual(RegisterState.from_message(record.adopt.state), state(9, EPOCH + 1))
-        self.assertEqual((context.adopted, context.joined, context.settled), (EPOCH + 1, EPOCH + 1, True))
-        self.assertTrue(context.announce)
+        self.assertEqual(
+            (context.adopted_epoch, context.joined_epoch, context.is_epoch_adopted), (EPOCH + 1, EPOCH + 1, True)
+        )
+        self.assertTrue(context.heartbeat_due)
         self.assertEqual(self.member.told, [9])
 
     def test_sync_of_an_epoch_that_is_over_adopts_nothing(self) -> None:
@@ -500,36 +504,38 @@
         self.decided(EPOCH + 2)
         assert first is not None
         self.parts.disk.on_persisted(self.parts.now, first.token)
-        self.assertEqual(self.parts.context.adopted, EPOCH)
+        self.assertEqual(self.parts.context.adopted_epoch, EPOCH)
         self.parts.sync()
-        self.assertEqual(self.parts.context.adopted, EPOCH + 2)
+        self.assertEqual(self.parts.context.adopted_epoch, EPOCH + 2)
 
     def test_older_views_change_nothing(self) -> None:
         for epoch in (EPOCH, EPOCH - 1):
             self.decided(epoch)
-        self.assertEqual((self.parts.sync(), self.parts.memory.committed), ([], state()))
+        self.assertEqual((self.parts.sync(), self.parts.replica_state.committed), ([], state()))
 
     def test_view_by_its_ballot(self) -> None:
         value = proposal(2, sequence=8)
-        self.parts.memory.promised, self.parts.memory.accepted = ballot(2), value
+        self.parts.replica_state.promised, self.parts.replica_state.accepted = ballot(2), value
         self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(1).to_message()))
         self.membership.on_chosen(pb.Chosen(epoch=EPOCH + 1, ballot=ballot(2).to_message()))
         self.membership.on_chosen(pb.Chosen(epoch=EPOCH - 1, ballot=ballot(2).to_message()))
-        self.assertEqual(self.parts.memory.view.epoch, EPOCH)
+        self.assertEqual(self.parts.replica_state.view.epoch, EPOCH)
         self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(2).to_message()))
-        self.assertEqual((self.parts.memory.view, self.parts.memory.committed), (value.view, value.state))
+        self.assertEqual(
+            (self.parts.replica_state.view, self.parts.replica_state.committed), (value.view, value.state)
+        )
         (record,) = self.parts.sync()
         self.assertEqual(Ballot.from_message(record.adopt.accepted), ballot(2))
         self.membership.on_chosen(pb.Chosen(epoch=EPOCH + 1, ballot=ballot(2).to_message()))
-        self.assertEqual(self.parts.memory.view.epoch, EPOCH + 1)
+        self.assertEqual(self.parts.replica_state.view.epoch, EPOCH + 1)
 
     def test_chosen_without_the_proposal(self) -> None:
         self.membership.on_chosen(pb.Chosen(epoch=EPOCH, ballot=ballot(2).to_message()))
-        self.assertEqual(self.parts.memory.view.epoch, EPOCH)
+        self.assertEqual(self.parts.replica_state.view.epoch, EPOCH)
 
     def test_the_old_epochs_questions_and_proposals_end(self) -> None:
         answers: list[bool] = []
-        self.member.confirmer.ask(answers.append, NOW)
+        self.member.confirmer.confirm_epoch(answers.append, NOW)
         self.membership.proposer.begin()
         self.decided(EPOCH + 1)
         self.assertEqual(answers, [False])
@@ -537,18 +543,18 @@
 
     def test_the_head_of_the_old_epoch_is_inactive(self) -> None:
         self.membership.check_active()
-        self.assertTrue(self.member.chain.active)
+        self.assertTrue(self.member.chain.is_active)
         self.decided(EPOCH + 1)
-        self.assertFalse(self.member.chain.active)
+        self.assertFalse(self.member.chain.is_active)
 
     def test_an_order_under_way_is_carried_over(self) -> None:
         self.membership.check_active()
-        self.member.chain.submit(Order(4, 50, 51, b"new", b"N" * 32))
+        self.member.chain.propose_write(WriteRequest(4, 50, 51, b"new", b"N" * 32))
         taken = state(9, EPOCH + 1).applied_writes + b"N" * 16 + (51).to_bytes(8, "big")
         decided = RegisterState(EPOCH + 1, 6, 51, b"new", b"N" * 32, taken)
         self.parts.actions()
         self.membership.on_decided(pb.Decided(view=view(epoch=EPOCH + 1).to_message(), state=decided.to_message()))
-        self.assertEqual(self.parts.answers(), [(4, Acknowledged(51))])
+        self.assertEqual(self.parts.answers(), [(4, WriteAcknowledged(51))])
 
     def test_a_machine_that_joins_the_acceptors_grants_nothing_for_a_lease(self) -> None:
         member = Member("a", "bcd")
@@ -565,51 +571,51 @@
         for fields in ({"joined": False}, {"epoch": EPOCH - 1}):
             self.parts.hear("c", **fields)
             self.membership.check_active()
-            self.assertFalse(self.member.chain.active)
+            self.assertFalse(self.member.chain.is_active)
         self.parts.hear("c")
         self.membership.check_active()
-        self.assertTrue(self.member.chain.active)
+        self.assertTrue(self.member.chain.is_active)
 
     def test_not_active_without_word_of_a_member(self) -> None:
         del self.parts.detector.peers["c"]
         self.membership.check_active()
-        self.assertFalse(self.member.chain.active)
+        self.assertFalse(self.member.chain.is_active)
 
     def test_not_active_while_sealed_or_not_joined(self) -> None:
         context = self.parts.context
-        context.joined = 0
+        context.joined_epoch = 0
         self.membership.check_active()
-        self.assertFalse(self.member.chain.active)
-        context.joined = EPOCH
+        self.assertFalse(self.member.chain.is_active)
+        context.joined_epoch = EPOCH
         self.parts.seal()
         self.membership.check_active()
-        self.assertFalse(self.member.chain.active)
+        self.assertFalse(self.member.chain.is_active)
 
     def test_only_the_head_is_active(self) -> None:
         member = Member("b")
         member.membership.check_active()
-        self.assertFalse(member.chain.active)
+        self.assertFalse(member.chain.is_active)
 
     def test_a_machine_outside_of_the_chain_is_never_active(self) -> None:
         for chain in ("ab", ""):
             member = Member("c", chain=chain)
             member.membership.check_active()
-            self.assertFalse(member.chain.active)
+            self.assertFalse(member.chain.is_active)
 
     def test_active_by_the_sync_of_its_own_adoption(self) -> None:
         self.decided(EPOCH + 1)
         for each in "bc":
             self.parts.hear(each, epoch=EPOCH + 1)
-        self.assertFalse(self.member.chain.active)
+        self.assertFalse(self.member.chain.is_active)
         self.parts.sync()
-        self.assertTrue(self.member.chain.active)
+        self.assertTrue(self.member.chain.is_active)
 
     # Catching up
 
     def test_learns_a_newer_state_outside_of_the_chain(self) -> None:
         member = Member("c", chain="ab")
         member.membership.on_decided(pb.Decided(view=view(chain="ab").to_message(), state=state(9).to_message()))
-        self.assertEqual((member.parts.memory.committed.sequence, member.told), (9, [9]))
+        self.assertEqual((member.parts.replica_state.committed.sequence, member.told), (9, [9]))
         (record,) = member.parts.sync()
         self.assertEqual(RegisterState.from_message(record.learn.state), state(9))
         member.membership.on_decided(pb.Decided(view=view(chain="ab").to_message(), state=state(9).to_message()))
@@ -617,7 +623,7 @@
 
     def test_members_of_the_chain_learn_through_the_chain_only(self) -> None:
         self.decided(EPOCH, 9)
-        self.assertEqual((self.parts.memory.committed.sequence, self.parts.sync()), (5, []))
+        self.assertEqual((self.parts.replica_state.committed.sequence, self.parts.sync()), (5, []))
 
     def fetched(self, member: Member, **fields: Any) -> list[Any]:
         member.parts.pass_time(FETCH_PAUSE_S)
@@ -647,7 +653,7 @@
         self.assertEqual(self.parts.sent_to("fetch"), ["c"])
 
     def test_answers_a_fetch_with_what_counts_only(self) -> None:
-        self.parts.memory.written = self.parts.memory.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
         for epoch, sequence in ((EPOCH, 5), (EPOCH, 6), (EPOCH + 1, 0)):
             self.membership.on_fetch(identity("b"), pb.Fetch(epoch=epoch, sequence=sequence))
         self.assertEqual(self.parts.sent("decided"), [])
@@ -674,7 +680,7 @@
     def test_an_unhealthy_leader_does_not_propose(self) -> None:
         self.member.lead()
         self.parts.hear("c", healthy=False)
-        self.parts.context.leaving = True
+        self.parts.context.is_leaving = True
         self.assertEqual(self.member.tick(), [])
 
     def test_the_leader_proposes_for_a_sealed_epoch_at_once(self) -> None:
@@ -733,7 +739,7 @@
     def test_a_surplus_machine_that_leaves_is_no_acceptor_of_the_next_view(self) -> None:
         for reached, members in ((True, "abc"), (False, "abcd")):
             member = Member(members="abcd")
-            member.parts.memory.view = view("abcd", size=3)
+            member.parts.replica_state.view = view("abcd", size=3)
             answer = NOW if reached else NOW - 5.0
             member.parts.hear("d", healthy=False, leaving=True)
             member.parts.detector.peers["d"].last_answered_at = answer
@@ -763,12 +769,12 @@
 
     def test_its_own_restart_needs_a_view(self) -> None:
         self.member.lead()
-        self.parts.context.joined = 0
+        self.parts.context.joined_epoch = 0
         self.assertEqual(len(self.member.tick()), 3)
 
     def test_its_own_adoption_that_is_under_way_needs_no_view(self) -> None:
         self.member.lead()
-        self.parts.context.adopted = self.parts.context.joined = EPOCH - 1
+        self.parts.context.adopted_epoch = self.parts.context.joined_epoch = EPOCH - 1
         self.assertEqual(self.member.tick(), [])
 
     def test_a_member_of_an_older_epoch_is_not_restarted(self) -> None:
@@ -788,14 +794,16 @@
     def test_decision_of_its_own_proposal_is_adopted(self) -> None:
         value = proposal(1, "a", sequence=6)
         self.membership._on_decision(value)
-        self.assertEqual((self.parts.memory.view, self.parts.memory.committed), (value.view, value.state))
+        self.assertEqual(
+            (self.parts.replica_state.view, self.parts.replica_state.committed), (value.view, value.state)
+        )
         (record,) = self.parts.sync()
         self.assertTrue(record.adopt.HasField("view"), "it has not accepted the proposal itself")
 
     def test_decision_that_it_has_accepted_is_written_by_its_ballot(self) -> None:
         value = proposal(1, "a", sequence=6)
-        self.parts.memory.promised, self.parts.memory.accepted = value.ballot, value
+        self.parts.replica_state.promised, self.parts.replica_state.accepted = value.ballot, value
         self.membership._on_decision(value)
         (record,) = self.parts.sync()
         self.assertTrue(record.adopt.HasField("accepted"))
-        self.assertEqual(self.parts.memory.view, value.view)
+        self.assertEqual(self.parts.replica_state.view, value.view)
--- a/tests/fleet/test_stored_data_compatibility.py
+++ b/tests/fleet/test_stored_data_compatibility.py
@@ -15,7 +15,7 @@
 import unittest
 from pathlib import Path
 
-from rosechute.coordination.memory import load
+from rosechute.coordination.replica_state import load_replica_state
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.storage.files import DiskDirectory
 from rosechute.storage.layout import Slot, decode_log, decode_slot, encode_entries, encode_slot
@@ -42,7 +42,7 @@
     def snapshot(self, directory: Path) -> pb.Record:
         """Load a directory as a core machine does at its start; return the state as a snapshot record."""
         _, records = self.load(directory)
-        return load(records).whole()
+        return load_replica_state(records).whole()
 
     def expected(self, directory: Path, name: str = "expected-snapshot.pb") -> pb.Record:
         return pb.Record.FromString((directory / name).read_bytes())
