--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -89,16 +89,14 @@
         "        if sent is not None:\n            return [sent]\n",
         "",
     ),
-    "no-rate-leases": _constant("rosechute/control_plane/quota.py", "LEASED_SHARE", "0.0", "0.65"),
-    "no-emergency-rate": _constant("rosechute/control_plane/quota.py", "EMERGENCY_SHARE", "0.0", "0.06"),
+    "no-rate-leases": _constant("rosechute/control_plane/quota_policy.py", "LEASED_SHARE", "0.0", "0.65"),
+    "no-emergency-rate": _constant("rosechute/control_plane/quota_policy.py", "EMERGENCY_SHARE", "0.0", "0.06"),
     "no-noted-holders": _line(
         "rosechute/coordination/leader_lease.py",
         "return persisted.edges if self._previous_term == persisted.term else None",
         "return None",
     ),
-    "no-quota-prediction": _line(
-        f"{ROUTING}/token_cache.py", "        if expected_at - now > WAIT_S:", "        if False:"
-    ),
+    "no-quota-prediction": _line(f"{ROUTING}/token_cache.py", "        if wait_s > MAX_WAIT_S:", "        if False:"),
     "no-quota-priority": _line(
         "rosechute/data_plane/plane.py",
         "request.on_quota_decision, admitted.priority)",
--- a/rosechute/control_plane/rate_lease_owners.py
+++ b/rosechute/control_plane/rate_lease_owners.py
@@ -1,81 +1,86 @@
-"""Which edges may hold rate leases, or words about them, and which of these are known to the leader's disk.
+"""Which edges may hold rate leases or no-lease promises, and which of these names are on the leader's disk.
 
-Pure. A leader that knows every such edge need not wait for the leases of earlier terms to run out: once each of them
-has reported in the new term, all that runs is known. The names are noted on the leader's own disk, and are of use to
-the machine that led last only (`coordination.leader_lease`). What is noted for a term says: only these edges may hold
-leases of this term or of an earlier one. So from the moment when a note is on its way to the disk, no edge outside of
-it is granted anything; it is noted first.
+Pure. A leader that knows every such edge need not wait for the leases of earlier terms to expire: once each of them
+has reported in the new term, all leases that run are known. The names are persisted on the leader's own disk, and are
+of use only to the machine that led last (`coordination.leader_lease`). What is persisted for a term says: only these
+edges may hold leases of this term or of an earlier one. So while a set of names is being persisted, no edge outside
+of it is granted anything; it is persisted first.
 
-A note is first made when the names are complete: at once where they came with the term, or else when all earlier
-leases have run out. An edge that was not granted anything for longer than a lease lasts is left out of later notes.
+The names are first persisted when they are complete: at once where they came with the term, or else when all earlier
+leases have expired. An edge that was not granted anything for longer than a lease lasts is left out of later sets.
 """
 
 from __future__ import annotations
 
-from rosechute.control_plane.rate_leases import LEASE_EXPIRY_S
-
-PRUNE_INTERVAL_S = 10.0  # how often a note is made anew only to leave names out
+from .quota_policy import LEASE_EXPIRY_S, PRUNE_INTERVAL_S
 
 
 class RateLeaseOwnerTracker:
-    """The names of one term of this machine."""
+    """The names in one term of this machine.
+
+    Args:
+        now: Steady time when the term began, in seconds.
+        earlier: Edges that may hold leases of earlier terms; None where that is not known.
+    """
 
     def __init__(self, now: float, earlier: frozenset[str] | None) -> None:
-        self._earlier = earlier or frozenset()  # they will be in the first note
-        self._unheard = earlier  # edges of earlier terms that have not reported in this one; None: not known
-        self._complete = earlier is not None
-        self._answered: dict[str, float] = dict.fromkeys(earlier or (), now)  # by edge: when it was granted last
-        self._noted: frozenset[str] | None = None  # synced
-        self._pending: frozenset[str] | None = None  # on its way to the disk
-        self._wanted: set[str] = set()  # asked for leases and are not noted
+        self._earlier = earlier or frozenset()  # they will be in the first set
+        self._unreported = earlier  # edges of earlier terms without a report in this one; None: not known
+        self._is_complete = earlier is not None
+        self._granted_at: dict[str, float] = dict.fromkeys(earlier or (), now)  # by edge: its last grant
+        self._persisted: frozenset[str] | None = None  # synced
+        self._pending: frozenset[str] | None = None  # being written
+        self._unpersisted: set[str] = set()  # reported, and are in no set yet
         self._written_at = now
 
     @property
-    def all_heard(self) -> bool:
-        """Whether it is known that every edge with leases of earlier terms has reported in this one."""
-        return self._unheard is not None and not self._unheard
-
-    def heard(self, edge: str) -> None:
-        """It has reported in this term: what it holds is known."""
-        if self._unheard is not None:
-            self._unheard -= {edge}
-
-    def unknown(self) -> None:
-        """A report could not be taken in whole: earlier leases have to run out."""
-        self._unheard = None
-
-    def complete(self) -> None:
-        """All leases of earlier terms have run out, or are known."""
-        self._complete = True
-
-    def may_grant(self, now: float, edge: str) -> bool:
-        """Whether leases may be granted there now. One that is not noted is, with the next note."""
-        notes = [note for note in (self._noted, self._pending) if note is not None]
-        if self._complete and any(edge not in note for note in notes or [self._earlier]):
-            self._wanted.add(edge)
+    def has_all_reported(self) -> bool:
+        """Return whether every edge with leases of earlier terms is known to have reported in this one."""
+        return self._unreported is not None and not self._unreported
+
+    def on_report(self, edge: str) -> None:
+        """Handle a report of this term: what the edge holds is known."""
+        if self._unreported is not None:
+            self._unreported -= {edge}
+
+    def on_unusable_report(self) -> None:
+        """Handle a report that could not be applied in full: earlier leases have to expire."""
+        self._unreported = None
+
+    def on_earlier_leases_known(self) -> None:
+        """Handle that all leases of earlier terms have expired, or are known."""
+        self._is_complete = True
+
+    def try_grant(self, now: float, edge: str) -> bool:
+        """Return whether leases may be granted to an edge now; where not, add it to the next set to persist."""
+        sets = [names for names in (self._persisted, self._pending) if names is not None]
+        if self._is_complete and any(edge not in names for names in sets or [self._earlier]):
+            self._unpersisted.add(edge)
             return False
-        self._answered[edge] = now
+        self._granted_at[edge] = now
         return True
 
-    def to_note(self, now: float) -> frozenset[str] | None:
-        """The names to be written to the disk now; None for nothing. `noted` tells that they are synced."""
-        if not self._complete or self._pending is not None:
+    def to_persist(self, now: float) -> frozenset[str] | None:
+        """Return the names to write to the disk now, None for nothing; `on_persisted` tells that they are synced."""
+        if not self._is_complete or self._pending is not None:
             return None
-        live = {
-            edge for edge, at in self._answered.items() if now - at <= LEASE_EXPIRY_S or edge in (self._unheard or ())
-        }
-        tidy = len(live) < len(self._answered) and now - self._written_at > PRUNE_INTERVAL_S
-        if self._noted is not None and not self._wanted and not tidy:
+        live = {edge for edge, granted_at in self._granted_at.items() if self._is_live(now, edge, granted_at)}
+        is_pruning_due = len(live) < len(self._granted_at) and now - self._written_at > PRUNE_INTERVAL_S
+        if self._persisted is not None and not self._unpersisted and not is_pruning_due:
             return None
-        self._answered = {edge: at for edge, at in self._answered.items() if edge in live}
-        self._answered.update(dict.fromkeys(self._wanted, now))
-        self._wanted.clear()
-        self._pending = frozenset(self._answered)
+        self._granted_at = {edge: granted_at for edge, granted_at in self._granted_at.items() if edge in live}
+        self._granted_at.update(dict.fromkeys(self._unpersisted, now))
+        self._unpersisted.clear()
+        self._pending = frozenset(self._granted_at)
         self._written_at = now
         return self._pending
 
-    def noted(self, edges: frozenset[str]) -> None:
-        """These names are synced."""
+    def on_persisted(self, edges: frozenset[str]) -> None:
+        """Handle that these names are synced."""
         if edges == self._pending:
-            self._noted, self._pending = edges, None
-            self._wanted -= edges
+            self._persisted, self._pending = edges, None
+            self._unpersisted -= edges
+
+    def _is_live(self, now: float, edge: str, granted_at: float) -> bool:
+        """Return whether an edge may hold a lease."""
+        return now - granted_at <= LEASE_EXPIRY_S or edge in (self._unreported or ())
--- a/rosechute/control_plane/rate_leases.py
+++ b/rosechute/control_plane/rate_leases.py
@@ -1,19 +1,23 @@
-"""The leader's side of rate leases: which edge may spend how much of a tenant's rate without asking.
-
-Pure. A lease is a rate and the depth of the store that it fills; both end with the lease, and the store with them.
-For the later part of its time only a share of the rate holds.
-What an edge may hold is reckoned from above: the greater of what it reported and what it was granted since, until its
-next report, or until both have run out. An edge takes only the answer to its newest report, so a report tells all
-that the edge holds and will hold. The reckoned rates together never exceed the rate to lease, nor the depths theirs.
-
-A new leader does not know who holds what. Until all earlier leases have run out, it leases only what edges have
-reported to it in its own term: each holder's first report is a part of what the leader before had reckoned. Where it
-knows the names of all edges that may hold any (`lease_holders`), it need wait for their reports only.
-
-Where a store's part would be too small for the requests, nothing is leased, and edges are told that nothing will be
-for a while. A new leader to which an edge reports such a word, not yet run out, knows that no leases run: the leader
-before kept to it, and every leader leases nothing new before all words of its predecessors have run out. A leader
-that need not wait for that long is told of them by the edges that it does wait for.
+"""The leader's side of rate leases: which edge may use how much of a tenant's rate without asking.
+
+Pure. `RateLeases.renew` is where a lease is granted. A lease is a rate, and the depth of the token bucket that it
+fills at the edge; both end with the lease. For the later part of its time only a share of the rate holds.
+
+What an edge may hold is bounded from above: by the greater of what it reported and what it was granted since, until
+its next report, or until both have expired. An edge applies only the answer to its newest report, so a report tells
+all that the edge holds or will hold. The bounds together never exceed the budget of the tenant.
+
+After a change of leader, the new one does not know who holds what. Until all earlier leases have expired, it leases
+only what edges have reported to it in its own term: an owner's first report is a part of what the leader before had
+leased. Where it knows the names of all edges that may hold any (`rate_lease_owners`), it waits for their reports
+only.
+
+No-lease promises: where a lease would hold too few requests, nothing is leased, and edges are promised that nothing
+will be for a while. A new leader to which an edge reports such a promise knows that no leases run: the leader before
+kept it, and every leader leases nothing new before all promises of its predecessors have expired. A leader that need
+not wait for that long learns of them from the edges that it does wait for.
+
+Sources: Gray and Cheriton, "Leases", SOSP 1989; Bertsekas and Gallager, "Data Networks", 1992 (max-min fairness).
 """
 
 from __future__ import annotations
@@ -23,192 +27,228 @@
 
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
 
-LEASE_DURATION_S = 5.0  # how long a lease lasts
-CLOCK_DRIFT = 0.01  # by which clocks of two machines may run apart
-FULL_RATE_S = 3.0  # of that at the full rate, and from then on at a part of it: the less a new leader has to wait for
-LATE_RATE_SHARE = 0.5  # of the rate, after that
-LEASE_EXPIRY_S = LEASE_DURATION_S * (
-    1 + CLOCK_DRIFT
-)  # after so long, by the leader's clock, a lease has run out at its edge
-FULL_RATE_EXPIRY_S = FULL_RATE_S * (1 + CLOCK_DRIFT)  # the same, for its full rate
-NO_LEASE_S = (
-    LEASE_DURATION_S  # for so long an edge is told that nothing will be leased; not longer than LEASE_EXPIRY_S
+from .quota_policy import (
+    ACTIVE_EDGE_S,
+    CLOCK_DRIFT,
+    DEMAND_HEADROOM,
+    FULL_RATE_EXPIRY_S,
+    FULL_RATE_S,
+    LATE_RATE_SHARE,
+    LEASE_DURATION_S,
+    LEASE_EXPIRY_S,
+    MIN_REQUESTS_PER_LEASE,
+    NO_LEASE_S,
+    OWN_DEMAND_WEIGHT,
 )
-MIN_NO_LEASE_S = 0.1  # what has to remain of that to be relied on
-ACTIVE_EDGE_S = 2.0  # how long an edge counts for the sharing after its last report
-OWN_DEMAND_WEIGHT = 0.6  # of an edge's own demand in what is expected of it; the rest is the mean over the edges
-DEMAND_HEADROOM = 1.5  # an edge's lease at most, as a multiple of what is expected of it
-MIN_REQUESTS_PER_LEASE = 2.0  # leases whose stores hold fewer mean requests than this are not worth their rate
-NOTHING = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseOwner:
-    """An edge's process: after a restart it is another one."""
+    """A process of an edge: after a restart it is another owner."""
 
     edge: str
-    boot: int
+    incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseBudget:
-    """All leases of one tenant together, at most."""
+    """A rate in tokens a second and a depth in tokens: of one lease, or of all leases of a tenant together."""
 
     rate: float
     depth: float
 
 
+NO_BUDGET = LeaseBudget(0.0, 0.0)
+
+
 @dataclass(slots=True)
-class _Reckoned:
-    """What one holder may hold at most, until when; and its last report's demand."""
+class LeaseBound:
+    """What one owner may hold at most, until when, and what it reported last. Times are steady, in seconds."""
 
     rate: float = 0.0  # now
-    granted: float = 0.0  # the full rate
+    full_rate: float = 0.0
     depth: float = 0.0
-    until: float = 0.0
-    demand: float = 0.0
-    request_mean: float = 0.0
+    expires_at: float = 0.0
+    demand: float = 0.0  # tokens a second
+    mean_request_tokens: float = 0.0
     reported_at: float = 0.0
 
     def expire(self, now: float) -> None:
-        """End, or fall to the late rate."""
-        if now >= self.until:
-            self.rate = self.depth = NOTHING
-        elif now >= self.until - (LEASE_EXPIRY_S - FULL_RATE_EXPIRY_S):
-            self.rate = min(self.rate, LATE_RATE_SHARE * self.granted)
+        """End the bound, or lower it to the late rate."""
+        if now >= self.expires_at:
+            self.rate = self.depth = 0.0
+        elif now >= self.expires_at - (LEASE_EXPIRY_S - FULL_RATE_EXPIRY_S):
+            self.rate = min(self.rate, LATE_RATE_SHARE * self.full_rate)
+
+    def is_active(self, now: float) -> bool:
+        """Return whether the owner has reported lately."""
+        return now < self.reported_at + ACTIVE_EDGE_S
+
+    def adopt(self, now: float, report: LeaseReport) -> None:
+        """Set the bound to what the owner holds of an earlier leader."""
+        self.rate = self.full_rate = report.rate
+        self.depth, self.expires_at = report.depth, now + report.remaining_s * (1 + CLOCK_DRIFT)
+
+    def lower(self, now: float, report: LeaseReport) -> None:
+        """Lower the bound to what the owner reports to hold."""
+        self.full_rate, self.depth = min(self.full_rate, report.rate), min(self.depth, report.depth)
+        self.rate = self.full_rate
+        self.expires_at = min(self.expires_at, now + report.remaining_s * (1 + CLOCK_DRIFT))
+        self.expire(now)
 
+    def raise_to(self, now: float, granted: LeaseBudget) -> None:
+        """Raise the bound to what is granted now."""
+        self.rate, self.full_rate = max(self.rate, granted.rate), max(self.full_rate, granted.rate)
+        self.depth, self.expires_at = max(self.depth, granted.depth), max(self.expires_at, now + LEASE_EXPIRY_S)
 
-class RateLeases:
-    """The leases of one tenant, under one leader's term."""
 
-    def __init__(self, totals: LeaseBudget, known_from: float) -> None:
-        self._totals = totals
-        self._known_from = known_from  # when all leases of earlier leaders have run out
-        self._adopted = LeaseBudget(NOTHING, NOTHING)
-        self._holders: dict[LeaseOwner, _Reckoned] = {}
-        self._bare_until = -math.inf  # told to edges
-        self._wanted_at = -math.inf  # when leases were of use last
-        self._none_run = False  # an edge brought the word of the leader before
+class RateLeases:
+    """The leases of one tenant, in one term of this leader.
+
+    Args:
+        budget: All leases of the tenant together, at most.
+        leases_known_at: Steady time when all leases of earlier leaders have expired.
+    """
+
+    def __init__(self, budget: LeaseBudget, leases_known_at: float) -> None:
+        self._budget = budget
+        self._leases_known_at = leases_known_at
+        self._adopted = NO_BUDGET  # leases of earlier leaders that were reported in this term
+        self._bounds: dict[LeaseOwner, LeaseBound] = {}
+        self._no_lease_until = -math.inf  # as promised to edges, by this leader or an earlier one
+        self._useful_at = -math.inf  # when leases were useful last
+        self._is_none_running = False  # no lease of an earlier leader runs
 
     @property
     def rate(self) -> float:
-        """The rate that may be held, as reckoned at the last call."""
-        return sum(each.rate for each in self._holders.values())
+        """Return the rate that all owners may hold, as of the last call."""
+        return sum(bound.rate for bound in self._bounds.values())
 
     @property
     def depth(self) -> float:
-        """The depth of all stores, as reckoned at the last call."""
-        return sum(each.depth for each in self._holders.values())
+        """Return the depth that all owners may hold, as of the last call."""
+        return sum(bound.depth for bound in self._bounds.values())
+
+    def unreported_rate(self, *, late: bool) -> float:
+        """Return the rate that earlier leaders may have leased and that was not reported in this term.
 
-    def unknown(self, late: bool) -> float:
-        """The rate that earlier leaders may have leased and that was not reported here; `late` for the late rate."""
-        unknown = max(0.0, self._totals.rate - self._adopted.rate)
-        return LATE_RATE_SHARE * unknown if late else unknown
+        Args:
+            late: Return it for the time when all earlier leases have fallen to their late rate.
+        """
+        unreported = max(0.0, self._budget.rate - self._adopted.rate)
+        return LATE_RATE_SHARE * unreported if late else unreported
 
-    def resize(self, totals: LeaseBudget) -> None:
-        """The limit has changed. What is held stays reckoned."""
-        self._totals = totals
+    def active_edges(self, now: float) -> int:
+        """Return how many owners have reported lately."""
+        return sum(1 for bound in self._bounds.values() if bound.is_active(now))
 
-    def none_run(self) -> None:
-        """It has become known that no leases of earlier leaders run."""
-        self._none_run = True
+    def resize(self, budget: LeaseBudget) -> None:
+        """Put another budget in force; the bounds of what is held stay."""
+        self._budget = budget
 
-    def all_known(self, now: float) -> None:
-        """It has become known that leases of earlier leaders run only where they were reported here."""
-        self._known_from = min(self._known_from, now)
+    def on_none_running(self) -> None:
+        """Handle that no lease of an earlier leader runs."""
+        self._is_none_running = True
+
+    def on_all_reported(self, now: float) -> None:
+        """Handle that leases of earlier leaders run only where they were reported in this term."""
+        self._leases_known_at = min(self._leases_known_at, now)
 
     def expire(self, now: float) -> None:
-        """Forget what has run out."""
-        for each in self._holders.values():
-            each.expire(now)
-        self._holders = {
-            holder: each
-            for holder, each in self._holders.items()
-            if now < each.until or now < each.reported_at + ACTIVE_EDGE_S or now < self._known_from
+        """End bounds that have expired, and forget owners that are gone."""
+        for bound in self._bounds.values():
+            bound.expire(now)
+        self._bounds = {
+            owner: bound
+            for owner, bound in self._bounds.items()
+            if now < bound.expires_at or bound.is_active(now) or now < self._leases_known_at
         }
 
-    def active(self, now: float) -> int:
-        """How many edges have reported lately."""
-        return sum(1 for each in self._holders.values() if now < each.reported_at + ACTIVE_EDGE_S)
-
-    def report(self, now: float, holder: LeaseOwner, report: LeaseReport) -> LeaseGrant:
-        """Take an edge's newest report of this term and answer it."""
+    def renew(self, now: float, owner: LeaseOwner, report: LeaseReport) -> LeaseGrant:
+        """Apply an owner's newest report of this term, and grant the lease that replaces what it holds."""
         self.expire(now)
-        self._take(now, holder, report)
-        rate, depth = self._grantable(now, holder)
-        held = self._holders[holder]
-        held.rate, held.granted = max(held.rate, rate), max(held.granted, rate)
-        held.depth, held.until = max(held.depth, depth), max(held.until, now + LEASE_EXPIRY_S)
+        self._apply(now, owner, report)
+        granted = self._grantable(now, owner)
+        self._bounds[owner].raise_to(now, granted)
         return LeaseGrant(
-            report.tenant, rate, depth, FULL_RATE_S, LATE_RATE_SHARE, LEASE_DURATION_S, bare_s=self._bare_s(now)
+            report.tenant,
+            rate=granted.rate,
+            depth=granted.depth,
+            full_rate_s=FULL_RATE_S,
+            late_rate_share=LATE_RATE_SHARE,
+            lifetime_s=LEASE_DURATION_S,
+            no_lease_s=self._promise_no_lease(now),
         )
 
-    def _take(self, now: float, holder: LeaseOwner, report: LeaseReport) -> None:
-        held = self._holders.get(holder)
-        if held is None:
-            held = self._holders[holder] = _Reckoned()
-            if now < self._known_from:
-                self._adopt(now, held, report)
-        elif now < held.until:
-            held.granted, held.depth = min(held.granted, report.rate), min(held.depth, report.depth)
-            held.rate = held.granted
-            held.until = min(held.until, now + report.remaining_s * (1 + CLOCK_DRIFT))
-            held.expire(now)
-        held.demand, held.request_mean, held.reported_at = report.demand, report.request_mean, now
-
-    def _adopt(self, now: float, held: _Reckoned, report: LeaseReport) -> None:
-        held.rate = held.granted = report.rate
-        held.depth, held.until = report.depth, now + report.remaining_s * (1 + CLOCK_DRIFT)
+    def _apply(self, now: float, owner: LeaseOwner, report: LeaseReport) -> None:
+        bound = self._bounds.get(owner)
+        if bound is None:
+            bound = self._bounds[owner] = LeaseBound()
+            if now < self._leases_known_at:
+                self._adopt(now, bound, report)
+        elif now < bound.expires_at:
+            bound.lower(now, report)
+        bound.demand, bound.mean_request_tokens, bound.reported_at = report.demand, report.mean_request_tokens, now
+
+    def _adopt(self, now: float, bound: LeaseBound, report: LeaseReport) -> None:
+        """Take over the lease and the no-lease promise of an earlier leader."""
+        bound.adopt(now, report)
         self._adopted = LeaseBudget(self._adopted.rate + report.rate, self._adopted.depth + report.depth)
-        self._bare_until = max(self._bare_until, now + report.bare_s * (1 + CLOCK_DRIFT))
+        self._no_lease_until = max(self._no_lease_until, now + report.no_lease_s * (1 + CLOCK_DRIFT))
+
+    def _grantable(self, now: float, owner: LeaseOwner) -> LeaseBudget:
+        """Return what to grant to an owner that has just reported."""
+        if not self._is_useful(now):
+            return NO_BUDGET
+        self._useful_at = now
+        if now < self._no_lease_until:
+            return NO_BUDGET
+        available = self._available(now)
+        others = [bound for other, bound in self._bounds.items() if other != owner]
+        unheld_rate = available.rate - sum(bound.rate for bound in others)
+        unheld_depth = available.depth - sum(bound.depth for bound in others)
+        rate = min(self._fair_rate(now, owner, available.rate), unheld_rate)
+        depth = min(self._budget.depth / self.active_edges(now), unheld_depth)
+        return LeaseBudget(rate, depth) if rate > 0 and depth > 0 else NO_BUDGET
 
     def _available(self, now: float) -> LeaseBudget:
-        """What may be leased in all."""
-        if now >= self._known_from:
-            return self._totals
-        totals, adopted = self._totals, self._adopted
-        return LeaseBudget(min(totals.rate, adopted.rate), min(totals.depth, adopted.depth))
-
-    def _grantable(self, now: float, holder: LeaseOwner) -> tuple[float, float]:
-        """The rate and the depth that may be granted."""
-        if not self._useful(now):
-            return NOTHING, NOTHING
-        self._wanted_at = now
-        if now < self._bare_until:
-            return NOTHING, NOTHING
-        available = self._available(now)
-        others = [each for other, each in self._holders.items() if other != holder]
-        rate = min(self._fair_rate(now, holder, available.rate), available.rate - sum(each.rate for each in others))
-        depth = min(self._totals.depth / self.active(now), available.depth - sum(each.depth for each in others))
-        return (rate, depth) if rate > 0 and depth > 0 else (NOTHING, NOTHING)
-
-    def _useful(self, now: float) -> bool:
-        """Whether a store of an even part of the depth holds several requests."""
-        means = [each.request_mean for each in self._holders.values() if now < each.reported_at + ACTIVE_EDGE_S]
-        return self._totals.depth > MIN_REQUESTS_PER_LEASE * sum(means)
-
-    def _bare_s(self, now: float) -> float:
-        """Give the word that nothing will be leased, and for how long."""
-        unknown = now < self._known_from and not self._none_run
-        if unknown or now < self._wanted_at + ACTIVE_EDGE_S or self.rate > 0:
+        """Return what may be leased in all: until earlier leases are known, no more than was reported."""
+        budget, adopted = self._budget, self._adopted
+        if now >= self._leases_known_at:
+            return budget
+        return LeaseBudget(min(budget.rate, adopted.rate), min(budget.depth, adopted.depth))
+
+    def _is_useful(self, now: float) -> bool:
+        """Return whether a lease of an even part of the depth holds several requests."""
+        means = [bound.mean_request_tokens for bound in self._bounds.values() if bound.is_active(now)]
+        return self._budget.depth > MIN_REQUESTS_PER_LEASE * sum(means)
+
+    def _promise_no_lease(self, now: float) -> float:
+        """Promise that nothing will be leased; return for how many seconds, 0 for no promise."""
+        may_any_run = now < self._leases_known_at and not self._is_none_running
+        if may_any_run or now < self._useful_at + ACTIVE_EDGE_S or self.rate > 0:
             return 0.0
-        self._bare_until = now + NO_LEASE_S
+        self._no_lease_until = now + NO_LEASE_S
         return NO_LEASE_S
 
-    def _fair_rate(self, now: float, holder: LeaseOwner, available: float) -> float:
-        """By demand: with headroom where there is enough for all, else the greatest the same for all."""
-        active = [each.demand for each in self._holders.values() if now < each.reported_at + ACTIVE_EDGE_S]
+    def _fair_rate(self, now: float, owner: LeaseOwner, available: float) -> float:
+        """Return an owner's share of a rate: with headroom where there is enough for all, else max-min fair."""
+        active = [bound.demand for bound in self._bounds.values() if bound.is_active(now)]
         mean = sum(active) / len(active)
-        expected = [OWN_DEMAND_WEIGHT * demand + (1 - OWN_DEMAND_WEIGHT) * mean for demand in active]
-        own = OWN_DEMAND_WEIGHT * self._holders[holder].demand + (1 - OWN_DEMAND_WEIGHT) * mean
+        expected = [_expected_demand(demand, mean) for demand in active]
+        own = _expected_demand(self._bounds[owner].demand, mean)
         spare = available - sum(expected)
         if spare >= 0:
             return min(own + spare / len(active), DEMAND_HEADROOM * own)
         return min(own, max_min_fair_level(expected, available))
 
 
+def _expected_demand(own: float, mean: float) -> float:
+    return OWN_DEMAND_WEIGHT * own + (1 - OWN_DEMAND_WEIGHT) * mean
+
+
 def max_min_fair_level(demands: list[float], available: float) -> float:
-    """The level at which demands have to be cut for their sum to be what is available."""
+    """Return the level at which demands have to be cut for their sum to be what is available."""
     left, rest = available, len(demands)
     for demand in sorted(demands):
         if demand * rest >= left:
--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -93,7 +93,7 @@
             logger.warning("message from {}: {}", connection, error)
             return
         if message.HasField("quota_issue"):
-            self.quota.on_tokens_issued(message.quota_issue)
+            self.quota.on_quota_issue(message.quota_issue)
             return
         self._carry(self.subscriber.receive(self._loop.time(), connection, message))
 
--- a/rosechute/routing/rate_lease.py
+++ b/rosechute/routing/rate_lease.py
@@ -1,7 +1,9 @@
-"""The edge's side of a rate lease: a rate of a tenant's tokens that fills a store for as long as the lease holds.
+"""The edge's side of a rate lease: a token bucket that fills at the leased rate for as long as the lease holds.
 
-Pure. With the lease, its store ends too. Time asleep counts like any other: up to the store's depth, and not beyond
-the end of the lease.
+Pure. The bucket ends with its lease. Time while the process is suspended counts like any other: up to the bucket's
+depth, and not beyond the end of the lease.
+
+Source: RFC 2215, 3.1 (token bucket); Gray and Cheriton, "Leases", SOSP 1989.
 """
 
 from __future__ import annotations
@@ -14,65 +16,80 @@
 
 @dataclass(slots=True)
 class RateLease:
-    """One tenant's lease at this edge; of rate 0 where none is held."""
+    """The lease of one tenant at this edge; of rate 0 where none is held. Times are steady, in seconds."""
 
-    rate: float = 0.0  # the full one
-    late_rate: float = 0.0
-    full_until: float = -math.inf
-    depth: float = 0.0
-    until: float = -math.inf
-    stored: float = 0.0
-    accrued_at: float = -math.inf
-    bare_until: float = -math.inf  # the leader gave its word to lease nothing to anybody
+    rate: float = 0.0  # tokens a second, until `full_rate_until`
+    late_rate: float = 0.0  # tokens a second, from then on
+    full_rate_until: float = -math.inf
+    expires_at: float = -math.inf
+    depth: float = 0.0  # tokens that the bucket holds at most
+    level: float = 0.0  # tokens in the bucket
+    accrued_at: float = -math.inf  # as of which the level holds
+    no_lease_until: float = -math.inf  # the leader promised to lease nothing to any edge
 
     def advance(self, now: float) -> None:
-        """Fill the store, or end."""
-        if now >= self.until:
-            self.rate = self.depth = self.stored = 0.0
+        """Fill the bucket, or end the lease."""
+        if now >= self.expires_at:
+            self.rate = self.depth = self.level = 0.0
         elif now > self.accrued_at:
-            self.stored = min(self.depth, self.stored + self._accrued(self.accrued_at, now))
+            self.level = min(self.depth, self.level + self._accrued(self.accrued_at, now))
         self.accrued_at = max(self.accrued_at, now)
 
-    def granted(self, now: float, sent_at: float, grant: LeaseGrant) -> None:
-        """Hold what the leader granted to the report sent at that time, in place of what was held."""
+    def on_grant(self, now: float, sent_at: float, grant: LeaseGrant) -> None:
+        """Replace the lease by what the leader granted to the report that was sent at `sent_at`."""
         self.advance(now)
-        self.rate, self.late_rate, self.depth = grant.rate, grant.late_share * grant.rate, grant.depth
-        self.full_until, self.until = sent_at + grant.full_s, sent_at + grant.lifetime_s
-        self.bare_until = max(self.bare_until, sent_at + grant.bare_s)
-        deposit = grant.deposit if now < sent_at + grant.deposit_s else 0
-        self.stored = min(self.depth, self.stored + deposit)
+        self.rate, self.late_rate, self.depth = grant.rate, grant.late_rate_share * grant.rate, grant.depth
+        self.full_rate_until, self.expires_at = sent_at + grant.full_rate_s, sent_at + grant.lifetime_s
+        self.no_lease_until = max(self.no_lease_until, sent_at + grant.no_lease_s)
+        deposit = grant.deposit if now < sent_at + grant.deposit_lifetime_s else 0
+        self.level = min(self.depth, self.level + deposit)
         self.advance(now)
 
     def available(self, now: float) -> int:
-        """Whole tokens in the store."""
+        """Return the whole tokens in the bucket."""
         self.advance(now)
-        return int(self.stored)
+        return int(self.level)
 
-    def take(self, tokens: int) -> None:
-        """Spend from the store, which holds as many."""
-        self.stored -= tokens
+    def use(self, tokens: int) -> None:
+        """Use tokens of the bucket, which holds as many."""
+        self.level -= tokens
 
     def covers_at(self, tokens: float) -> float:
-        """When the store will hold so many tokens, as of the last call; infinity for never under this lease."""
+        """Return when the bucket will hold so many tokens, as of the last call; infinity for not under this lease."""
         since = self.accrued_at
-        if tokens <= self.stored:
+        if tokens <= self.level:
             return since
         if tokens > self.depth or self.rate <= 0.0:
             return math.inf
-        missing, full_from = tokens - self.stored, max(since, self.full_until)
-        at_full = self._accrued(since, full_from)
-        if missing <= at_full:
+        missing, late_from = tokens - self.level, max(since, self.full_rate_until)
+        accrued_before = self._accrued(since, late_from)
+        if missing <= accrued_before:
             return since + missing / self.rate
-        at = full_from + (missing - at_full) / self.late_rate if self.late_rate > 0.0 else math.inf
-        return at if at < self.until else math.inf
+        covered_at = late_from + (missing - accrued_before) / self.late_rate if self.late_rate > 0.0 else math.inf
+        return covered_at if covered_at < self.expires_at else math.inf
 
-    def _accrued(self, since: float, until: float) -> float:
-        full_s = max(0.0, min(until, self.full_until) - since)
-        return self.rate * full_s + self.late_rate * (until - since - full_s)
+    def report(self, now: float, tenant: str, demand: float, mean_request_tokens: float) -> LeaseReport:
+        """Return the report of what is held now.
 
-    def report(self, now: float, tenant: str, demand: float, request_mean: float) -> LeaseReport:
-        """What is held now."""
+        Args:
+            now: Steady time, in seconds.
+            tenant: Name of the tenant.
+            demand: Tokens a second that requests demand.
+            mean_request_tokens: Mean request size.
+        """
         self.advance(now)
-        remaining_s = max(0.0, self.until - now)
-        bare_s = max(0.0, self.bare_until - now)
-        return LeaseReport(tenant, self.rate, self.depth, remaining_s, self.stored, demand, request_mean, bare_s)
+        return LeaseReport(
+            tenant,
+            rate=self.rate,
+            depth=self.depth,
+            remaining_s=max(0.0, self.expires_at - now),
+            level=self.level,
+            demand=demand,
+            mean_request_tokens=mean_request_tokens,
+            no_lease_s=max(0.0, self.no_lease_until - now),
+        )
+
+    def _accrued(self, since: float, until: float) -> float:
+        """Return the tokens that accrue in a span."""
+        full_rate_s = max(0.0, min(until, self.full_rate_until) - since)
+        return self.rate * full_rate_s + self.late_rate * (until - since - full_rate_s)
--- a/tests/fleet/distribution_world.py
+++ b/tests/fleet/distribution_world.py
@@ -433,7 +433,7 @@
         message = Distribution.FromString(data)
         issue = quota_issue_of(message)
         if issue is not None:
-            process.quota.issued(issue)
+            process.quota.on_quota_issue(issue)
         else:
             self._do(process, process.subscriber.receive(process.local_now(), connection, message))
         self.checkers.check(process)
--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -90,7 +90,19 @@
     ),
     Area(
         "token_cache",
-        [f"rosechute/routing/{name}.py" for name in ("token_cache", "rate_lease", "lease_exchange")],
+        [
+            f"rosechute/routing/{name}.py"
+            for name in (
+                "token_cache",
+                "tenant_tokens",
+                "waiting_queue",
+                "demand_meter",
+                "leader_requests",
+                "token_cache_policy",
+                "rate_lease",
+                "lease_exchange",
+            )
+        ],
         ["test_planted_token_cache*", "test_quota_rate_leases", "test_distribution_token_cache", "test_quota_*"],
         ["test_quota_sum"],
     ),
--- a/tests/fleet/quota_world.py
+++ b/tests/fleet/quota_world.py
@@ -163,7 +163,7 @@
         """An answer for the process that asked."""
         client = self.client
         if loop is self.loop:
-            loop.run(Handle(lambda: client.on_tokens_issued(issue)))
+            loop.run(Handle(lambda: client.on_quota_issue(issue)))
 
     def request(self, tokens: int) -> None:
         """A request of a client."""
--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -5,9 +5,17 @@
 
 import unittest
 
-from rosechute.control_plane.quota_allocator import QuotaAllocator, QuotaBounds, TenantLimit, TokenDemand
-from rosechute.control_plane.rate_lease_owners import PRUNE_INTERVAL_S, RateLeaseOwnerTracker
-from rosechute.control_plane.rate_leases import FULL_RATE_EXPIRY_S, LEASE_EXPIRY_S, LeaseOwner
+from rosechute.control_plane.quota_allocator import QuotaAllocator
+from rosechute.control_plane.quota_policy import (
+    FULL_RATE_EXPIRY_S,
+    LEASE_EXPIRY_S,
+    PRUNE_INTERVAL_S,
+    QuotaBounds,
+    TenantLimit,
+)
+from rosechute.control_plane.rate_lease_owners import RateLeaseOwnerTracker
+from rosechute.control_plane.rate_leases import LeaseOwner
+from rosechute.control_plane.token_bucket import TokenDemand
 from rosechute.coordination.replica_state import RateLeaseOwners, ReplicaState, load_replica_state
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseReport
@@ -21,122 +29,122 @@
     return frozenset(edges)
 
 
-def report(rate: float = 0.0, remaining_s: float = 0.0, bare_s: float = 0.0, tenant: str = "t") -> LeaseReport:
-    return LeaseReport(tenant, rate, 4.0 * rate, remaining_s, 0.0, 3_000.0, 500.0, bare_s)
+def report(rate: float = 0.0, remaining_s: float = 0.0, no_lease_s: float = 0.0, tenant: str = "t") -> LeaseReport:
+    return LeaseReport(tenant, rate, 4.0 * rate, remaining_s, 0.0, 3_000.0, 500.0, no_lease_s)
 
 
 class UnknownNamesTest(unittest.TestCase):
     """Earlier leases may run anywhere: all are granted until the first note, which names everybody granted."""
 
     def setUp(self) -> None:
-        self.holders = RateLeaseOwnerTracker(GAIN, None)
+        self.owners = RateLeaseOwnerTracker(GAIN, None)
 
     def test_everybody_is_granted_and_nothing_noted(self) -> None:
-        self.assertTrue(self.holders.may_grant(GAIN, A))
-        self.assertIsNone(self.holders.to_note(GAIN))
-        self.assertFalse(self.holders.all_heard)
+        self.assertTrue(self.owners.try_grant(GAIN, A))
+        self.assertIsNone(self.owners.to_persist(GAIN))
+        self.assertFalse(self.owners.has_all_reported)
 
     def test_the_first_note_names_who_was_granted(self) -> None:
-        self.holders.may_grant(GAIN, A)
-        self.holders.complete()
-        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S), names(A))
+        self.owners.try_grant(GAIN, A)
+        self.owners.on_earlier_leases_known()
+        self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S), names(A))
 
     def test_a_lease_that_has_run_out_is_not_named(self) -> None:
-        self.holders.may_grant(GAIN, A)
-        self.holders.may_grant(GAIN + 1.0, B)
-        self.holders.complete()
-        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S + 0.5), names(B))
+        self.owners.try_grant(GAIN, A)
+        self.owners.try_grant(GAIN + 1.0, B)
+        self.owners.on_earlier_leases_known()
+        self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S + 0.5), names(B))
 
 
 class NotedNamesTest(unittest.TestCase):
     """From the first note on, nobody is granted anything who is not in every note that may be on the disk."""
 
     def setUp(self) -> None:
-        self.holders = RateLeaseOwnerTracker(GAIN, names(A))
+        self.owners = RateLeaseOwnerTracker(GAIN, names(A))
 
     def test_earlier_edges_may_be_granted_before_the_first_note(self) -> None:
-        self.assertTrue(self.holders.may_grant(GAIN, A))
-        self.assertFalse(self.holders.may_grant(GAIN, B))
+        self.assertTrue(self.owners.try_grant(GAIN, A))
+        self.assertFalse(self.owners.try_grant(GAIN, B))
 
     def test_a_new_edge_is_granted_once_it_is_noted(self) -> None:
-        first = self.holders.to_note(GAIN)
+        first = self.owners.to_persist(GAIN)
         self.assertEqual(first, names(A))
-        self.assertFalse(self.holders.may_grant(GAIN, B))
-        self.assertIsNone(self.holders.to_note(GAIN), "one note at a time")
-        self.holders.noted(names(A))
-        self.assertEqual(self.holders.to_note(GAIN), names(A, B))
-        self.assertFalse(self.holders.may_grant(GAIN, B), "its note is on its way only")
-        self.assertTrue(self.holders.may_grant(GAIN, A))
-        self.holders.noted(names(A, B))
-        self.assertTrue(self.holders.may_grant(GAIN, B))
-        self.assertIsNone(self.holders.to_note(GAIN))
+        self.assertFalse(self.owners.try_grant(GAIN, B))
+        self.assertIsNone(self.owners.to_persist(GAIN), "one note at a time")
+        self.owners.on_persisted(names(A))
+        self.assertEqual(self.owners.to_persist(GAIN), names(A, B))
+        self.assertFalse(self.owners.try_grant(GAIN, B), "its note is on its way only")
+        self.assertTrue(self.owners.try_grant(GAIN, A))
+        self.owners.on_persisted(names(A, B))
+        self.assertTrue(self.owners.try_grant(GAIN, B))
+        self.assertIsNone(self.owners.to_persist(GAIN))
 
     def test_two_new_edges_do_not_push_each_other_out(self) -> None:
-        self.holders.noted(self.holders.to_note(GAIN) or names())
+        self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
         for edge in (B, C):
-            self.holders.may_grant(GAIN, edge)
-            self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.assertTrue(self.holders.may_grant(GAIN, B))
-        self.assertTrue(self.holders.may_grant(GAIN, C))
+            self.owners.try_grant(GAIN, edge)
+            self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
+        self.assertTrue(self.owners.try_grant(GAIN, B))
+        self.assertTrue(self.owners.try_grant(GAIN, C))
 
     def test_who_leaves_the_next_note_is_not_granted(self) -> None:
-        self.holders.heard(A)
-        self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.holders.may_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
-        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S + 1.0), names(B))
-        self.assertFalse(self.holders.may_grant(GAIN + LEASE_EXPIRY_S + 1.0, A))
+        self.owners.on_report(A)
+        self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
+        self.owners.try_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
+        self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S + 1.0), names(B))
+        self.assertFalse(self.owners.try_grant(GAIN + LEASE_EXPIRY_S + 1.0, A))
 
     def test_an_edge_that_was_not_heard_stays_named(self) -> None:
-        self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.holders.may_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
-        self.assertEqual(self.holders.to_note(GAIN + LEASE_EXPIRY_S + 1.0), names(A, B))
+        self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
+        self.owners.try_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
+        self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S + 1.0), names(A, B))
 
     def test_edges_that_are_gone_are_left_out_in_time(self) -> None:
-        self.holders.heard(A)
-        self.holders.noted(self.holders.to_note(GAIN) or names())
-        self.assertIsNone(self.holders.to_note(GAIN + PRUNE_INTERVAL_S))
-        self.assertEqual(self.holders.to_note(GAIN + PRUNE_INTERVAL_S + 0.1), names())
+        self.owners.on_report(A)
+        self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
+        self.assertIsNone(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S))
+        self.assertEqual(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S + 0.1), names())
 
     def test_all_are_heard_once_each_has_reported(self) -> None:
-        holders = RateLeaseOwnerTracker(GAIN, names(A, B))
-        holders.heard(A)
-        self.assertFalse(holders.all_heard)
-        holders.heard(C)
-        self.assertFalse(holders.all_heard)
-        holders.heard(B)
-        self.assertTrue(holders.all_heard)
+        owners = RateLeaseOwnerTracker(GAIN, names(A, B))
+        owners.on_report(A)
+        self.assertFalse(owners.has_all_reported)
+        owners.on_report(C)
+        self.assertFalse(owners.has_all_reported)
+        owners.on_report(B)
+        self.assertTrue(owners.has_all_reported)
 
     def test_nothing_to_be_heard_is_known_at_once(self) -> None:
-        self.assertTrue(RateLeaseOwnerTracker(GAIN, names()).all_heard)
+        self.assertTrue(RateLeaseOwnerTracker(GAIN, names()).has_all_reported)
 
     def test_a_report_that_is_not_taken_in_leaves_it_unknown(self) -> None:
-        holders = RateLeaseOwnerTracker(GAIN, names(A))
-        holders.unknown()
-        holders.heard(A)
-        self.assertFalse(holders.all_heard)
+        owners = RateLeaseOwnerTracker(GAIN, names(A))
+        owners.on_unusable_report()
+        owners.on_report(A)
+        self.assertFalse(owners.has_all_reported)
 
 
 class NewTermTest(unittest.TestCase):
-    """The issuer of a leader that was told who may hold leases of earlier terms."""
+    """The allocator of a leader that was told who may hold leases of earlier terms."""
 
     def setUp(self) -> None:
-        self.issuer = QuotaAllocator(QuotaBounds(8.0, 0.1, 110_000.0))
-        self.issuer.configure(GAIN, {"t": LIMIT, "free": None})
+        self.allocator = QuotaAllocator(QuotaBounds(8.0, 0.1, 110_000.0))
+        self.allocator.configure(GAIN, {"t": LIMIT, "free": None})
         self.number = 0
 
     def gain(self, holders: frozenset[str] | None) -> None:
-        self.issuer.leadership_gained(GAIN, GAIN + FULL_RATE_EXPIRY_S, GAIN + LEASE_EXPIRY_S, holders)
-        self.issuer.rate_lease_owners_to_persist(GAIN)
+        self.allocator.leadership_gained(GAIN, GAIN + FULL_RATE_EXPIRY_S, GAIN + LEASE_EXPIRY_S, holders)
+        self.allocator.rate_lease_owners_to_persist(GAIN)
 
     def renew(self, now: float, edge: str, *reports: LeaseReport) -> float:
         """The rate granted."""
         self.number += 1
-        grants = self.issuer.renew(now, LeaseOwner(edge, 1), self.number, reports)
+        grants = self.allocator.renew(now, LeaseOwner(edge, 1), self.number, reports)
         return sum(grant.rate for grant in grants)
 
     def issued_by(self, now: float) -> int:
         """Tokens that can be had one second after the gain."""
-        (issued,) = self.issuer.issue(now, C, [TokenDemand("t", 100_000, 1)])
+        (issued,) = self.allocator.issue(now, C, [TokenDemand("t", 100_000, 1)])
         return issued.tokens
 
     def test_the_whole_rate_once_all_have_reported(self) -> None:
@@ -165,7 +173,7 @@
 
     def test_nothing_is_leased_while_an_earlier_word_runs(self) -> None:
         self.gain(names(A))
-        self.renew(GAIN + 0.1, A, report(bare_s=3.0))
+        self.renew(GAIN + 0.1, A, report(no_lease_s=3.0))
         self.assertEqual(self.renew(GAIN + 2.0, A, report()), 0.0)
         self.assertGreater(self.renew(GAIN + 3.2, A, report()), 0.0)
 
@@ -180,17 +188,17 @@
         self.gain(names(A))
         self.renew(GAIN + 0.1, A, report())
         self.assertEqual(self.renew(GAIN + 0.2, B, report()), 0.0)
-        self.issuer.rate_lease_owners_persisted(names(A))
-        noted = self.issuer.rate_lease_owners_to_persist(GAIN + 0.3)
+        self.allocator.rate_lease_owners_persisted(names(A))
+        noted = self.allocator.rate_lease_owners_to_persist(GAIN + 0.3)
         self.assertEqual(noted, names(A, B))
-        self.issuer.rate_lease_owners_persisted(noted or names())
+        self.allocator.rate_lease_owners_persisted(noted or names())
         self.assertGreater(self.renew(GAIN + 0.7, B, report()), 0.0)
 
     def test_names_are_noted_when_earlier_leases_have_run_out(self) -> None:
         self.gain(None)
         self.renew(GAIN + 1.0, A, report())
-        self.assertIsNone(self.issuer.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S - 0.1))
-        self.assertEqual(self.issuer.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S), names(A))
+        self.assertIsNone(self.allocator.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S - 0.1))
+        self.assertEqual(self.allocator.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S), names(A))
 
 
 class DiskTest(unittest.TestCase):
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -26,6 +26,7 @@
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.store import TopicStore, UpdateResult
 from rosechute.routing import rate_lease
+from rosechute.routing.tenant_tokens import TenantTokens
 from rosechute.routing.token_cache import TokenCache
 from tests.fleet.distribution_world import setUpModule, tearDownModule  # noqa: F401
 
@@ -173,19 +174,19 @@
 
 
 def tokens_live_from_when_they_came() -> AbstractContextManager[Any]:
-    original = TokenCache._issued
+    original = TenantTokens.on_issue
 
-    def issued(self: Any, now: float, sent_at: float, state: Any, issue: Any) -> Any:
-        return original(self, now, now, state, issue)
+    def on_issue(self: Any, now: float, sent_at: float, issue: Any) -> Any:
+        return original(self, now, now, issue)
 
-    return mock.patch.object(TokenCache, "_issued", issued)
+    return mock.patch.object(TenantTokens, "on_issue", on_issue)
 
 
 def any_answer_grants() -> AbstractContextManager[Any]:
     original = TokenCache.on_leases_granted
 
     def granted(self: Any, now: float, request: int, term: int, grants: Any) -> Any:
-        return original(self, now, self._report, term, grants)
+        return original(self, now, self._reports.newest_request, term, grants)
 
     return mock.patch.object(TokenCache, "on_leases_granted", granted)
 
@@ -203,26 +204,26 @@
 def overtaken_reports_are_taken() -> AbstractContextManager[Any]:
     original = quota_allocator.QuotaAllocator.renew
 
-    def renew(self: Any, now: float, holder: Any, number: int, reports: Any) -> Any:
+    def renew(self: Any, now: float, owner: Any, number: int, reports: Any) -> Any:
         self._newest_reports.clear()
-        return original(self, now, holder, number, reports)
+        return original(self, now, owner, number, reports)
 
     return mock.patch.object(quota_allocator.QuotaAllocator, "renew", renew)
 
 
-def a_restarted_edge_is_the_same_holder() -> AbstractContextManager[Any]:
-    original = rate_leases.RateLeases.report
+def a_restarted_edge_is_the_same_owner() -> AbstractContextManager[Any]:
+    original = rate_leases.RateLeases.renew
 
-    def report(self: Any, now: float, holder: Any, told: Any) -> Any:
-        return original(self, now, rate_leases.LeaseOwner(holder.edge, 0), told)
+    def renew(self: Any, now: float, owner: Any, report: Any) -> Any:
+        return original(self, now, rate_leases.LeaseOwner(owner.edge, 0), report)
 
-    return mock.patch.object(rate_leases.RateLeases, "report", report)
+    return mock.patch.object(rate_leases.RateLeases, "renew", renew)
 
 
 def a_new_leader_takes_it_that_nothing_is_leased() -> AbstractContextManager[Any]:
     original = quota_allocator.QuotaAllocator.leadership_gained
 
-    def gained(self: Any, now: float, late_from: float, known_from: float) -> None:
+    def gained(self: Any, now: float, late_rate_from: float, leases_known_at: float) -> None:
         original(self, now, now, now)
 
     return mock.patch.object(quota_allocator.QuotaAllocator, "leadership_gained", gained)
@@ -246,7 +247,7 @@
 
     def advance(self: Any, now: float) -> None:
         if self.rate > 0.0:
-            self.until = max(self.until, now + 1.0)
+            self.expires_at = max(self.expires_at, now + 1.0)
         original(self, now)
 
     return mock.patch.object(rate_lease.RateLease, "advance", advance)
@@ -304,7 +305,7 @@
     (any_answer_grants, f"{LEASES}.ReportTest.test_only_the_answer_to_the_newest_report_counts"),
     (reports_of_any_term_are_taken, f"{LEASES}.ReportTest.test_a_report_of_another_term_is_told_the_term_only"),
     (overtaken_reports_are_taken, f"{LEASES}.NewLeaderTest.test_a_report_that_was_overtaken_tells_nothing"),
-    (a_restarted_edge_is_the_same_holder, f"{LEASES}.LeaderLeasesTest.test_a_restarted_edge_is_another_holder"),
+    (a_restarted_edge_is_the_same_owner, f"{LEASES}.LeaderLeasesTest.test_a_restarted_edge_is_another_owner"),
     (
         a_new_leader_takes_it_that_nothing_is_leased,
         f"{LEASES}.NewLeaderTest.test_until_leases_are_known_only_the_part_that_is_never_leased",
--- a/tests/fleet/test_distribution_loopback.py
+++ b/tests/fleet/test_distribution_loopback.py
@@ -132,11 +132,11 @@
         await edge.wait_for(ConfigurationChanged)
         decided: asyncio.Queue[tuple[bool, float]] = asyncio.Queue()
         for _ in range(3):
-            edge.links.quota.spend("t", 100, lambda allowed, retry_s: decided.put_nowait((allowed, retry_s)))
+            edge.links.quota.acquire("t", 100, lambda allowed, retry_s: decided.put_nowait((allowed, retry_s)))
         async with asyncio.timeout(WITHIN_S):
             self.assertEqual([await decided.get() for _ in range(3)], [(True, 0.0)] * 3)
         self.core.refuse_quota = True
-        edge.links.quota.spend("t", 100, lambda allowed, retry_s: decided.put_nowait((allowed, retry_s)))
+        edge.links.quota.acquire("t", 100, lambda allowed, retry_s: decided.put_nowait((allowed, retry_s)))
         async with asyncio.timeout(WITHIN_S):
             allowed, retry_s = await decided.get()
         self.assertFalse(allowed)
@@ -150,7 +150,7 @@
         async with asyncio.timeout(WITHIN_S):
             while edge.links.subscriber.is_attached:
                 await asyncio.sleep(0)
-            edge.links.quota.spend("t", 100, lambda allowed, retry_s: decided.put_nowait((allowed, retry_s)))
+            edge.links.quota.acquire("t", 100, lambda allowed, retry_s: decided.put_nowait((allowed, retry_s)))
             allowed, retry_s = await decided.get()
         self.assertFalse(allowed)
         self.assertGreater(retry_s, 0.2)
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from rosechute.control_plane import endpoint_list_reader, quota_allocator
+from rosechute.control_plane import endpoint_list_reader, quota_allocator, quota_policy, token_bucket
 from rosechute.distribution import catch_up, confirmation, home_subscriptions, membership, publisher, store, values
 from rosechute.distribution.store import UpdateResult
 from tests.fleet.distribution_checkers import Checkers
@@ -165,8 +165,8 @@
         original = quota_allocator.QuotaAllocator._bucket
 
         def bucket(
-            self: quota_allocator.QuotaAllocator, now: float, tenant: str, limit: quota_allocator.TenantLimit
-        ) -> quota_allocator._Bucket:
+            self: quota_allocator.QuotaAllocator, now: float, tenant: str, limit: quota_policy.TenantLimit
+        ) -> token_bucket.TokenBucket:
             known = tenant in self._buckets
             found = original(self, now, tenant, limit)
             found.level = found.level if known else found.capacity
--- a/tests/fleet/test_distribution_token_cache.py
+++ b/tests/fleet/test_distribution_token_cache.py
@@ -9,8 +9,12 @@
 import unittest
 from collections.abc import Callable
 
-from rosechute.control_plane.quota_allocator import QuotaAllocator, QuotaBounds, TenantLimit, TokenDemand
-from rosechute.routing.token_cache import Decision, TokenCache, TokenIssue, TokenRequest
+from rosechute.control_plane.quota_allocator import QuotaAllocator
+from rosechute.control_plane.quota_policy import QuotaBounds, TenantLimit
+from rosechute.control_plane.token_bucket import TokenDemand
+from rosechute.routing.token_cache import TokenCache
+from rosechute.routing.token_exchange import TokenIssue, TokenRequest
+from rosechute.routing.waiting_queue import Decision
 
 ASKS = itertools.count(1)
 
@@ -47,7 +51,7 @@
             self.told.tell(self.cache.acquire(at, "t", 10, self.told.as_(name)))
             self.cache.next_token_requests(at, next(ASKS) + 100)
         self.assertEqual(self.cache.next_token_requests(0.003, 5), [])
-        request = min(self.cache._asks)
+        request = min(self.cache._in_flight._sent_at)
         self.told.tell(self.cache.on_tokens_issued(0.004, request, [TokenIssue("t", 10, 1.0, 0.0)]))
         self.assertEqual(self.cache.next_token_requests(0.004, 6), [TokenRequest("t", 20, 10)])
 
@@ -132,8 +136,8 @@
                     self.cache.on_tokens_issued(now + 0.004, number + 1, [TokenIssue("t", ask.tokens, 1.0, 0.0)])
                 )
         self.assertEqual(len([1 for _, allowed, _ in self.told.decisions if allowed]), 200)
-        self.assertLess(self.cache._tenants["t"].total(1.0), 400)
-        self.assertGreater(self.cache._tenants["t"].ahead(1.0), 100)
+        self.assertLess(self.cache._tenants["t"].available(1.0), 400)
+        self.assertGreater(self.cache._tenants["t"].demand.prefetch_tokens(1.0), 100)
 
 
 class ExchangeTest(unittest.TestCase):
@@ -176,10 +180,10 @@
     draw = random.Random(seed)
     bounds = QuotaBounds(8.0, OVERSHOOT, SLACK)
     limits = {"t": TenantLimit(RATE, BURST)}
-    issuers = [QuotaAllocator(bounds) for _ in range(2)]
-    for issuer in issuers:
-        issuer.configure(0.0, limits)
-    issuers[0].leadership_gained(0.0, 0.0, 0.0)
+    allocators = [QuotaAllocator(bounds) for _ in range(2)]
+    for allocator in allocators:
+        allocator.configure(0.0, limits)
+    allocators[0].leadership_gained(0.0, 0.0, 0.0)
     caches = [TokenCache() for _ in range(6)]
     spent: list[tuple[float, int]] = []
     events: list[tuple[float, int, Callable[[float], None]]] = []
@@ -217,8 +221,8 @@
             at(max(due, now + 0.002), lambda later: serve(later, cache))
 
     def answer(now: float, cache: TokenCache, name: str, request: int, asks: list[TokenRequest]) -> None:
-        wanted = [TokenDemand(ask.tenant, ask.tokens, ask.least) for ask in asks]
-        issued = issuers[counts["leader"]].issue(now, name, wanted)
+        wanted = [TokenDemand(ask.tenant, ask.tokens, ask.minimum) for ask in asks]
+        issued = allocators[counts["leader"]].issue(now, name, wanted)
         issues = [
             TokenIssue(each.tenant, each.tokens, each.lifetime_ms / 1e3, each.retry_after_ms / 1e3) for each in issued
         ]
@@ -232,7 +236,7 @@
 
     def change_leader(now: float) -> None:
         counts["leader"] ^= 1
-        issuers[counts["leader"]].leadership_gained(now - 1000.0 if full_buckets else now, now, now)
+        allocators[counts["leader"]].leadership_gained(now - 1000.0 if full_buckets else now, now, now)
 
     clock = [0.0]
     for cache in caches:
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -14,17 +14,10 @@
 from returns.result import Failure, Success
 
 from rosechute.configuration.process import Bounds
-from rosechute.control_plane import operator_api, quota_allocator, rate_leases
+from rosechute.control_plane import operator_api, quota_policy, rate_leases, token_bucket
 from rosechute.control_plane.operator_api import OperatorApi
-from rosechute.control_plane.quota_allocator import (
-    TOKEN_LIFETIME_S,
-    QuotaAllocator,
-    QuotaBounds,
-    TenantLimit,
-    TokenDemand,
-)
-from rosechute.control_plane.quota_service import QuotaService
-from rosechute.control_plane.rate_leases import (
+from rosechute.control_plane.quota_allocator import QuotaAllocator
+from rosechute.control_plane.quota_policy import (
     ACTIVE_EDGE_S,
     CLOCK_DRIFT,
     FULL_RATE_EXPIRY_S,
@@ -33,12 +26,14 @@
     LEASE_DURATION_S,
     LEASE_EXPIRY_S,
     NO_LEASE_S,
-    LeaseBudget,
-    LeaseOwner,
-    RateLeases,
-    max_min_fair_level,
+    TOKEN_LIFETIME_S,
+    QuotaBounds,
+    TenantLimit,
 )
+from rosechute.control_plane.quota_service import QuotaService
+from rosechute.control_plane.rate_leases import LeaseBudget, LeaseOwner, RateLeases, max_min_fair_level
 from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES, ReplicaRuntime
+from rosechute.control_plane.token_bucket import TokenDemand
 from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination import types as core
 from rosechute.messages import distribution_pb2 as pb
@@ -64,16 +59,16 @@
     demand: float = 900.0, held: LeaseGrant | None = None, remaining_s: float = LEASE_DURATION_S, **more: Any
 ) -> Any:
     rate, depth = (held.rate, held.depth) if held is not None else (0.0, 0.0)
-    return LeaseReport("t", rate, depth, remaining_s if held else 0.0, more.pop("stored", 0.0), demand, 10.0, **more)
+    return LeaseReport("t", rate, depth, remaining_s if held else 0.0, more.pop("level", 0.0), demand, 10.0, **more)
 
 
 class Constants(unittest.TestCase):
     """Times and shares that others are reckoned from."""
 
     def test_what_the_rules_allow_is_shared_out_once(self) -> None:
-        self.assertLessEqual(quota_allocator.EMERGENCY_SHARE + quota_allocator.RETAINED_SHARE, 1.0)
-        self.assertGreater(quota_allocator.EMERGENCY_SHARE, 0.0)
-        self.assertLess(quota_allocator.LEASED_SHARE, 1.0)
+        self.assertLessEqual(quota_policy.EMERGENCY_SHARE + quota_policy.RETAINED_SHARE, 1.0)
+        self.assertGreater(quota_policy.EMERGENCY_SHARE, 0.0)
+        self.assertLess(quota_policy.LEASED_SHARE, 1.0)
 
     def test_a_new_leader_waits_for_longer_than_a_lease_runs(self) -> None:
         self.assertGreaterEqual(LEASE_EXPIRY_S, LEASE_DURATION_S * 1.005)
@@ -83,10 +78,10 @@
         self.assertGreater(NO_LEASE_S, 10 * 0.1)
 
     def test_lifetimes(self) -> None:
-        self.assertLess(quota_allocator.MIN_TOKEN_LIFETIME_S, TOKEN_LIFETIME_S)
-        self.assertGreater(quota_allocator.MIN_TOKEN_LIFETIME_S, 0.1)
-        self.assertGreater(quota_allocator.ACTIVE_REQUESTER_S, TOKEN_LIFETIME_S)
-        self.assertGreater(quota_allocator.MAX_LEASE_DEPTH_S, 1.0)
+        self.assertLess(quota_policy.MIN_TOKEN_LIFETIME_S, TOKEN_LIFETIME_S)
+        self.assertGreater(quota_policy.MIN_TOKEN_LIFETIME_S, 0.1)
+        self.assertGreater(quota_policy.ACTIVE_REQUESTER_S, TOKEN_LIFETIME_S)
+        self.assertGreater(quota_policy.MAX_LEASE_DEPTH_S, 1.0)
 
     def test_an_answer_comes_before_the_operator_moves_on(self) -> None:
         self.assertLess(operator_api.ANSWER_WITHIN_S, 1.0)
@@ -99,18 +94,18 @@
     """The bucket: it begins empty, never holds more than its capacity, and counts what is outstanding."""
 
     def setUp(self) -> None:
-        self.issuer = QuotaAllocator(QuotaBounds(8.0, 0.1, 0.0))
+        self.allocator = QuotaAllocator(QuotaBounds(8.0, 0.1, 0.0))
         self.lead(0.0)
         self.configure(0.0, TenantLimit(1000.0, 1000.0))
 
-    def lead(self, now: float, late_from: float = 0.0, known_from: float = 0.0) -> None:
-        self.issuer.leadership_gained(now, late_from, known_from)
+    def lead(self, now: float, late_rate_from: float = 0.0, leases_known_at: float = 0.0) -> None:
+        self.allocator.leadership_gained(now, late_rate_from, leases_known_at)
 
     def configure(self, now: float, limit: TenantLimit | None) -> None:
-        self.issuer.configure(now, {"t": limit})
+        self.allocator.configure(now, {"t": limit})
 
     def issue(self, now: float, tokens: int = 10, least: int = 0, edge: str = "e") -> Any:
-        return self.issuer.issue(now, edge, [TokenDemand("t", tokens, least or tokens)])[0]
+        return self.allocator.issue(now, edge, [TokenDemand("t", tokens, least or tokens)])[0]
 
     def all_of(self, now: float, size: int = 10) -> int:
         """All that the bucket gives at a moment."""
@@ -120,7 +115,7 @@
         return total
 
     def bucket(self, now: float) -> Any:
-        return self.issuer._bucket(now, "t", TenantLimit(1000.0, 1000.0))
+        return self.allocator._bucket(now, "t", TenantLimit(1000.0, 1000.0))
 
     def test_begins_empty_and_fills_by_its_rate(self) -> None:
         self.assertEqual(self.issue(0.0).tokens, 0)
@@ -140,7 +135,7 @@
     def test_a_lowered_limit_binds_the_level_at_once(self) -> None:
         self.bucket(100.0)
         self.configure(100.0, TenantLimit(100.0, 100.0))
-        bucket = self.issuer._bucket(100.0, "t", TenantLimit(100.0, 100.0))
+        bucket = self.allocator._bucket(100.0, "t", TenantLimit(100.0, 100.0))
         self.assertLess(bucket.level, 200.0)
 
     def test_a_limit_that_goes_and_comes_back_is_kept(self) -> None:
@@ -152,22 +147,22 @@
     def test_what_was_filled_before_a_change_is_kept(self) -> None:
         self.bucket(0.0)
         self.configure(0.5, TenantLimit(10.0, 1000.0))
-        self.assertAlmostEqual(self.issuer._bucket(0.5, "t", TenantLimit(10.0, 1000.0)).level, 500.0, delta=1.0)
+        self.assertAlmostEqual(self.allocator._bucket(0.5, "t", TenantLimit(10.0, 1000.0)).level, 500.0, delta=1.0)
 
     def test_other_bounds_are_in_force_at_once(self) -> None:
-        before = self.bucket(0.0).reserve
-        self.issuer.change_bounds(0.0, QuotaBounds(8.0, 0.3, 0.0))
-        self.assertGreater(self.bucket(0.0).reserve, 2 * before)
+        before = self.bucket(0.0).size.lease_depth
+        self.allocator.change_bounds(0.0, QuotaBounds(8.0, 0.3, 0.0))
+        self.assertGreater(self.bucket(0.0).size.lease_depth, 2 * before)
 
     def test_outstanding_tokens_are_bounded_and_come_free_with_their_life(self) -> None:
         bucket = self.bucket(100.0)
         issued = self.all_of(100.0)
-        self.assertLessEqual(issued, bucket.most_outstanding)
+        self.assertLessEqual(issued, bucket.size.max_outstanding)
         self.assertEqual(bucket.outstanding, issued)
-        self.assertGreater(issued, 0.8 * min(bucket.most_outstanding, bucket.capacity))
-        self.bucket(100.0 + bucket.lifetime_s - 0.001)
+        self.assertGreater(issued, 0.8 * min(bucket.size.max_outstanding, bucket.capacity))
+        self.bucket(100.0 + bucket.size.token_lifetime_s - 0.001)
         self.assertEqual(bucket.outstanding, issued)
-        self.bucket(100.0 + bucket.lifetime_s)
+        self.bucket(100.0 + bucket.size.token_lifetime_s)
         self.assertEqual(bucket.outstanding, 0)
 
     def test_what_is_issued_is_taken_from_the_bucket(self) -> None:
@@ -183,8 +178,8 @@
 
     def test_a_kept_demand_ends(self) -> None:
         self.issue(0.1, 400, edge="large")
-        self.assertEqual(len(self.bucket(0.59).demands), 1)
-        self.assertEqual(self.bucket(0.61).demands, {})
+        self.assertEqual(len(self.bucket(0.59).reservations), 1)
+        self.assertEqual(self.bucket(0.61).reservations, {})
 
     def test_a_demand_beyond_the_capacity_is_not_kept(self) -> None:
         self.issue(0.1, 10**6, edge="large")
@@ -194,7 +189,7 @@
         for each in "abcd":
             self.issue(0.5, 1, edge=each)
         bucket = self.bucket(0.6)
-        room = min(bucket.level, bucket.most_outstanding - bucket.outstanding)
+        room = min(bucket.level, bucket.size.max_outstanding - bucket.outstanding)
         shared = self.issue(0.6, 10_000, 1, edge="e").tokens
         self.assertAlmostEqual(shared, 0.5 * room / 5, delta=2.0)
         alone = self.issue(2.0, 10_000, 1, edge="e").tokens
@@ -216,16 +211,16 @@
         self.assertEqual((self.issue(0.5).tokens, self.issue(0.5).retry_after_ms), (0, 5000))
 
     def test_slack_counts_in_the_unit_of_its_tenants_only(self) -> None:
-        self.issuer.change_bounds(0.0, QuotaBounds(8.0, 0.1, 5000.0))
-        counted = self.bucket(0.0).reserve
-        self.configure(0.0, TenantLimit(1000.0, 1000.0, slack_counts=False))
-        self.assertLess(self.bucket(0.0).reserve, counted - 1000.0)
+        self.allocator.change_bounds(0.0, QuotaBounds(8.0, 0.1, 5000.0))
+        counted = self.bucket(0.0).size.lease_depth
+        self.configure(0.0, TenantLimit(1000.0, 1000.0, has_slack=False))
+        self.assertLess(self.bucket(0.0).size.lease_depth, counted - 1000.0)
 
     def test_a_demand_that_is_repeated_is_kept_no_longer(self) -> None:
         self.issue(0.1, 450, edge="large")
         self.assertEqual(self.issue(0.4, 450, edge="large").tokens, 0)
-        self.assertEqual(len(self.bucket(0.59).demands), 1)
-        self.assertEqual(self.bucket(0.61).demands, {})
+        self.assertEqual(len(self.bucket(0.59).reservations), 1)
+        self.assertEqual(self.bucket(0.61).reservations, {})
 
     def test_a_demand_that_was_met_in_part_stays_kept(self) -> None:
         self.assertEqual(self.issue(0.1, 300, edge="large").tokens, 0)
@@ -235,70 +230,72 @@
     def test_at_least_one_token_or_none(self) -> None:
         """Where an edge could use any number, and its even part is less than one."""
         bucket = self.bucket(0.003)
-        bucket.asked = dict.fromkeys("abcd", 1.0)
+        bucket.active_until = dict.fromkeys("abcd", 1.0)
         self.assertAlmostEqual(bucket.level, 3.0)
-        self.assertEqual(self.issuer.issue(0.003, "e", [TokenDemand("t", 10, 0)])[0].tokens, 1)
+        self.assertEqual(self.allocator.issue(0.003, "e", [TokenDemand("t", 10, 0)])[0].tokens, 1)
 
     def test_when_to_ask_again_for_a_single_token(self) -> None:
         self.configure(0.0, TenantLimit(2.0, 10.0))
-        issued = self.issuer.issue(0.0, "e", [TokenDemand("t", 10, 0)])[0]
+        issued = self.allocator.issue(0.0, "e", [TokenDemand("t", 10, 0)])[0]
         self.assertEqual((issued.tokens, 400 <= issued.retry_after_ms <= 500), (0, True))
 
     def limited(self, overshoot: float, rate: float, burst: float) -> Any:
         """A bucket of some bounds and limit."""
-        self.issuer.change_bounds(0.0, QuotaBounds(8.0, overshoot, 0.0))
+        self.allocator.change_bounds(0.0, QuotaBounds(8.0, overshoot, 0.0))
         limit = TenantLimit(rate, burst)
         self.configure(0.0, limit)
-        return self.issuer._bucket(0.0, "t", limit)
+        return self.allocator._bucket(0.0, "t", limit)
 
     def test_the_outstanding_tokens_take_their_share_of_what_is_kept(self) -> None:
         bucket = self.limited(1.0, 100.0, 100.0)
-        self.assertAlmostEqual(bucket.most_outstanding, 0.35 * 0.9 * 900.0)
+        self.assertAlmostEqual(bucket.size.max_outstanding, 0.35 * 0.9 * 900.0)
 
     def test_the_reserve_leaves_room_for_tokens_of_the_leader_before(self) -> None:
         bucket = self.limited(0.5, 1000.0, 100.0)
         beside = TOKEN_LIFETIME_S * 1000.0 - 100.0
         total = 100.0 + 0.9 * 0.5 * 8100.0
-        self.assertAlmostEqual(bucket.reserve, total - bucket.most_outstanding - bucket.least_capacity - beside)
+        self.assertAlmostEqual(
+            bucket.size.lease_depth, total - bucket.size.max_outstanding - bucket.size.min_capacity - beside
+        )
 
     def test_no_reserve_where_there_is_no_room(self) -> None:
         bucket = self.limited(0.1, 1000.0, 100.0)
-        self.assertEqual(bucket.reserve, 0.0)
-        self.assertEqual(bucket.leases._totals.depth, 0.0)
+        self.assertEqual(bucket.size.lease_depth, 0.0)
+        self.assertEqual(bucket.leases._budget.depth, 0.0)
 
     def test_lifetimes_follow_from_the_bound_on_outstanding_tokens(self) -> None:
         bucket = self.limited(0.1, 1000.0, 100.0)
-        self.assertAlmostEqual(bucket.lifetime_s, bucket.most_outstanding / 1250.0)
-        self.assertTrue(quota_allocator.MIN_TOKEN_LIFETIME_S < bucket.lifetime_s < TOKEN_LIFETIME_S)
-        self.assertEqual(self.limited(0.01, 1000.0, 10.0).lifetime_s, quota_allocator.MIN_TOKEN_LIFETIME_S)
+        self.assertAlmostEqual(bucket.size.token_lifetime_s, bucket.size.max_outstanding / 1250.0)
+        self.assertTrue(quota_policy.MIN_TOKEN_LIFETIME_S < bucket.size.token_lifetime_s < TOKEN_LIFETIME_S)
+        self.assertEqual(self.limited(0.01, 1000.0, 10.0).size.token_lifetime_s, quota_policy.MIN_TOKEN_LIFETIME_S)
 
     # Leases beside the bucket
 
     def test_a_limit_lowered_below_what_is_leased(self) -> None:
         """Until the leases have run out the bucket stands still: it neither leaks nor shrinks below its least."""
-        (grant,) = self.issuer.renew(0.0, A, 1, [report(2000.0)])
+        (grant,) = self.allocator.renew(0.0, A, 1, [report(2000.0)])
         low = TenantLimit(100.0, 100.0)
         self.configure(0.0, low)
-        bucket = self.issuer._bucket(0.0, "t", low)
+        bucket = self.allocator._bucket(0.0, "t", low)
         self.assertGreater(grant.rate, 100.0)
-        self.assertGreater(bucket.leases.depth, bucket.reserve)
-        self.assertEqual((bucket.fill_rate(), bucket.capacity), (0.0, bucket.least_capacity))
+        self.assertGreater(bucket.leases.depth, bucket.size.lease_depth)
+        self.assertEqual((bucket.fill_rate(), bucket.capacity), (0.0, bucket.size.min_capacity))
         bucket.level = 40.0
         bucket.advance(1.0)
         self.assertEqual(bucket.level, 40.0)
 
     def test_deposits_are_shared_among_the_edges_that_report(self) -> None:
-        for holder in (A, B):
-            self.issuer.renew(10.0, holder, 1, [report(2000.0, stored=1e6)])
+        for owner in (A, B):
+            self.allocator.renew(10.0, owner, 1, [report(2000.0, level=1e6)])
         bucket = self.bucket(10.0)
         spare = min(
-            bucket.level - quota_allocator.DEPOSIT_RESERVE_SHARE * bucket.capacity, bucket.most_outstanding / 2.0
+            bucket.level - quota_policy.DEPOSIT_RESERVE_SHARE * bucket.capacity, bucket.size.max_outstanding / 2.0
         )
         self.assertGreater(spare, 100.0)
-        self.assertEqual(quota_allocator._deposit(bucket, 10.0, 1e6), int(spare / 2))
+        self.assertEqual(bucket.depositable(10.0, 1e6), int(spare / 2))
 
     def test_the_bucket_fills_with_what_is_not_leased(self) -> None:
-        (grant,) = self.issuer.renew(0.0, A, 1, [report(2000.0)])
+        (grant,) = self.allocator.renew(0.0, A, 1, [report(2000.0)])
         self.assertGreater(grant.rate, 500.0)
         level = self.bucket(0.0).level
         self.assertAlmostEqual(self.bucket(0.1).level - level, 0.1 * (1000.0 - grant.rate), delta=1.0)
@@ -306,11 +303,11 @@
 
     def test_the_bucket_and_the_stores_together_hold_no_more_than_the_reserve_allows(self) -> None:
         bare = self.bucket(0.0).capacity
-        (grant,) = self.issuer.renew(0.0, A, 1, [report(2000.0)])
+        (grant,) = self.allocator.renew(0.0, A, 1, [report(2000.0)])
         self.assertAlmostEqual(self.bucket(0.0).capacity, max(1000.0, bare - grant.depth), delta=1.0)
 
     def test_leases_that_ran_out_give_their_rate_back(self) -> None:
-        (grant,) = self.issuer.renew(0.0, A, 1, [report(2000.0)])
+        (grant,) = self.allocator.renew(0.0, A, 1, [report(2000.0)])
         self.assertGreater(grant.rate, 0.0)
         self.bucket(LEASE_EXPIRY_S + 0.01)
         self.assertEqual(self.bucket(LEASE_EXPIRY_S + 0.02).fill_rate(), 1000.0)
@@ -318,31 +315,31 @@
     def test_a_deposit_is_taken_from_the_bucket(self) -> None:
         bucket = self.bucket(10.0)
         before = bucket.level
-        (grant,) = self.issuer.renew(10.0, A, 1, [report(2000.0)])
+        (grant,) = self.allocator.renew(10.0, A, 1, [report(2000.0)])
         self.assertGreater(grant.deposit, 0)
         self.assertEqual(bucket.outstanding, grant.deposit)
         self.assertLessEqual(bucket.level, before - grant.deposit)
-        self.assertEqual(grant.deposit_s, bucket.lifetime_s)
+        self.assertEqual(grant.deposit_lifetime_s, bucket.size.token_lifetime_s)
 
     def test_no_deposit_while_a_demand_waits_or_into_a_full_store(self) -> None:
-        (full,) = self.issuer.renew(10.0, A, 1, [report(2000.0, stored=1e6)])
+        (full,) = self.allocator.renew(10.0, A, 1, [report(2000.0, level=1e6)])
         self.assertEqual(full.deposit, 0)
         self.setUp()
         bucket = self.bucket(10.0)
-        bucket.demands["x"] = quota_allocator._Demand(5, 11.0)
-        (grant,) = self.issuer.renew(10.0, A, 1, [report(2000.0)])
+        bucket.reservations["x"] = token_bucket.Reservation(5, 11.0)
+        (grant,) = self.allocator.renew(10.0, A, 1, [report(2000.0)])
         self.assertEqual(grant.deposit, 0)
 
     def test_reports_that_were_overtaken_tell_nothing(self) -> None:
-        self.assertEqual(len(self.issuer.renew(0.0, A, 5, [report()])), 1)
-        self.assertEqual(self.issuer.renew(0.1, A, 5, [report()]), [])
-        self.assertEqual(len(self.issuer.renew(0.1, B, 2, [report()])), 1, "of each holder by itself")
+        self.assertEqual(len(self.allocator.renew(0.0, A, 5, [report()])), 1)
+        self.assertEqual(self.allocator.renew(0.1, A, 5, [report()]), [])
+        self.assertEqual(len(self.allocator.renew(0.1, B, 2, [report()])), 1, "of each owner by itself")
         self.lead(0.2)
-        self.assertEqual(len(self.issuer.renew(0.2, A, 1, [report()])), 1, "of each term by itself")
+        self.assertEqual(len(self.allocator.renew(0.2, A, 1, [report()])), 1, "of each term by itself")
 
     def test_tenants_without_a_limit_get_no_lease(self) -> None:
         self.configure(0.0, None)
-        self.assertEqual(self.issuer.renew(0.0, A, 1, [report()]), [])
+        self.assertEqual(self.allocator.renew(0.0, A, 1, [report()]), [])
 
     # A new leader, while leases of the one before run
 
@@ -352,45 +349,45 @@
         bucket = self.bucket(0.0)
         self.assertAlmostEqual(bucket.fill_rate(), cautious, delta=0.5)
         self.assertAlmostEqual(self.bucket(1.0).level, cautious, delta=0.5)
-        self.assertEqual(bucket.capacity, bucket.least_capacity)
+        self.assertEqual(bucket.capacity, bucket.size.min_capacity)
         self.bucket(3.0)
         self.assertAlmostEqual(bucket.fill_rate(), cautious + 325.0, delta=0.5)
         self.bucket(5.0)
         self.assertAlmostEqual(bucket.fill_rate(), 1000.0, delta=0.5)
-        self.assertGreater(bucket.capacity, bucket.least_capacity)
+        self.assertGreater(bucket.capacity, bucket.size.min_capacity)
 
     def test_leases_that_were_reported_are_left_out_of_the_rate(self) -> None:
-        """What one holder reports is known: the rate that may be leased besides is less by as much."""
+        """What one owner reports is known: the rate that may be leased besides is less by as much."""
         self.lead(0.0, 3.0, 5.0)
         self.bucket(0.0)
         before = self.bucket(0.0).fill_rate()
         held = LeaseGrant("t", 300.0, 100.0, 3.0, 0.5, 5.0)
-        self.issuer.renew(0.0, A, 1, [report(0.0, held)])
+        self.allocator.renew(0.0, A, 1, [report(0.0, held)])
         self.assertAlmostEqual(self.bucket(0.0).fill_rate(), before)
 
     def test_a_new_leader_under_a_limit_below_what_is_leased(self) -> None:
         """The emergency rate is left whatever runs besides."""
         self.lead(0.0, 3.0, 5.0)
         self.bucket(0.0)
-        self.issuer.renew(0.0, A, 1, [report(0.0, LeaseGrant("t", 600.0, 100.0, 3.0, 0.5, 5.0))])
+        self.allocator.renew(0.0, A, 1, [report(0.0, LeaseGrant("t", 600.0, 100.0, 3.0, 0.5, 5.0))])
         low = TenantLimit(100.0, 100.0)
         self.configure(0.0, low)
-        bucket = self.issuer._bucket(0.0, "t", low)
+        bucket = self.allocator._bucket(0.0, "t", low)
         self.assertEqual(bucket.leases.rate, 600.0)
-        self.assertGreater(bucket.emergency_rate, 0.0)
-        self.assertEqual(bucket.fill_rate(), bucket.emergency_rate)
+        self.assertGreater(bucket.size.emergency_rate, 0.0)
+        self.assertEqual(bucket.fill_rate(), bucket.size.emergency_rate)
 
     def test_no_deposit_until_the_leases_are_known(self) -> None:
         self.lead(0.0, 3.0, 5.0)
         held = LeaseGrant("t", 100.0, 500.0, 3.0, 0.5, 5.0)
         self.bucket(2.0)
-        (grant,) = self.issuer.renew(2.0, A, 1, [report(900.0, held)])
+        (grant,) = self.allocator.renew(2.0, A, 1, [report(900.0, held)])
         self.assertEqual(grant.deposit, 0)
 
     def test_the_word_that_nothing_is_leased_opens_the_bucket(self) -> None:
-        for bare_s, rate in ((0.05, 350.0), (2.0, 1000.0)):
+        for no_lease_s, rate in ((0.05, 350.0), (2.0, 1000.0)):
             self.lead(0.0, 3.0, 5.0)
-            self.issuer.renew(0.0, A, 1, [report(0.0, bare_s=bare_s)])
+            self.allocator.renew(0.0, A, 1, [report(0.0, no_lease_s=no_lease_s)])
             self.assertAlmostEqual(self.bucket(0.1).fill_rate(), rate, delta=10.0)
 
 
@@ -398,17 +395,18 @@
     """Leases are reckoned from above until they have run out or a newer report tells less."""
 
     def setUp(self) -> None:
-        self.leases = RateLeases(TOTALS, known_from=0.0)
+        self.leases = RateLeases(TOTALS, leases_known_at=0.0)
 
     def test_a_grant(self) -> None:
-        grant = self.leases.report(0.0, A, report(300.0))
+        grant = self.leases.renew(0.0, A, report(300.0))
         self.assertEqual((grant.tenant, grant.rate, grant.depth), ("t", 450.0, 3000.0))
         self.assertEqual(
-            (grant.full_s, grant.late_share, grant.lifetime_s), (FULL_RATE_S, LATE_RATE_SHARE, LEASE_DURATION_S)
+            (grant.full_rate_s, grant.late_rate_share, grant.lifetime_s),
+            (FULL_RATE_S, LATE_RATE_SHARE, LEASE_DURATION_S),
         )
 
     def test_reckoned_until_it_has_run_out_by_the_leaders_clock(self) -> None:
-        self.leases.report(0.0, A, report(600.0))
+        self.leases.renew(0.0, A, report(600.0))
         expected = (
             (FULL_RATE_EXPIRY_S - 0.01, 900.0),
             (FULL_RATE_EXPIRY_S, 450.0),
@@ -421,134 +419,134 @@
         self.assertEqual(self.leases.depth, 0.0)
 
     def test_a_newer_report_tells_what_is_held(self) -> None:
-        grant = self.leases.report(0.0, A, report(600.0))
+        grant = self.leases.renew(0.0, A, report(600.0))
         half = LeaseGrant("t", grant.rate / 2, grant.depth / 2, 3.0, 0.5, 5.0)
-        self.leases.report(0.5, A, report(100.0, half))
+        self.leases.renew(0.5, A, report(100.0, half))
         self.assertLessEqual(self.leases.rate, grant.rate / 2)
         self.assertGreaterEqual(self.leases.rate, half.rate)
         self.assertEqual(self.leases.depth, 3000.0, "what is granted now may be taken")
 
     def test_a_report_of_more_than_was_granted_counts_no_more(self) -> None:
-        self.leases.report(0.0, A, report(100.0))
-        self.leases.report(0.1, B, report(100.0))
-        self.leases.report(0.2, A, report(100.0, LeaseGrant("t", 1e6, 1e6, 3.0, 0.5, 5.0)))
+        self.leases.renew(0.0, A, report(100.0))
+        self.leases.renew(0.1, B, report(100.0))
+        self.leases.renew(0.2, A, report(100.0, LeaseGrant("t", 1e6, 1e6, 3.0, 0.5, 5.0)))
         self.assertLessEqual(self.leases.rate, TOTALS.rate)
         self.assertLessEqual(self.leases.depth, TOTALS.depth)
 
     def test_the_remaining_time_counts_with_the_drift_of_clocks(self) -> None:
-        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
         held = LeaseGrant("t", 100.0, 500.0, 3.0, 0.5, 5.0)
-        new.report(0.0, A, report(0.0, held, 4.0))
-        new._holders[A].until = 4.0 * (1 + CLOCK_DRIFT)
+        new.renew(0.0, A, report(0.0, held, 4.0))
+        new._bounds[A].expires_at = 4.0 * (1 + CLOCK_DRIFT)
         new.expire(4.0)
         self.assertGreater(new.rate, 0.0)
 
     def test_adopted_until(self) -> None:
-        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
-        new._take(1.0, A, report(0.0, LeaseGrant("t", 100.0, 500.0, 3.0, 0.5, 5.0), 2.0))
-        held = new._holders[A]
-        self.assertEqual((held.rate, held.granted, held.depth), (100.0, 100.0, 500.0))
-        self.assertAlmostEqual(held.until, 1.0 + 2.0 * (1 + CLOCK_DRIFT))
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
+        new._apply(1.0, A, report(0.0, LeaseGrant("t", 100.0, 500.0, 3.0, 0.5, 5.0), 2.0))
+        held = new._bounds[A]
+        self.assertEqual((held.rate, held.full_rate, held.depth), (100.0, 100.0, 500.0))
+        self.assertAlmostEqual(held.expires_at, 1.0 + 2.0 * (1 + CLOCK_DRIFT))
 
     def test_what_was_leased_before_and_is_not_reported_stays_unknown(self) -> None:
-        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
-        self.assertEqual((new.unknown(False), new.unknown(True)), (900.0, 450.0))
-        new.report(0.0, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
-        self.assertEqual(new.unknown(False), 600.0)
-        new.report(0.1, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
-        self.assertEqual(new.unknown(False), 600.0, "counted once")
-        new.report(0.2, B, report(0.0, LeaseGrant("t", 1e6, 500.0, 3.0, 0.5, 5.0)))
-        self.assertEqual(new.unknown(False), 0.0)
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
+        self.assertEqual((new.unreported_rate(late=False), new.unreported_rate(late=True)), (900.0, 450.0))
+        new.renew(0.0, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
+        self.assertEqual(new.unreported_rate(late=False), 600.0)
+        new.renew(0.1, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
+        self.assertEqual(new.unreported_rate(late=False), 600.0, "counted once")
+        new.renew(0.2, B, report(0.0, LeaseGrant("t", 1e6, 500.0, 3.0, 0.5, 5.0)))
+        self.assertEqual(new.unreported_rate(late=False), 0.0)
 
     def test_a_new_leader_leases_only_what_was_reported(self) -> None:
-        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
-        self.assertEqual(new.report(0.0, A, report(900.0)).rate, 0.0)
-        new.report(0.1, B, report(900.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
+        self.assertEqual(new.renew(0.0, A, report(900.0)).rate, 0.0)
+        new.renew(0.1, B, report(900.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
         self.assertLessEqual(new.rate, 300.0)
         self.assertLessEqual(new.depth, 500.0)
-        self.assertGreater(new.report(LEASE_EXPIRY_S, A, report(900.0)).rate, 300.0)
+        self.assertGreater(new.renew(LEASE_EXPIRY_S, A, report(900.0)).rate, 300.0)
 
     def test_what_has_run_out_is_nothing(self) -> None:
-        held = rate_leases._Reckoned(rate=5.0, granted=5.0, depth=7.0, until=1.0)
+        held = rate_leases.LeaseBound(rate=5.0, full_rate=5.0, depth=7.0, expires_at=1.0)
         held.expire(1.0)
         self.assertEqual((held.rate, held.depth), (0.0, 0.0))
 
     def test_a_report_late_in_its_time_tells_the_late_rate(self) -> None:
-        grant = self.leases.report(0.0, A, report(600.0))
-        self.leases._take(FULL_RATE_EXPIRY_S + 0.1, A, report(0.0, grant, LEASE_EXPIRY_S - FULL_RATE_EXPIRY_S - 0.2))
+        grant = self.leases.renew(0.0, A, report(600.0))
+        self.leases._apply(FULL_RATE_EXPIRY_S + 0.1, A, report(0.0, grant, LEASE_EXPIRY_S - FULL_RATE_EXPIRY_S - 0.2))
         self.assertEqual(self.leases.rate, LATE_RATE_SHARE * grant.rate)
-        self.leases._take(FULL_RATE_EXPIRY_S + 0.2, A, report(0.0, grant, 0.0))
+        self.leases._apply(FULL_RATE_EXPIRY_S + 0.2, A, report(0.0, grant, 0.0))
         self.assertEqual(self.leases.rate, 0.0, "it says that it holds nothing more")
 
     def test_claims_of_a_holder_that_nobody_knows(self) -> None:
-        self.leases.report(0.0, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
-        self.assertEqual(self.leases.unknown(False), 900.0, "leases of earlier leaders have run out")
+        self.leases.renew(0.0, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
+        self.assertEqual(self.leases.unreported_rate(late=False), 900.0, "leases of earlier leaders have run out")
 
     def test_no_rate_without_a_store(self) -> None:
-        self.leases.report(0.0, A, report(100.0))
-        grant = self.leases.report(0.1, B, report(100.0))
+        self.leases.renew(0.0, A, report(100.0))
+        grant = self.leases.renew(0.1, B, report(100.0))
         self.assertEqual((grant.rate, grant.depth), (0.0, 0.0))
 
     def test_edges_that_are_silent_do_not_count_for_the_shares(self) -> None:
-        self.leases._take(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 2000.0, 1400.0))
-        self.leases._take(ACTIVE_EDGE_S, B, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 200.0))
-        self.assertTrue(self.leases._useful(ACTIVE_EDGE_S))
+        self.leases._apply(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 2000.0, 1400.0))
+        self.leases._apply(ACTIVE_EDGE_S, B, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 200.0))
+        self.assertTrue(self.leases._is_useful(ACTIVE_EDGE_S))
         self.assertEqual(self.leases._fair_rate(ACTIVE_EDGE_S, B, 900.0), 150.0)
 
     def test_no_word_that_nothing_is_leased_while_something_is(self) -> None:
-        grant = self.leases.report(0.0, A, report(600.0))
+        grant = self.leases.renew(0.0, A, report(600.0))
         late = LeaseReport("t", grant.rate, grant.depth, 2.4, 0.0, 0.0, 1500.0)
-        self.assertEqual(self.leases.report(2.5, A, late).bare_s, 0.0)
+        self.assertEqual(self.leases.renew(2.5, A, late).no_lease_s, 0.0)
 
     def test_idle_edges_are_forgotten(self) -> None:
-        self.leases.report(0.0, A, report(0.0))
-        self.assertEqual(self.leases.active(ACTIVE_EDGE_S - 0.01), 1)
-        self.assertEqual(self.leases.active(ACTIVE_EDGE_S), 0)
+        self.leases.renew(0.0, A, report(0.0))
+        self.assertEqual(self.leases.active_edges(ACTIVE_EDGE_S - 0.01), 1)
+        self.assertEqual(self.leases.active_edges(ACTIVE_EDGE_S), 0)
         self.leases.expire(LEASE_EXPIRY_S + 0.1)
-        self.assertEqual(self.leases._holders, {})
+        self.assertEqual(self.leases._bounds, {})
 
     def test_holders_are_kept_while_their_lease_runs(self) -> None:
-        self.leases.report(0.0, A, report(600.0))
+        self.leases.renew(0.0, A, report(600.0))
         self.leases.expire(LEASE_EXPIRY_S - 0.1)
-        self.assertIn(A, self.leases._holders)
+        self.assertIn(A, self.leases._bounds)
 
     def test_a_lowered_total_binds_new_grants(self) -> None:
-        self.leases.report(0.0, A, report(600.0))
+        self.leases.renew(0.0, A, report(600.0))
         self.leases.resize(LeaseBudget(90.0, 300.0))
-        grant = self.leases.report(0.1, A, report(600.0, LeaseGrant("t", 900.0, 3000.0, 3.0, 0.5, 5.0)))
+        grant = self.leases.renew(0.1, A, report(600.0, LeaseGrant("t", 900.0, 3000.0, 3.0, 0.5, 5.0)))
         self.assertLessEqual((grant.rate, grant.depth), (90.0, 300.0))
 
     def test_nothing_is_leased_where_stores_are_too_small(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
-        grant = self.leases.report(0.0, A, large)
-        self.assertEqual((grant.rate, grant.depth, grant.bare_s), (0.0, 0.0, NO_LEASE_S))
+        grant = self.leases.renew(0.0, A, large)
+        self.assertEqual((grant.rate, grant.depth, grant.no_lease_s), (0.0, 0.0, NO_LEASE_S))
 
     def test_no_word_that_nothing_is_leased_while_it_was_of_use_lately(self) -> None:
-        self.leases.report(0.0, A, report(0.0))
-        self.leases._holders[A].rate = 0.0
-        grant = self.leases.report(0.1, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 0.0, 1500.0))
-        self.assertEqual(grant.bare_s, 0.0)
+        self.leases.renew(0.0, A, report(0.0))
+        self.leases._bounds[A].rate = 0.0
+        grant = self.leases.renew(0.1, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 0.0, 1500.0))
+        self.assertEqual(grant.no_lease_s, 0.0)
 
     def test_a_word_is_kept_until_its_end(self) -> None:
-        self.leases.report(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0))
+        self.leases.renew(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0))
         for now in (0.5, NO_LEASE_S - 0.01):
-            self.assertEqual(self.leases.report(now, A, report(900.0)).rate, 0.0)
-        self.assertGreater(self.leases.report(NO_LEASE_S, A, report(900.0)).rate, 0.0)
+            self.assertEqual(self.leases.renew(now, A, report(900.0)).rate, 0.0)
+        self.assertGreater(self.leases.renew(NO_LEASE_S, A, report(900.0)).rate, 0.0)
 
     def test_a_new_leader_gives_no_word_before_it_knows(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
-        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
-        self.assertEqual(new.report(0.0, A, large).bare_s, 0.0)
-        new.none_run()
-        self.assertEqual(new.report(0.1, A, large).bare_s, NO_LEASE_S)
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
+        self.assertEqual(new.renew(0.0, A, large).no_lease_s, 0.0)
+        new.on_none_running()
+        self.assertEqual(new.renew(0.1, A, large).no_lease_s, NO_LEASE_S)
 
     def test_fair_shares(self) -> None:
         self.assertEqual(max_min_fair_level([], 9.0), 0.0)
         self.assertEqual(max_min_fair_level([10.0, 50.0, 100.0], 90.0), 40.0)
         self.assertEqual(max_min_fair_level([10.0, 20.0], 90.0), 20.0)
         for each in (A, B):
-            self.leases.report(0.0, each, report(2000.0))
-        first = self.leases.report(0.1, A, report(2000.0, LeaseGrant("t", 0.0, 0.0, 3.0, 0.5, 5.0)))
+            self.leases.renew(0.0, each, report(2000.0))
+        first = self.leases.renew(0.1, A, report(2000.0, LeaseGrant("t", 0.0, 0.0, 3.0, 0.5, 5.0)))
         self.assertAlmostEqual(first.rate, 450.0, delta=450.0)
         self.assertLessEqual(self.leases.rate, 900.0)
 
@@ -568,26 +566,26 @@
         tokens = {"name": "t", "api_keys": ["t"], "rate_per_s": 10, "burst": 10, "unit": "token_stream"}
         free = {"name": "f", "api_keys": ["f"]}
         self.commit(requests, tokens, free)
-        limits = self.service._issuer._limits
+        limits = self.service._allocator._limits
         self.assertEqual(limits["r"], TenantLimit(10.0, 10.0, False))
         self.assertEqual((limits["t"], limits["f"]), (TenantLimit(10.0, 10.0, True), None))
         self.commit(requests, free)
-        self.assertEqual(self.service._issuer._limits, {"r": TenantLimit(10.0, 10.0, True), "f": None})
+        self.assertEqual(self.service._allocator._limits, {"r": TenantLimit(10.0, 10.0, True), "f": None})
 
     def test_a_configuration_that_cannot_be_read_changes_nothing(self) -> None:
         self.commit({"name": "f", "api_keys": ["f"]})
         self.service.configuration_committed(0.0, b"{")
-        self.assertEqual(self.service._issuer._limits, {"f": None})
+        self.assertEqual(self.service._allocator._limits, {"f": None})
 
     def test_bounds_of_the_settings(self) -> None:
         self.service.change_bounds(0.0, Bounds(quota_window_s=4.0, quota_overshoot=0.2, quota_slack=3.0))
-        self.assertEqual(self.service._issuer._bounds, QuotaBounds(4.0, 0.2, 3.0))
+        self.assertEqual(self.service._allocator._bounds, QuotaBounds(4.0, 0.2, 3.0))
 
     def test_a_new_term_waits_for_the_leases_of_the_one_before(self) -> None:
         self.service.leadership_gained(10.0, 4)
-        issuer = self.service._issuer
-        self.assertEqual(issuer._late_from, 10.0 + FULL_RATE_EXPIRY_S)
-        self.assertEqual(issuer._known_from, 10.0 + LEASE_EXPIRY_S)
+        allocator = self.service._allocator
+        self.assertEqual(allocator._late_rate_from, 10.0 + FULL_RATE_EXPIRY_S)
+        self.assertEqual(allocator._leases_known_at, 10.0 + LEASE_EXPIRY_S)
 
     def test_an_answer_names_its_request_and_term(self) -> None:
         self.commit({"name": "f", "api_keys": ["f"]})
--- a/tests/fleet/test_planted_token_cache.py
+++ b/tests/fleet/test_planted_token_cache.py
@@ -6,10 +6,11 @@
 import unittest
 from typing import Any
 
-from rosechute.routing import token_cache
+from rosechute.routing import token_cache_policy
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
 from rosechute.routing.rate_lease import RateLease
-from rosechute.routing.token_cache import (
+from rosechute.routing.token_cache import TokenCache
+from rosechute.routing.token_cache_policy import (
     MAX_SLOW_LINK_WAIT_S,
     MAX_WAIT_S,
     NO_LEADER_WAIT_S,
@@ -18,13 +19,13 @@
     REPORT_TIMEOUT_S,
     RESPONSE_TIMEOUT_S,
     SILENT_LEADER_WAIT_S,
-    TokenCache,
-    TokenIssue,
 )
+from rosechute.routing.token_exchange import TokenIssue, TokenRequest
+from rosechute.routing.waiting_queue import Decision
 
 
 def grant(rate: float = 100.0, depth: float = 1000.0, **more: Any) -> LeaseGrant:
-    known = {"full_s": 3.0, "late_share": 0.5, "lifetime_s": 5.0}
+    known = {"full_rate_s": 3.0, "late_rate_share": 0.5, "lifetime_s": 5.0}
     return LeaseGrant("t", rate, depth, **(known | more))
 
 
@@ -33,16 +34,16 @@
 
     def test_report(self) -> None:
         told = LeaseReport("t", 1.5, 2.5, 1.0, 3.5, 4.5, 5.5, 2.0)
-        self.assertEqual(LeaseReport.of(told.message()), told)
+        self.assertEqual(LeaseReport.from_message(told.to_message()), told)
 
     def test_grant(self) -> None:
         told = LeaseGrant("t", 1.5, 2.5, 3.0, 0.5, 5.0, 7, 0.25, 2.0)
-        self.assertEqual(LeaseGrant.of(told.message()), told)
+        self.assertEqual(LeaseGrant.from_message(told.to_message()), told)
 
     def test_what_is_held_is_rounded_up_and_what_is_granted_down(self) -> None:
-        held = LeaseReport("t", 1.0, 1.0, 1.0001, 0.0, 0.0, 0.0, 1.0009).message()
+        held = LeaseReport("t", 1.0, 1.0, 1.0001, 0.0, 0.0, 0.0, 1.0009).to_message()
         self.assertEqual((held.lifetime_ms, held.bare_ms), (1001, 1000))
-        granted = LeaseGrant("t", 1.0, 1.0, 1.0009, 0.5, 1.0009, 0, 1.0009, 1.0009).message()
+        granted = LeaseGrant("t", 1.0, 1.0, 1.0009, 0.5, 1.0009, 0, 1.0009, 1.0009).to_message()
         times = (granted.full_ms, granted.lifetime_ms, granted.deposit_ms, granted.bare_ms)
         self.assertEqual(times, (1000, 1000, 1000, 1000))
 
@@ -54,55 +55,57 @@
         self.lease = RateLease()
 
     def test_times_count_from_when_the_report_was_sent(self) -> None:
-        self.lease.granted(1.0, 0.8, grant(bare_s=2.0))
-        self.assertEqual((self.lease.full_until, self.lease.until, self.lease.bare_until), (3.8, 5.8, 2.8))
+        self.lease.on_grant(1.0, 0.8, grant(no_lease_s=2.0))
+        self.assertEqual(
+            (self.lease.full_rate_until, self.lease.expires_at, self.lease.no_lease_until), (3.8, 5.8, 2.8)
+        )
         self.assertEqual((self.lease.rate, self.lease.late_rate, self.lease.depth), (100.0, 50.0, 1000.0))
 
     def test_fills_from_the_grant_on(self) -> None:
-        self.lease.granted(1.0, 0.8, grant())
+        self.lease.on_grant(1.0, 0.8, grant())
         self.assertEqual(self.lease.available(1.0), 0)
         self.assertEqual(self.lease.available(2.0), 100)
         self.assertEqual(self.lease.available(4.8), 330, "the later part at the late rate")
 
     def test_time_does_not_go_back(self) -> None:
-        self.lease.granted(1.0, 1.0, grant())
+        self.lease.on_grant(1.0, 1.0, grant())
         self.lease.advance(2.0)
         self.lease.advance(1.5)
         self.assertEqual(self.lease.available(2.0), 100)
 
     def test_ends_with_its_store(self) -> None:
-        self.lease.granted(0.0, 0.0, grant())
+        self.lease.on_grant(0.0, 0.0, grant())
         self.assertGreater(self.lease.available(4.99), 0)
         self.assertEqual(self.lease.available(5.0), 0)
-        self.assertEqual((self.lease.rate, self.lease.depth, self.lease.stored), (0.0, 0.0, 0.0))
+        self.assertEqual((self.lease.rate, self.lease.depth, self.lease.level), (0.0, 0.0, 0.0))
 
     def test_an_answer_after_the_end_brings_nothing(self) -> None:
-        self.lease.granted(10.0, 5.0, grant(deposit=7, deposit_s=9.0))
+        self.lease.on_grant(10.0, 5.0, grant(deposit=7, deposit_lifetime_s=9.0))
         self.assertEqual((self.lease.available(10.0), self.lease.rate), (0, 0.0))
 
     def test_a_deposit(self) -> None:
-        self.lease.granted(0.3, 0.0, grant(deposit=70, deposit_s=0.4))
+        self.lease.on_grant(0.3, 0.0, grant(deposit=70, deposit_lifetime_s=0.4))
         self.assertEqual(self.lease.available(0.3), 70)
-        self.lease.granted(0.7, 0.3, grant(deposit=70, deposit_s=0.4))
+        self.lease.on_grant(0.7, 0.3, grant(deposit=70, deposit_lifetime_s=0.4))
         self.assertEqual(self.lease.available(0.7), 110, "void, and what the lease brought")
-        self.lease.granted(0.8, 0.7, grant(depth=150.0, deposit=70, deposit_s=0.4))
+        self.lease.on_grant(0.8, 0.7, grant(depth=150.0, deposit=70, deposit_lifetime_s=0.4))
         self.assertEqual(self.lease.available(0.8), 150, "no more than the depth")
 
     def test_a_word_is_not_shortened(self) -> None:
-        self.lease.granted(0.0, 0.0, grant(0.0, 0.0, bare_s=5.0))
-        self.lease.granted(1.0, 1.0, grant(0.0, 0.0, bare_s=0.0))
-        self.assertEqual(self.lease.report(1.0, "t", 0.0, 0.0).bare_s, 4.0)
+        self.lease.on_grant(0.0, 0.0, grant(0.0, 0.0, no_lease_s=5.0))
+        self.lease.on_grant(1.0, 1.0, grant(0.0, 0.0, no_lease_s=0.0))
+        self.assertEqual(self.lease.report(1.0, "t", 0.0, 0.0).no_lease_s, 4.0)
 
     def test_report(self) -> None:
-        self.lease.granted(0.0, 0.0, grant(bare_s=1.5))
+        self.lease.on_grant(0.0, 0.0, grant(no_lease_s=1.5))
         self.assertEqual(
             self.lease.report(1.0, "t", 8.0, 9.0), LeaseReport("t", 100.0, 1000.0, 4.0, 100.0, 8.0, 9.0, 0.5)
         )
         late = self.lease.report(6.0, "t", 8.0, 9.0)
-        self.assertEqual((late.rate, late.depth, late.remaining_s, late.bare_s), (0.0, 0.0, 0.0, 0.0))
+        self.assertEqual((late.rate, late.depth, late.remaining_s, late.no_lease_s), (0.0, 0.0, 0.0, 0.0))
 
     def test_when_it_covers(self) -> None:
-        self.lease.granted(0.0, 0.0, grant(depth=390.0))
+        self.lease.on_grant(0.0, 0.0, grant(depth=390.0))
         self.lease.advance(1.0)
         for tokens, at in ((100, 1.0), (250, 2.5), (300, 3.0), (350, 4.0), (391, math.inf)):
             self.assertEqual(self.lease.covers_at(tokens), at, tokens)
@@ -123,7 +126,7 @@
         self.told: list[tuple[str, bool, float]] = []
         self.requests = 0
 
-    def carry_out(self, decisions: list[token_cache.Decision]) -> None:
+    def carry_out(self, decisions: list[Decision]) -> None:
         for each in decisions:
             each.on_decision(each.allowed, each.retry_after_s)
 
@@ -133,7 +136,7 @@
 
         self.carry_out(self.cache.acquire(now, tenant, tokens, decided))
 
-    def ask(self, now: float) -> list[token_cache.TokenRequest]:
+    def request_tokens(self, now: float) -> list[TokenRequest]:
         self.requests += 1
         return self.cache.next_token_requests(now, self.requests)
 
@@ -155,15 +158,15 @@
     def test_waits_for_what_is_asked(self) -> None:
         self.spend(0.0, "a", 5)
         self.assertEqual((self.told, self.cache.has_waiting()), ([], True))
-        (ask,) = self.ask(0.0)
-        self.assertEqual((ask.tenant, ask.tokens, ask.least), ("t", 5, 5))
+        (ask,) = self.request_tokens(0.0)
+        self.assertEqual((ask.tenant, ask.tokens, ask.minimum), ("t", 5, 5))
         self.issue(0.01, 5)
         self.assertEqual((self.told, self.cache.has_waiting()), ([("a", True, 0.0)], False))
         self.assertEqual(self.cache.available_tokens(0.01, "t"), 0)
 
     def test_tokens_are_spent_once(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 12)
         self.spend(0.02, "b", 5)
         self.assertEqual(self.cache.available_tokens(0.02, "t"), 2)
@@ -172,22 +175,22 @@
 
     def test_tokens_are_void_a_lifetime_after_the_ask(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.2, 10)
         self.assertEqual((self.cache.available_tokens(0.39, "t"), self.cache.available_tokens(0.4, "t")), (5, 0))
 
     def test_tokens_that_come_after_their_life(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.4, 10)
         self.assertEqual((self.cache.available_tokens(0.4, "t"), self.names()), (0, []))
 
     def test_oldest_tokens_first(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.spend(0.05, "x", 7)
         self.issue(0.06, 9)
-        self.ask(0.06)
+        self.request_tokens(0.06)
         self.issue(0.07, 9)
         self.assertEqual(self.names(), ["a", "x"])
         self.assertEqual(self.cache.available_tokens(0.41, "t"), 6)
@@ -195,7 +198,7 @@
     def test_in_their_order(self) -> None:
         self.spend(0.0, "large", 50)
         self.spend(0.0, "small", 1)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 10)
         self.assertEqual(self.names(), [])
         self.spend(0.02, "late", 1)
@@ -203,49 +206,49 @@
 
     def test_one_ask_at_a_time(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.spend(0.01, "b", 5)
-        self.assertEqual(self.ask(0.01), [])
-        (again,) = self.ask(RESPONSE_TIMEOUT_S)
-        self.assertEqual((again.tokens >= 10, again.least), (True, 5))
+        self.assertEqual(self.request_tokens(0.01), [])
+        (again,) = self.request_tokens(RESPONSE_TIMEOUT_S)
+        self.assertEqual((again.tokens >= 10, again.minimum), (True, 5))
 
     def test_a_new_ask_after_an_answer(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.spend(0.01, "b", 5)
         self.issue(0.02, 5)
-        (ask,) = self.ask(0.02)
-        self.assertEqual(ask.least, 5)
+        (ask,) = self.request_tokens(0.02)
+        self.assertEqual(ask.minimum, 5)
 
     def test_held_tokens_are_not_asked_for_again(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.spend(0.01, "b", 50)
         self.issue(0.02, 15)
-        (ask,) = self.ask(0.02)
-        self.assertEqual(ask.least, 40)
+        (ask,) = self.request_tokens(0.02)
+        self.assertEqual(ask.minimum, 40)
 
     def test_nothing_is_asked_where_nobody_waits_or_the_leader_is_dry(self) -> None:
-        self.assertEqual(self.ask(0.0), [])
+        self.assertEqual(self.request_tokens(0.0), [])
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 0, retry_s=0.1)
-        self.assertEqual(self.ask(0.1), [])
-        self.assertEqual(len(self.ask(0.12)), 1)
+        self.assertEqual(self.request_tokens(0.1), [])
+        self.assertEqual(len(self.request_tokens(0.12)), 1)
 
     def test_asks_ahead_where_that_is_several_requests(self) -> None:
         for step in range(200):
             self.spend(step / 100, f"r{step}", 1)
         self.cache.tick(2.0, None)
-        self.assertGreater(self.cache._tenants["t"].ahead(2.0), 10)
-        self.assertEqual(self.cache._tenants["t"].ahead(6.0), 0)
+        self.assertGreater(self.cache._tenants["t"].demand.prefetch_tokens(2.0), 10)
+        self.assertEqual(self.cache._tenants["t"].demand.prefetch_tokens(6.0), 0)
         slow = TokenCache()
         slow.acquire(0.0, "t", 100, lambda *_: None)
-        self.assertEqual(slow._tenants["t"].ahead(0.0), 0)
+        self.assertEqual(slow._tenants["t"].demand.prefetch_tokens(0.0), 0)
 
     def test_refused_at_once_where_the_leader_has_none_in_time(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 0, retry_s=0.5)
         self.assertEqual(self.told, [("a", False, 0.5)])
         self.spend(0.05, "b", 5)
@@ -255,7 +258,7 @@
 
     def test_waits_where_the_leader_has_some_soon(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 0, retry_s=0.1)
         self.tick(0.24)
         self.assertEqual(self.told, [])
@@ -264,7 +267,7 @@
 
     def test_given_up_where_the_leader_is_silent(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.tick(SILENT_LEADER_WAIT_S - 0.001)
         self.assertEqual(self.told, [])
         self.tick(SILENT_LEADER_WAIT_S)
@@ -291,12 +294,12 @@
         self.spend(0.0, "first", 1)
         self.tick(0.9, None)
         self.told.clear()
-        self.lease(1.0, deposit=stored, deposit_s=0.4)
+        self.lease(1.0, deposit=stored, deposit_lifetime_s=0.4)
 
     def test_leased_tokens_are_spent_behind_issued_ones(self) -> None:
         self.lease_held_with(10)
         self.spend(1.0, "a", 15)
-        self.ask(1.0)
+        self.request_tokens(1.0)
         self.issue(1.01, 8)
         self.assertEqual(self.names(), ["a"])
         self.assertEqual(self.cache.available_tokens(1.01, "t"), 4)
@@ -318,7 +321,7 @@
 
     def test_a_grant_serves_those_that_wait(self) -> None:
         self.spend(0.0, "a", 5)
-        self.lease(0.05, deposit=9, deposit_s=0.4)
+        self.lease(0.05, deposit=9, deposit_lifetime_s=0.4)
         told = self.cache.on_leases_granted(0.1, 1000, 0, [grant()])
         self.assertEqual(told, [], "the report was answered")
         self.assertEqual((self.names(), self.cache.available_tokens(0.05, "t")), (["a"], 4))
@@ -326,7 +329,7 @@
     def test_tenants_by_themselves(self) -> None:
         self.spend(0.0, "a", 5)
         self.spend(0.0, "b", 5, "u")
-        asks = self.ask(0.0)
+        asks = self.request_tokens(0.0)
         self.assertEqual([each.tenant for each in asks], ["t", "u"])
         self.issue(0.01, 5)
         self.assertEqual(self.names(), ["a"])
@@ -334,7 +337,7 @@
 
     def test_answers_to_nothing_that_was_asked(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 5, number=99)
         self.assertEqual(self.told, [])
         self.issue(0.01, 5)
@@ -343,36 +346,36 @@
 
     def test_asks_that_were_never_answered_are_forgotten(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.tick(2.0)
-        self.assertEqual(len(self.cache._asks), 1)
+        self.assertEqual(len(self.cache._in_flight._sent_at), 1)
         self.tick(2.01)
-        self.assertEqual(self.cache._asks, {})
+        self.assertEqual(self.cache._in_flight._sent_at, {})
 
     def test_patience_follows_the_time_that_answers_take(self) -> None:
         now = 0.0
         for _ in range(40):
             self.spend(now, "a", 5)
-            self.ask(now)
+            self.request_tokens(now)
             self.issue(now + 0.15, 5)
             now += 1.0
-        self.assertAlmostEqual(self.cache._crowded_s(RESPONSE_TIMEOUT_S), 0.45, delta=0.01)
+        self.assertAlmostEqual(self.cache._in_flight.timeout_s(RESPONSE_TIMEOUT_S), 0.45, delta=0.01)
         self.told.clear()
         self.spend(now, "b", 5)
-        self.ask(now)
+        self.request_tokens(now)
         self.tick(now + 0.44)
         self.assertEqual(self.told, [])
         self.tick(now + 0.46)
         self.assertEqual(len(self.told), 1)
-        self.cache._round_s = 9.0
-        self.assertEqual(self.cache._crowded_s(RESPONSE_TIMEOUT_S), MAX_SLOW_LINK_WAIT_S)
+        self.cache._in_flight.round_trip_s = 9.0
+        self.assertEqual(self.cache._in_flight.timeout_s(RESPONSE_TIMEOUT_S), MAX_SLOW_LINK_WAIT_S)
 
     def test_patience_with_a_leader_that_has_answered(self) -> None:
-        self.cache._round_s = 0.15
+        self.cache._in_flight.round_trip_s = 0.15
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 0, retry_s=0.1)
-        self.cache._round_s = 0.15
+        self.cache._in_flight.round_trip_s = 0.15
         self.tick(0.44)
         self.assertEqual(self.told, [])
         self.tick(0.46)
@@ -380,14 +383,14 @@
 
     def test_a_leader_that_is_gone_is_not_waited_for(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 0, retry_s=0.1)
         self.tick(0.05, 0.5)
         self.assertEqual(self.told, [("a", False, 1.5)], "what it said of its bucket is void")
 
     def test_when_to_come_back_to_a_leader_that_said_when(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 0, retry_s=0.29)
         self.told.clear()
         self.spend(0.1, "b", 5)
@@ -396,37 +399,37 @@
 
     def test_a_smaller_request_waits_on_where_a_larger_one_is_refused(self) -> None:
         self.spend(0.0, "large", 50)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.spend(0.0, "small", 5)
         self.issue(0.01, 0, retry_s=0.5)
         self.assertEqual(self.told, [("large", False, 0.5)])
 
     def test_void_tokens_behind_others_that_live_longer(self) -> None:
         self.spend(0.0, "a", 5)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 8, lifetime_s=9.0)
         self.spend(1.0, "b", 10)
-        self.ask(1.0)
+        self.request_tokens(1.0)
         self.issue(1.2, 10, lifetime_s=0.1)
         self.assertEqual((self.names(), self.cache.available_tokens(1.2, "t")), (["a"], 3))
 
     def test_something_is_asked_for_where_the_lease_covers_meanwhile(self) -> None:
         self.lease_held_with(0)
         self.spend(1.0, "a", 18)
-        self.ask(1.0)
-        (ask,) = self.ask(1.21)
-        self.assertEqual((ask.least, ask.tokens >= 1), (1, True))
+        self.request_tokens(1.0)
+        (ask,) = self.request_tokens(1.21)
+        self.assertEqual((ask.minimum, ask.tokens >= 1), (1, True))
 
     def test_an_ask_that_asks_for_nothing_is_not_remembered(self) -> None:
-        self.ask(0.0)
-        self.assertEqual(self.cache._asks, {})
+        self.request_tokens(0.0)
+        self.assertEqual(self.cache._in_flight._sent_at, {})
 
     def test_when_something_is_due(self) -> None:
         self.assertEqual(self.cache.next_action_at(None), math.inf)
         self.spend(0.0, "a", 5)
         self.assertEqual(self.cache.next_action_at(None), -math.inf, "to be asked for")
         self.assertEqual(self.cache.next_action_at(0.1), NO_LEADER_WAIT_S)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.assertEqual(self.cache.next_action_at(None), RESPONSE_TIMEOUT_S)
         self.issue(0.01, 0, retry_s=0.2)
         self.assertAlmostEqual(self.cache.next_action_at(None), 0.21)
@@ -437,7 +440,7 @@
         self.assertEqual(self.cache.next_report_at(0.0), math.inf)
         self.spend(0.0, "a", 8)
         (told,) = self.cache.next_lease_reports(0.0, 7)
-        self.assertEqual((told.tenant, told.demand, told.request_mean), ("t", 1.0, 8.0))
+        self.assertEqual((told.tenant, told.demand, told.mean_request_tokens), ("t", 1.0, 8.0))
         self.assertEqual(self.cache.next_report_at(REPORT_AFTER_DEMAND_S - 0.01), REPORT_TIMEOUT_S)
         self.assertEqual(self.cache.next_report_at(REPORT_AFTER_DEMAND_S), math.inf)
         self.lease(2.0)
@@ -461,7 +464,7 @@
         self.spend(3.0, "b", 16)
         (told,) = self.cache.next_lease_reports(4.0, 8)
         self.assertAlmostEqual(told.demand, (math.exp(-3.0 / 8.0) + 2.0) * math.exp(-1.0 / 8.0))
-        self.assertAlmostEqual(told.request_mean, 8.8)
+        self.assertAlmostEqual(told.mean_request_tokens, 8.8)
 
     def test_reports_are_spaced(self) -> None:
         self.spend(0.0, "a", 8)
@@ -475,13 +478,13 @@
         self.spend(0.0, "a", 8)
         self.cache.next_lease_reports(0.0, 7)
         self.cache.next_lease_reports(1.0, 8)
-        self.cache.on_leases_granted(1.1, 7, 0, [grant(deposit=5, deposit_s=9.0)])
+        self.cache.on_leases_granted(1.1, 7, 0, [grant(deposit=5, deposit_lifetime_s=9.0)])
         self.assertEqual(self.cache.available_tokens(1.1, "t"), 0)
         for _ in range(2):
-            self.cache.on_leases_granted(1.1, 8, 0, [grant(deposit=5, deposit_s=9.0)])
+            self.cache.on_leases_granted(1.1, 8, 0, [grant(deposit=5, deposit_lifetime_s=9.0)])
         self.assertEqual(self.cache.available_tokens(1.1, "t"), 5)
         lease = self.cache._tenants["t"].lease
-        self.assertEqual(lease.until, 6.0, "from when the report was sent")
+        self.assertEqual(lease.expires_at, 6.0, "from when the report was sent")
 
     def test_another_term_is_reported_to_at_once(self) -> None:
         self.spend(0.0, "a", 8)
@@ -497,7 +500,7 @@
         self.cache.next_lease_reports(0.0, 7)
         told = LeaseGrant("u", 1.0, 1.0, 3.0, 0.5, 5.0)
         self.assertEqual(self.cache.on_leases_granted(0.1, 7, 0, [told]), [])
-        self.ask(0.1)
+        self.request_tokens(0.1)
         self.assertEqual(self.cache.on_tokens_issued(0.1, self.requests, [TokenIssue("u", 5, 0.4, 0.0)]), [])
 
 
@@ -509,18 +512,18 @@
         self.assertGreater(RESPONSE_TIMEOUT_S, 0.05)
         self.assertLess(SILENT_LEADER_WAIT_S, MAX_WAIT_S)
         self.assertLess(MAX_WAIT_S, MAX_SLOW_LINK_WAIT_S)
-        self.assertLess(NO_LEADER_WAIT_S, token_cache.ACCRUAL_WAIT_S)
+        self.assertLess(NO_LEADER_WAIT_S, token_cache_policy.ACCRUAL_WAIT_S)
         self.assertGreater(NO_LEADER_WAIT_S, 0.02)
 
     def test_reports(self) -> None:
         self.assertLess(REPORT_INTERVAL_S, REPORT_TIMEOUT_S)
         self.assertGreater(REPORT_INTERVAL_S, 0.2)
         self.assertGreater(REPORT_AFTER_DEMAND_S, REPORT_TIMEOUT_S)
-        self.assertGreater(token_cache.LEASE_DEMAND_SPAN_S, token_cache.DEMAND_SPAN_S)
-        self.assertGreater(token_cache.DEMAND_SPAN_S, 0.5)
-        self.assertGreater(token_cache.PREFETCH_S, 0.1)
+        self.assertGreater(token_cache_policy.LEASE_DEMAND_SPAN_S, token_cache_policy.DEMAND_SPAN_S)
+        self.assertGreater(token_cache_policy.DEMAND_SPAN_S, 0.5)
+        self.assertGreater(token_cache_policy.PREFETCH_S, 0.1)
 
     def test_when_to_come_back(self) -> None:
-        self.assertGreater(token_cache.MIN_RETRY_AFTER_S, 0.2)
-        self.assertGreater(token_cache.MIN_LEASE_RETRY_AFTER_S, 0.02)
-        self.assertGreater(token_cache.ELECTION_S, 1.0)
+        self.assertGreater(token_cache_policy.MIN_RETRY_AFTER_S, 0.2)
+        self.assertGreater(token_cache_policy.MIN_LEASE_RETRY_AFTER_S, 0.02)
+        self.assertGreater(token_cache_policy.ELECTION_S, 1.0)
--- a/tests/fleet/test_quota_priority.py
+++ b/tests/fleet/test_quota_priority.py
@@ -5,14 +5,10 @@
 import random
 import unittest
 
-from rosechute.routing.token_cache import (
-    LOW_PRIORITY_SHARE,
-    MAX_WAIT_S,
-    Decision,
-    TokenCache,
-    TokenIssue,
-    TokenRequest,
-)
+from rosechute.routing.token_cache import TokenCache
+from rosechute.routing.token_cache_policy import LOW_PRIORITY_SHARE, MAX_WAIT_S
+from rosechute.routing.token_exchange import TokenIssue, TokenRequest
+from rosechute.routing.waiting_queue import Decision
 
 URGENT, USUAL, LAST = 0, 1, 2
 
@@ -36,7 +32,7 @@
 
         self.carry_out(self.cache.acquire(now, "t", tokens, decided, priority))
 
-    def ask(self, now: float) -> list[TokenRequest]:
+    def request_tokens(self, now: float) -> list[TokenRequest]:
         self.number += 1
         return self.cache.next_token_requests(now, self.number)
 
@@ -46,19 +42,19 @@
     def test_the_most_urgent_first_then_the_first_come(self) -> None:
         for name, priority in (("a", LAST), ("b", USUAL), ("c", URGENT), ("d", URGENT)):
             self.spend(0.0, name, 100, priority)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 300)
         self.assertEqual(self.served, ["c", "d", "b"])
 
     def test_the_leader_is_asked_for_what_is_served_next(self) -> None:
         self.spend(0.0, "large", 900, LAST)
         self.spend(0.0, "urgent", 200, URGENT)
-        (ask,) = self.ask(0.0)
-        self.assertEqual((ask.least, ask.tokens >= 1_100), (200, True))
+        (ask,) = self.request_tokens(0.0)
+        self.assertEqual((ask.minimum, ask.tokens >= 1_100), (200, True))
 
     def test_one_that_is_more_urgent_than_all_that_wait_takes_what_is_held(self) -> None:
         self.spend(0.0, "large", 900, USUAL)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 500)
         self.spend(0.02, "less", 100, LAST)
         self.spend(0.02, "same", 100, USUAL)
@@ -68,14 +64,14 @@
     def test_each_waits_no_longer_than_before(self) -> None:
         for name, priority in (("last", LAST), ("urgent", URGENT)):
             self.spend(0.0, name, 100, priority)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.001, 0)
         self.carry_out(self.cache.tick(MAX_WAIT_S + 0.01, None))
         self.assertEqual(sorted(self.refused), ["last", "urgent"])
 
     def test_what_would_come_too_late_behind_more_urgent_ones_is_refused_at_once(self) -> None:
         self.spend(0.0, "urgent", 500, URGENT)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.carry_out(self.cache.on_tokens_issued(0.001, self.number, [TokenIssue("t", 0, 0.4, 5.0)]))
         self.assertEqual(self.refused, ["urgent"])
         self.spend(0.002, "last", 500, LAST)
@@ -97,7 +93,7 @@
             now += 0.01
             arrive(URGENT, draw.choice((100, 300)))
             arrive(LAST, draw.choice((100, 300)))
-            if self.ask(now):
+            if self.request_tokens(now):
                 self.issue(now, 100)
             self.carry_out(self.cache.tick(now, None))
         self.assertGreater(served[URGENT], 4 * served[LAST])
@@ -105,7 +101,7 @@
 
     def test_plenty_is_spent_in_the_order_of_coming(self) -> None:
         self.spend(0.0, "a", 10, LAST)
-        self.ask(0.0)
+        self.request_tokens(0.0)
         self.issue(0.01, 1_000)
         for name, priority in (("b", LAST), ("c", URGENT), ("d", USUAL)):
             self.spend(0.02, name, 10, priority)
--- a/tests/fleet/test_quota_rate_leases.py
+++ b/tests/fleet/test_quota_rate_leases.py
@@ -8,24 +8,19 @@
 import unittest
 
 from rosechute.configuration.process import Bounds
-from rosechute.control_plane.quota_allocator import (
+from rosechute.control_plane.quota_allocator import QuotaAllocator
+from rosechute.control_plane.quota_policy import (
     EMERGENCY_SHARE,
+    LEASE_DURATION_S,
+    LEASE_EXPIRY_S,
     LEASED_SHARE,
-    QuotaAllocator,
+    NO_LEASE_S,
     QuotaBounds,
     TenantLimit,
-    TokenDemand,
 )
 from rosechute.control_plane.quota_service import QuotaService
-from rosechute.control_plane.rate_leases import (
-    LEASE_DURATION_S,
-    LEASE_EXPIRY_S,
-    NO_LEASE_S,
-    LeaseBudget,
-    LeaseOwner,
-    RateLeases,
-    max_min_fair_level,
-)
+from rosechute.control_plane.rate_leases import LeaseBudget, LeaseOwner, RateLeases, max_min_fair_level
+from rosechute.control_plane.token_bucket import TokenDemand
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
 from rosechute.routing.rate_lease import RateLease
@@ -48,10 +43,14 @@
 class ExchangeTest(unittest.TestCase):
     def test_on_the_link_neither_side_believes_in_more_than_the_other(self) -> None:
         """What the edge still holds is rounded up, what is granted, and a word that is relied on, down."""
-        told = LeaseReport("t", 1.5, 2.5, 3.0004, 0.5, 10.0, 2.0, bare_s=1.0009)
-        self.assertEqual(LeaseReport.of(told.message()), LeaseReport("t", 1.5, 2.5, 3.001, 0.5, 10.0, 2.0, 1.0))
+        told = LeaseReport("t", 1.5, 2.5, 3.0004, 0.5, 10.0, 2.0, no_lease_s=1.0009)
+        self.assertEqual(
+            LeaseReport.from_message(told.to_message()), LeaseReport("t", 1.5, 2.5, 3.001, 0.5, 10.0, 2.0, 1.0)
+        )
         grant = LeaseGrant("t", 1.5, 2.5, 3.0009, 0.5, 5.0009, 7, 0.4009, 1.0009)
-        self.assertEqual(LeaseGrant.of(grant.message()), LeaseGrant("t", 1.5, 2.5, 3.0, 0.5, 5.0, 7, 0.4, 1.0))
+        self.assertEqual(
+            LeaseGrant.from_message(grant.to_message()), LeaseGrant("t", 1.5, 2.5, 3.0, 0.5, 5.0, 7, 0.4, 1.0)
+        )
 
 
 class EdgeLeaseTest(unittest.TestCase):
@@ -59,41 +58,41 @@
         self.lease = RateLease()
 
     def test_the_store_fills_to_its_depth(self) -> None:
-        self.lease.granted(0.0, 0.0, granted(100.0, 150.0))
+        self.lease.on_grant(0.0, 0.0, granted(100.0, 150.0))
         self.assertEqual(self.lease.available(1.0), 100)
         self.assertEqual(self.lease.available(2.0), 150)
-        self.lease.take(120)
+        self.lease.use(120)
         self.assertEqual(self.lease.available(2.5), 80)
 
     def test_late_in_its_time_a_part_of_the_rate_holds(self) -> None:
-        self.lease.granted(0.0, 0.0, granted(100.0, 1000.0))
+        self.lease.on_grant(0.0, 0.0, granted(100.0, 1000.0))
         self.assertEqual(self.lease.available(4.0), 350)
 
     def test_the_end_takes_the_store_too(self) -> None:
-        self.lease.granted(0.1, 0.0, granted(100.0, 1000.0))
+        self.lease.on_grant(0.1, 0.0, granted(100.0, 1000.0))
         self.assertGreater(self.lease.available(4.99), 300)
         self.assertEqual(self.lease.available(5.0), 0)
         self.assertEqual(self.lease.report(5.0, "t", 1.0, 1.0).rate, 0.0)
 
     def test_a_grant_after_a_long_sleep_brings_nothing_for_the_sleep(self) -> None:
-        self.lease.granted(0.0, 0.0, granted(100.0, 1000.0))
-        self.lease.granted(60.0, 59.9, granted(100.0, 1000.0))
+        self.lease.on_grant(0.0, 0.0, granted(100.0, 1000.0))
+        self.lease.on_grant(60.0, 59.9, granted(100.0, 1000.0))
         self.assertEqual(self.lease.available(60.0), 0)
 
     def test_a_deposit_that_comes_late_is_void(self) -> None:
-        self.lease.granted(0.3, 0.0, granted(100.0, 1000.0, 70))
+        self.lease.on_grant(0.3, 0.0, granted(100.0, 1000.0, 70))
         self.assertEqual(self.lease.available(0.3), 70)
         late = RateLease()
-        late.granted(0.4, 0.0, granted(100.0, 1000.0, 70))
+        late.on_grant(0.4, 0.0, granted(100.0, 1000.0, 70))
         self.assertEqual(late.available(0.4), 0)
 
     def test_a_lowered_depth_binds_at_once(self) -> None:
-        self.lease.granted(0.0, 0.0, granted(100.0, 1000.0))
-        self.lease.granted(2.0, 2.0, granted(10.0, 50.0))
+        self.lease.on_grant(0.0, 0.0, granted(100.0, 1000.0))
+        self.lease.on_grant(2.0, 2.0, granted(10.0, 50.0))
         self.assertEqual(self.lease.available(2.0), 50)
 
     def test_when_it_covers(self) -> None:
-        self.lease.granted(0.0, 0.0, granted(100.0, 400.0))
+        self.lease.on_grant(0.0, 0.0, granted(100.0, 400.0))
         self.lease.advance(1.0)
         self.assertEqual(self.lease.covers_at(250), 2.5)
         self.assertEqual(self.lease.covers_at(325), 3.5)
@@ -104,78 +103,78 @@
 
 class LeaderLeasesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.leases = RateLeases(TOTALS, known_from=0.0)
+        self.leases = RateLeases(TOTALS, leases_known_at=0.0)
         self.a, self.b = LeaseOwner("a", 1), LeaseOwner("b", 1)
 
     def test_what_moves_is_granted_after_the_other_has_confirmed(self) -> None:
-        first = self.leases.report(0.0, self.a, report(900.0))
+        first = self.leases.renew(0.0, self.a, report(900.0))
         self.assertGreater(first.rate, 850.0)
-        self.leases.report(0.1, self.b, report(900.0))
-        lowered = self.leases.report(0.2, self.a, report(0.0, first))
+        self.leases.renew(0.1, self.b, report(900.0))
+        lowered = self.leases.renew(0.2, self.a, report(0.0, first))
         self.assertLess(lowered.rate, 500.0)
-        early = self.leases.report(0.3, self.b, report(900.0))
+        early = self.leases.renew(0.3, self.b, report(900.0))
         self.assertLess(early.rate, 50.0)  # the answer to `a` may not have come
-        self.leases.report(0.4, self.a, report(0.0, lowered))
-        self.assertGreater(self.leases.report(0.5, self.b, report(900.0)).rate, 400.0)
+        self.leases.renew(0.4, self.a, report(0.0, lowered))
+        self.assertGreater(self.leases.renew(0.5, self.b, report(900.0)).rate, 400.0)
 
     def test_a_silent_edge_is_reckoned_until_its_lease_has_run_out(self) -> None:
-        self.leases.report(0.0, self.a, report(900.0))
+        self.leases.renew(0.0, self.a, report(900.0))
         for step in range(1, 12):
-            grant = self.leases.report(step * 0.45, self.b, report(900.0))
+            grant = self.leases.renew(step * 0.45, self.b, report(900.0))
             self.assertLessEqual(grant.depth, TOTALS.depth)
         self.assertLess(grant.rate, 0.55 * TOTALS.rate)
-        self.assertGreater(self.leases.report(LEASE_EXPIRY_S + 0.1, self.b, report(900.0)).rate, 850.0)
+        self.assertGreater(self.leases.renew(LEASE_EXPIRY_S + 0.1, self.b, report(900.0)).rate, 850.0)
 
-    def test_a_restarted_edge_is_another_holder(self) -> None:
-        self.leases.report(0.0, self.a, report(900.0))
-        self.assertLess(self.leases.report(0.1, LeaseOwner("a", 2), report(900.0)).rate, 50.0)
+    def test_a_restarted_edge_is_another_owner(self) -> None:
+        self.leases.renew(0.0, self.a, report(900.0))
+        self.assertLess(self.leases.renew(0.1, LeaseOwner("a", 2), report(900.0)).rate, 50.0)
 
     def test_sums_hold_whatever_is_lost(self) -> None:
         for seed in range(60):
             draw = random.Random(seed)
-            leases = RateLeases(TOTALS, known_from=0.0)
+            leases = RateLeases(TOTALS, leases_known_at=0.0)
             held: dict[LeaseOwner, tuple[LeaseGrant, float]] = {}
             now = 0.0
             for _ in range(200):
                 now += draw.expovariate(8.0)
-                holder = LeaseOwner(draw.choice("abcdef"), draw.randrange(2))
-                before = held.get(holder)
+                owner = LeaseOwner(draw.choice("abcdef"), draw.randrange(2))
+                before = held.get(owner)
                 left = 0.0 if before is None else before[1] - now
                 lease = before[0] if before is not None and left > 0 else None
-                grant = leases.report(now, holder, report(draw.choice((0.0, 50.0, 400.0, 2000.0)), lease, left))
+                grant = leases.renew(now, owner, report(draw.choice((0.0, 50.0, 400.0, 2000.0)), lease, left))
                 if draw.random() < 0.7:
-                    held[holder] = (grant, now + LEASE_DURATION_S)
+                    held[owner] = (grant, now + LEASE_DURATION_S)
                 running = [lease for lease, until in held.values() if until > now]
                 self.assertLessEqual(sum(each.depth for each in running), TOTALS.depth + 1e-6)
-                full = [lease for lease, until in held.values() if until - LEASE_DURATION_S + lease.full_s > now]
+                full = [lease for lease, until in held.values() if until - LEASE_DURATION_S + lease.full_rate_s > now]
                 late = sum(each.rate for each in running) - sum(each.rate for each in full)
-                rate = sum(each.rate for each in full) + late * grant.late_share
+                rate = sum(each.rate for each in full) + late * grant.late_rate_share
                 self.assertLessEqual(rate, TOTALS.rate + 1e-6)
 
     def test_a_new_leader_renews_what_is_reported_and_grants_no_more(self) -> None:
-        old = self.leases.report(0.0, self.a, report(900.0))
-        new = RateLeases(TOTALS, known_from=LEASE_EXPIRY_S)
-        self.assertEqual(new.report(0.1, self.b, report(900.0)).rate, 0.0)
-        renewed = new.report(0.2, self.a, report(900.0, old, 4.0))
+        old = self.leases.renew(0.0, self.a, report(900.0))
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
+        self.assertEqual(new.renew(0.1, self.b, report(900.0)).rate, 0.0)
+        renewed = new.renew(0.2, self.a, report(900.0, old, 4.0))
         self.assertGreater(renewed.rate, 0.4 * old.rate)
         self.assertLessEqual(renewed.rate, old.rate)
-        again = new.report(0.3, self.a, report(900.0, renewed))
-        self.assertLessEqual(again.rate + new.report(0.4, self.b, report(900.0)).rate, old.rate + 1e-6)
+        again = new.renew(0.3, self.a, report(900.0, renewed))
+        self.assertLessEqual(again.rate + new.renew(0.4, self.b, report(900.0)).rate, old.rate + 1e-6)
 
     def test_nothing_is_leased_where_a_store_is_too_small(self) -> None:
         huge = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0)
-        grant = self.leases.report(0.0, self.a, huge)
-        self.assertEqual((grant.rate, grant.bare_s), (0.0, NO_LEASE_S))
+        grant = self.leases.renew(0.0, self.a, huge)
+        self.assertEqual((grant.rate, grant.no_lease_s), (0.0, NO_LEASE_S))
 
     def test_a_word_that_nothing_is_leased_is_kept(self) -> None:
-        self.leases.report(0.0, self.a, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0))
+        self.leases.renew(0.0, self.a, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0))
         for step in range(1, 11):
-            grant = self.leases.report(step * 0.45, self.a, report(900.0))
-            self.assertEqual((grant.rate, grant.bare_s), (0.0, 0.0))
-        self.assertGreater(self.leases.report(NO_LEASE_S, self.a, report(900.0)).rate, 0.0)
+            grant = self.leases.renew(step * 0.45, self.a, report(900.0))
+            self.assertEqual((grant.rate, grant.no_lease_s), (0.0, 0.0))
+        self.assertGreater(self.leases.renew(NO_LEASE_S, self.a, report(900.0)).rate, 0.0)
 
     def test_no_word_while_leases_may_run(self) -> None:
-        self.assertEqual(RateLeases(TOTALS, 5.0).report(0.0, self.a, report(0.0)).bare_s, 0.0)
+        self.assertEqual(RateLeases(TOTALS, 5.0).renew(0.0, self.a, report(0.0)).no_lease_s, 0.0)
 
     def test_the_level_of_equal_parts(self) -> None:
         self.assertEqual(max_min_fair_level([10.0, 50.0, 100.0], 90.0), 40.0)
@@ -184,39 +183,39 @@
 
 class NewLeaderTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.issuer = QuotaAllocator(QuotaBounds(8.0, 0.1, 0.0))
-        self.issuer.leadership_gained(0.0, 3.0, 5.0)
-        self.issuer.configure(0.0, {"t": TenantLimit(1000.0, 1000.0)})
+        self.allocator = QuotaAllocator(QuotaBounds(8.0, 0.1, 0.0))
+        self.allocator.leadership_gained(0.0, 3.0, 5.0)
+        self.allocator.configure(0.0, {"t": TenantLimit(1000.0, 1000.0)})
 
     def issued(self, now: float) -> int:
-        return sum(self.issuer.issue(now, "e", [TokenDemand("t", 10, 10)])[0].tokens for _ in range(200))
+        return sum(self.allocator.issue(now, "e", [TokenDemand("t", 10, 10)])[0].tokens for _ in range(200))
 
     def test_until_leases_are_known_only_the_part_that_is_never_leased(self) -> None:
         self.assertLessEqual(self.issued(1.0), CAUTIOUS_TOKENS + 10)
         self.assertLessEqual(self.issued(3.0), 2 * CAUTIOUS_TOKENS + 10)
 
     def test_a_word_of_the_leader_before_opens_the_bucket(self) -> None:
-        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=2.0)
-        self.issuer.renew(0.0, LeaseOwner("e", 1), 1, [told])
+        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=2.0)
+        self.allocator.renew(0.0, LeaseOwner("e", 1), 1, [told])
         self.assertGreater(self.issued(0.5), 300)
 
     def test_the_word_is_passed_on_through_changes_of_leader(self) -> None:
-        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=2.0)
-        grant = self.issuer.renew(0.0, LeaseOwner("e", 1), 1, [told])[0]
-        self.assertEqual((grant.rate, grant.bare_s), (0.0, NO_LEASE_S))
-        self.issuer.leadership_gained(2.0, 5.0, 7.0)
-        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=3.0)
-        self.issuer.renew(2.0, LeaseOwner("e", 1), 2, [told])
+        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=2.0)
+        grant = self.allocator.renew(0.0, LeaseOwner("e", 1), 1, [told])[0]
+        self.assertEqual((grant.rate, grant.no_lease_s), (0.0, NO_LEASE_S))
+        self.allocator.leadership_gained(2.0, 5.0, 7.0)
+        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=3.0)
+        self.allocator.renew(2.0, LeaseOwner("e", 1), 2, [told])
         self.assertGreater(self.issued(2.5), 300)
 
     def test_a_word_that_has_run_out_does_not(self) -> None:
-        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, bare_s=0.05)
-        self.issuer.renew(0.0, LeaseOwner("e", 1), 1, [told])
+        told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=0.05)
+        self.allocator.renew(0.0, LeaseOwner("e", 1), 1, [told])
         self.assertLessEqual(self.issued(1.0), CAUTIOUS_TOKENS + 10)
 
     def test_a_report_that_was_overtaken_tells_nothing(self) -> None:
-        self.assertEqual(len(self.issuer.renew(0.1, LeaseOwner("e", 1), 8, [report(10.0)])), 1)
-        self.assertEqual(self.issuer.renew(0.2, LeaseOwner("e", 1), 7, [report(10.0)]), [])
+        self.assertEqual(len(self.allocator.renew(0.1, LeaseOwner("e", 1), 8, [report(10.0)])), 1)
+        self.assertEqual(self.allocator.renew(0.2, LeaseOwner("e", 1), 7, [report(10.0)]), [])
 
 
 class ReportTest(unittest.TestCase):
--- a/tests/fleet/test_quota_sum.py
+++ b/tests/fleet/test_quota_sum.py
@@ -31,7 +31,7 @@
 
     def leadership_gained(self, now: float, term: int, holders: frozenset[str] | None = None) -> None:
         self._term = term
-        self._issuer.leadership_gained(now, now, now)
+        self._allocator.leadership_gained(now, now, now)
 
 
 def troubled(world: World) -> None:
