--- a/rosechute/configuration/__init__.py
+++ b/rosechute/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Process settings and the operator's configuration: reading, checking and look-up."""
+"""Process settings (`process`) and the operator's configuration (`operator`, `route_table`), with their `errors`."""
--- a/rosechute/configuration/operator.py
+++ b/rosechute/configuration/operator.py
@@ -1,9 +1,9 @@
-"""The operator's configuration: its form, reading it, and what makes it invalid."""
+"""The operator's configuration: its schema, decoding it from JSON, and its validation."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -14,20 +14,20 @@
 NON_IDEMPOTENT = "non_idempotent"
 STREAMING = "streaming"
 TOKEN_STREAM = "token_stream"
-"""The unit of a quota that counts tokens and not requests."""
+"""Unit of a quota that counts tokens instead of requests."""
 MAX_CONFIGURATION_VERSION = 2**63 - 1
-"""Versions beyond this cannot be carried between processes."""
+"""Greatest version that is accepted; it fits a signed 64-bit integer."""
 
 
 class TrafficSplit(msgspec.Struct, frozen=True, kw_only=True):
-    """One of several services that a route is split over."""
+    """The share of one service in a route that is split over several."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of a host and path prefix, the services that run them and the terms on which they do."""
+    """How requests to one host and path prefix are served: by which services, in which time, with which retries."""
 
     host: str
     path_prefix: str
@@ -46,23 +46,27 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Return whether responses are event streams."""
         return self.route_type == STREAMING
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Return whether a request may be retried although a server may have run it."""
         return self.route_type == IDEMPOTENT or (self.streaming and self.stream_resume)
 
     @property
     def service_names(self) -> tuple[str, ...]:
-        """The services that a request may go to."""
+        """Return the services that a request may be sent to: all with a weight above 0."""
         if self.traffic_split:
             return tuple(part.service for part in self.traffic_split if part.weight > 0)
         return (self.service,)
 
     def pick_service(self, draw: Callable[[], float]) -> str:
-        """One service, by the weights; `draw` gives a number from 0 up to, not including, 1."""
+        """Return a service at random, by the weights of the traffic split.
+
+        Args:
+            draw: Returns a random number in [0, 1); called only if there is a split.
+        """
         if not self.traffic_split:
             return self.service
         candidates = [part for part in self.traffic_split if part.weight > 0]
@@ -75,13 +79,13 @@
 
 
 class EngineModel(msgspec.Struct, frozen=True, kw_only=True):
-    """A model that an engine can run."""
+    """A language model that an engine can serve."""
 
     name: str
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """What the servers of a service are that run a language model."""
+    """Capacity of the model servers of a service; 0 where it is not known."""
 
     slots: float = 0
     kv_capacity: float = 0
@@ -92,7 +96,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of equal servers."""
+    """A group of interchangeable servers."""
 
     name: str
     health_path: str = ""
@@ -103,7 +107,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a client may send and how long it may take or stay idle."""
+    """Limits on the requests of clients: sizes in bytes, durations in milliseconds."""
 
     max_header_bytes: float = 16384
     max_body_bytes: float = 4194304
@@ -112,7 +116,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """A holder of keys, its priority and its quota over all edges."""
+    """A client organisation: its API keys, its priority, and its quota, which holds over all edges together."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -124,17 +128,17 @@
 
     @property
     def limited(self) -> bool:
-        """Whether there is a quota."""
+        """Return whether the tenant has a quota."""
         return self.rate_per_s > 0
 
     @property
     def counts_tokens(self) -> bool:
-        """Whether the quota counts tokens and not requests."""
+        """Return whether the quota counts tokens instead of requests."""
         return self.unit == TOKEN_STREAM
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole configuration. Fields that are not named here are ignored."""
+    """A complete configuration. Unknown fields are ignored."""
 
     config_version: Annotated[int, msgspec.Meta(ge=0, le=MAX_CONFIGURATION_VERSION)]
     routes: tuple[Route, ...]
@@ -147,62 +151,78 @@
 
 
 def parse_configuration(body: bytes) -> Result[Configuration, ConfigurationError]:
-    """Read a configuration; invalid ones are told with the place of the first problem."""
+    """Decode and validate a configuration.
+
+    Args:
+        body: The configuration as JSON.
+
+    Returns:
+        The configuration, or the first error in it.
+    """
     try:
         configuration = _DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        place, reason = split_field_and_reason(str(error))
-        return Failure(ConfigurationError("decode", place, reason))
-    for place, reason in _problems(configuration):
-        return Failure(ConfigurationError("check", place, reason))
+        field, reason = split_field_and_reason(str(error))
+        return Failure(ConfigurationError("decode", field, reason))
+    for violation in _violations(configuration):
+        return Failure(ConfigurationError("check", violation.field, violation.reason))
     return Success(configuration)
 
 
-def _problems(configuration: Configuration) -> Iterator[tuple[str, str]]:
-    """The place and the reason of everything that makes a configuration invalid."""
-    yield from _repeated("services", (service.name for service in configuration.services))
-    yield from _repeated("routes", (route.name for route in configuration.routes))
-    yield from _repeated("tenants", (tenant.name for tenant in configuration.tenants))
-    known = {service.name for service in configuration.services}
-    places: dict[tuple[str, str], int] = {}
+class _Violation(NamedTuple):
+    """A rule that a decoded configuration breaks."""
+
+    field: str
+    reason: str
+
+
+def _violations(configuration: Configuration) -> Iterator[_Violation]:
+    """Yield every violation, in the order of checking: names, then route by route, then API keys."""
+    yield from _duplicate_names("services", (service.name for service in configuration.services))
+    yield from _duplicate_names("routes", (route.name for route in configuration.routes))
+    yield from _duplicate_names("tenants", (tenant.name for tenant in configuration.tenants))
+    service_names = {service.name for service in configuration.services}
+    first_indexes: dict[tuple[str, str], int] = {}
     for index, route in enumerate(configuration.routes):
-        at = f"routes[{index}]"
-        yield from _route_problems(at, route, known)
-        first = places.setdefault((route.host.lower(), route.path_prefix), index)
+        path = f"routes[{index}]"
+        yield from _route_violations(path, route, service_names)
+        first = first_indexes.setdefault((route.host.lower(), route.path_prefix), index)
         if first != index:
-            yield f"{at}.path_prefix", f"routes[{first}] has the same host and prefix"
+            yield _Violation(f"{path}.path_prefix", f"routes[{first}] has the same host and prefix")
     yield from _shared_keys(configuration.tenants)
 
 
-def _route_problems(at: str, route: Route, known: set[str]) -> Iterator[tuple[str, str]]:
-    """What is wrong with one route by itself."""
+def _route_violations(path: str, route: Route, service_names: set[str]) -> Iterator[_Violation]:
+    """Yield what is wrong with one route by itself; `path` is its place in the document."""
     if not route.timeout_ms > 0:
-        yield f"{at}.timeout_ms", "must be above 0"
-    if route.service and route.service not in known:
-        yield f"{at}.service", f"no service is named {route.service!r}"
+        yield _Violation(f"{path}.timeout_ms", "must be above 0")
+    if route.service and route.service not in service_names:
+        yield _Violation(f"{path}.service", f"no service is named {route.service!r}")
     if not route.service and not route.traffic_split:
-        yield f"{at}.service", "names no service"
+        yield _Violation(f"{path}.service", "names no service")
     for index, part in enumerate(route.traffic_split):
-        if part.service not in known:
-            yield f"{at}.traffic_split[{index}].service", f"no service is named {part.service!r}"
+        if part.service not in service_names:
+            yield _Violation(f"{path}.traffic_split[{index}].service", f"no service is named {part.service!r}")
         if part.weight < 0:
-            yield f"{at}.traffic_split[{index}].weight", "must not be below 0"
+            yield _Violation(f"{path}.traffic_split[{index}].weight", "must not be below 0")
     if route.traffic_split and not sum(part.weight for part in route.traffic_split) > 0:
-        yield f"{at}.traffic_split", "the weights add up to 0"
+        yield _Violation(f"{path}.traffic_split", "the weights add up to 0")
 
 
-def _repeated(field: str, names: Iterable[str]) -> Iterator[tuple[str, str]]:
-    """Names that occur twice; one may be left out any number of times."""
-    seen: dict[str, int] = {}
+def _duplicate_names(field: str, names: Iterable[str]) -> Iterator[_Violation]:
+    """Yield names that occur twice; empty ones may."""
+    first_indexes: dict[str, int] = {}
     for index, name in enumerate(names):
-        if name and seen.setdefault(name, index) != index:
-            yield f"{field}[{index}].name", f"{field}[{seen[name]}] has the name {name!r} as well"
+        if name and first_indexes.setdefault(name, index) != index:
+            first = first_indexes[name]
+            yield _Violation(f"{field}[{index}].name", f"{field}[{first}] has the name {name!r} as well")
 
 
-def _shared_keys(tenants: tuple[Tenant, ...]) -> Iterator[tuple[str, str]]:
-    """Keys that two tenants hold."""
-    holders: dict[str, int] = {}
+def _shared_keys(tenants: tuple[Tenant, ...]) -> Iterator[_Violation]:
+    """Yield API keys that belong to two tenants."""
+    owners: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
         for number, key in enumerate(tenant.api_keys):
-            if holders.setdefault(key, index) != index:
-                yield f"tenants[{index}].api_keys[{number}]", f"tenants[{holders[key]}] holds the same key"
+            owner = owners.setdefault(key, index)
+            if owner != index:
+                yield _Violation(f"tenants[{index}].api_keys[{number}]", f"tenants[{owner}] holds the same key")
--- a/rosechute/configuration/process.py
+++ b/rosechute/configuration/process.py
@@ -1,8 +1,9 @@
-"""The settings file of a process: its form, reading it, and the addresses that follow from it."""
+"""The settings file of a process: its schema, loading it, and the addresses that are derived from it."""
 
 from __future__ import annotations
 
 import os
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -12,22 +13,24 @@
 from rosechute.configuration.errors import SettingsError, split_field_and_reason
 
 SETTINGS_VARIABLE = "ROSECHUTE_NODE_FILE"
-"""The environment variable with the path of the settings file."""
+"""Name of the environment variable that holds the path of the settings file."""
 SERVES_EDGE = "edge"
-"""What a process serves that takes the requests of clients."""
+"""Value in `serves` of a process that serves the requests of clients."""
 SERVES_CONTROL_PLANE = "control_plane"
-"""What a process serves that takes the orders of the operator."""
+"""Value in `serves` of a process that serves the operator's API."""
 
+PORT_LIMIT = 1 << 16
+"""Ports are below this."""
 
 REQUIRED_FIELDS = {
     SERVES_EDGE: ("listen.front", "listen.readiness"),
     SERVES_CONTROL_PLANE: ("listen.control", "data_dir"),
 }
-"""Fields that a process needs for what it serves, beyond those that every process needs."""
+"""Settings that are required for what a process serves, beyond those that every process requires."""
 
 
 class ProcessLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What the machine grants to the process."""
+    """Resources of the machine that the process may use."""
 
     cpu_share: float = 1.0
     cores: float = 1
@@ -38,7 +41,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of the rules in force; the default holds where a deployment names none."""
+    """Bounds of the deployment's guarantees; durations end in `_ms` or `_s`."""
 
     seed_lag_s: float = 3.0
     reuse_delay_s: float = 2.0
@@ -65,7 +68,7 @@
 
 
 class CloudApi(msgspec.Struct, frozen=True, kw_only=True):
-    """The platform's list of servers."""
+    """The platform's API with the list of servers."""
 
     address: str = ""
     rate_per_s: float = 10.0
@@ -74,7 +77,7 @@
 
 
 class Listen(msgspec.Struct, frozen=True, kw_only=True):
-    """Addresses, `host:port`, for what the role serves; empty where it does not."""
+    """Addresses, `host:port`, that the process listens at; empty for what it does not serve."""
 
     front: str = ""
     readiness: str = ""
@@ -82,7 +85,7 @@
 
 
 class FaultTolerance(msgspec.Struct, frozen=True, kw_only=True):
-    """What may be lost at once while every rule holds."""
+    """Numbers of failure domains that may be lost at once while every guarantee holds."""
 
     machines: int = 0
     zones: int = 0
@@ -90,7 +93,7 @@
 
 
 class ProcessSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The settings file. Fields that are not named here are ignored; null counts as left out."""
+    """The content of a settings file. Unknown fields are ignored; null counts as absent."""
 
     node_name: str
     ip: str
@@ -116,36 +119,36 @@
 
     @property
     def core_link_port(self) -> int:
-        """The port at which a core process takes the links of other processes."""
+        """Return the port that a core process accepts links at."""
         return self.port_range[0]
 
     @property
     def edge_link_port(self) -> int:
-        """The port at which an edge process takes the links of other processes."""
+        """Return the port that an edge process accepts links at."""
         return self.port_range[1]
 
     @property
     def core_link_address(self) -> str:
-        """Where a core process on this machine takes links."""
+        """Return the link address of a core process on this machine, `host:port`."""
         return f"{self.ip}:{self.core_link_port}"
 
     @property
     def edge_link_address(self) -> str:
-        """Where an edge process on this machine takes links."""
+        """Return the link address of an edge process on this machine, `host:port`."""
         return f"{self.ip}:{self.edge_link_port}"
 
     def peer_address(self, control_address: str) -> str:
-        """The link address of the core machine with this control address."""
+        """Return the link address of the core machine with this control address."""
         return f"{host_of(control_address)}:{self.core_link_port}"
 
     @property
     def seed_peers(self) -> tuple[str, ...]:
-        """The link addresses of the seeds."""
+        """Return the link addresses of the seeds."""
         return tuple(self.peer_address(seed) for seed in self.seeds)
 
 
 def load_settings(path: str | os.PathLike[str]) -> Result[ProcessSettings, SettingsError]:
-    """Read the settings file."""
+    """Load a settings file; return the settings or the first error in them."""
     name = os.fspath(path)
     try:
         body = Path(name).read_bytes()
@@ -155,7 +158,7 @@
 
 
 def load_settings_from_environment() -> Result[ProcessSettings, SettingsError]:
-    """Read the settings file that the environment names."""
+    """Load the settings file that the environment variable `ROSECHUTE_NODE_FILE` names."""
     name = os.environ.get(SETTINGS_VARIABLE)
     if not name:
         return Failure(SettingsError("read", "", f"the variable {SETTINGS_VARIABLE} names no file"))
@@ -163,62 +166,84 @@
 
 
 def decode_settings(body: bytes, source: str = "") -> Result[ProcessSettings, SettingsError]:
-    """Read settings from the bytes of the file; `source` is named in problems."""
+    """Decode and validate settings.
+
+    Args:
+        body: The content of the file, JSON.
+        source: Name of the file, for errors.
+
+    Returns:
+        The settings, or the first error in them.
+    """
     try:
         raw = msgspec.json.decode(body)
         settings = msgspec.convert(_without_null(raw), ProcessSettings, strict=False)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        place, reason = split_field_and_reason(str(error))
-        return Failure(SettingsError("decode", place, reason, source))
-    wrong = _check(settings)
-    if wrong is not None:
-        return Failure(SettingsError("check", wrong[0], wrong[1], source))
-    return Success(settings)
+        field, reason = split_field_and_reason(str(error))
+        return Failure(SettingsError("decode", field, reason, source))
+    error_found = _first_error(settings, source)
+    return Success(settings) if error_found is None else Failure(error_found)
 
 
 def find_missing_setting(settings: ProcessSettings, side: str, source: str = "") -> SettingsError | None:
-    """The first field that is missing for serving this side, `edge` or `control_plane`."""
-    for place in REQUIRED_FIELDS.get(side, ()):
+    """Return an error for the first setting that is missing for serving a side; None if all are there.
+
+    Args:
+        settings: Valid settings.
+        side: `SERVES_EDGE` or `SERVES_CONTROL_PLANE`.
+        source: Name of the settings file, for the error.
+    """
+    for field in REQUIRED_FIELDS.get(side, ()):
         value: Any = settings
-        for name in place.split("."):
+        for name in field.split("."):
             value = getattr(value, name)
         if not value:
-            return SettingsError("check", place, f"is needed to serve {side}", source)
+            return SettingsError("check", field, f"is needed to serve {side}", source)
     return None
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of `host:port`; raises ValueError where it is not of that form."""
+    """Return host and port of `host:port`.
+
+    Raises:
+        ValueError: The address is not of that form.
+    """
     host, colon, port = address.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdecimal() or not 0 < int(port) < 1 << 16:
+    if not colon or not host or not port.isascii() or not port.isdecimal() or not 0 < int(port) < PORT_LIMIT:
         raise ValueError(f"{address!r} is not of the form host:port")
     return host, int(port)
 
 
 def host_of(address: str) -> str:
-    """The host of `host:port`."""
+    """Return the host of `host:port`."""
     return split_address(address)[0]
 
 
 def _without_null(value: Any) -> Any:
-    """The value without fields that are null."""
+    """Return a decoded JSON value without the fields that are null."""
     if isinstance(value, dict):
         return {key: _without_null(item) for key, item in value.items() if item is not None}
     return value
 
 
-def _check(settings: ProcessSettings) -> tuple[str, str] | None:
-    """The place and the reason of the first thing that is wrong between fields."""
+def _first_error(settings: ProcessSettings, source: str) -> SettingsError | None:
+    """Return the first violation of a rule that the types do not express."""
     first, last = settings.port_range
-    if not 0 < first < last < 1 << 16:
-        return "port_range", "needs two ports, the second above the first"
-    addresses = [(f"seeds[{index}]", seed) for index, seed in enumerate(settings.seeds)]
-    addresses += [(f"listen.{name}", getattr(settings.listen, name)) for name in Listen.__struct_fields__]
-    addresses.append(("cloud_api.address", settings.cloud_api.address))
-    for place, address in addresses:
+    if not 0 < first < last < PORT_LIMIT:
+        return SettingsError("check", "port_range", "needs two ports, the second above the first", source)
+    for field, address in _addresses(settings):
         if address:
             try:
                 split_address(address)
             except ValueError as error:
-                return place, str(error)
+                return SettingsError("check", field, str(error), source)
     return None
+
+
+def _addresses(settings: ProcessSettings) -> Iterator[tuple[str, str]]:
+    """Yield the field and the value of every address; empty values are not set."""
+    for index, seed in enumerate(settings.seeds):
+        yield f"seeds[{index}]", seed
+    for name in Listen.__struct_fields__:
+        yield f"listen.{name}", getattr(settings.listen, name)
+    yield "cloud_api.address", settings.cloud_api.address
--- a/rosechute/configuration/route_table.py
+++ b/rosechute/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""Look-up of routes and tenants in a configuration."""
+"""Look-up of routes by host and path, and of tenants by API key."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class RouteTable:
-    """The routes by host and prefix, and the tenants by key. Never changes once it is made."""
+    """An immutable index of a configuration."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Index a configuration."""
         self.configuration = configuration
         hosts: dict[str, dict[str, Route]] = {}
         for route in configuration.routes:
@@ -18,30 +19,38 @@
 
     @property
     def has_tenants(self) -> bool:
-        """Whether requests need a key, unless their route is public."""
+        """Return whether requests need an API key, unless their route is public."""
         return bool(self.configuration.tenants)
 
-    def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of this path at this host, which may carry a port."""
+    def find_route(self, host: str, path: str) -> Route | None:
+        """Return the route whose prefix is the longest one that matches.
+
+        Args:
+            host: Value of the `Host` header, with or without a port.
+            path: Path of the request.
+
+        Returns:
+            The route; None if no prefix matches.
+        """
         routes = self._hosts.get(host)
         if routes is None:
             routes = self._hosts.get(host_name(host))
         return None if routes is None else routes.find(path)
 
-    def tenant(self, key: str) -> Tenant | None:
-        """The tenant that holds this key."""
+    def find_tenant(self, key: str) -> Tenant | None:
+        """Return the tenant that an API key belongs to; None if it belongs to none."""
         return self._tenants.get(key)
 
 
 class _HostRoutes:
-    """The routes of one host: a look-up costs one access for each length that a prefix has."""
+    """The routes of one host. A look-up costs one dictionary access for each distinct length of a prefix."""
 
     def __init__(self, routes: dict[str, Route]) -> None:
         self._routes = routes
         self._lengths = sorted({len(prefix) for prefix in routes}, reverse=True)
 
     def find(self, path: str) -> Route | None:
-        """The route with the longest prefix of this path."""
+        """Return the route with the longest prefix of a path; None if no prefix matches."""
         available = len(path)
         for length in self._lengths:
             if length <= available:
@@ -52,7 +61,7 @@
 
 
 def host_name(host: str) -> str:
-    """The name in a `Host` header: without port, in lower case."""
+    """Return the name in a `Host` header, without its port and in lower case; an IPv6 address keeps its brackets."""
     if host.startswith("["):
         return host.partition("]")[0].lower() + "]"
     return host.partition(":")[0].lower()
--- a/rosechute/data_plane/admission.py
+++ b/rosechute/data_plane/admission.py
@@ -176,12 +176,12 @@
 
     def authorize(self, host: str, path: str, credential: str) -> tuple[Route, Tenant | None] | Rejection:
         """Return the route and the tenant of a request; 404 without a route, 401 without a valid credential."""
-        route = self.table.find(host, path)
+        route = self.table.find_route(host, path)
         if route is None:
             return Rejection(404)
         if not self.table.has_tenants:
             return route, None
-        tenant = self.table.tenant(credential) if credential else None
+        tenant = self.table.find_tenant(credential) if credential else None
         if tenant is None and not route.public_access:
             return Rejection(401)
         return route, tenant
--- a/rosechute/processes/early_start.py
+++ b/rosechute/processes/early_start.py
@@ -1,7 +1,8 @@
-"""What holds while a process still starts. To be imported before everything else.
+"""Signal handling and garbage collection while a process starts. Import it before everything else.
 
-Signals: SIGHUP would end it; the settings are read later anyway. SIGTERM ends it at once: it has taken nothing yet.
-Garbage collection is off: nothing that is loaded goes away again; the program turns it on when it has started.
+SIGHUP is ignored: its default would end the process, and the settings are loaded later anyway. SIGTERM ends the
+process at once: it has accepted nothing yet. Garbage collection is off, since nothing that is loaded is freed again;
+the program turns it on when it has started.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 from types import FrameType
 
 
-def _end(number: int, frame: FrameType | None) -> None:
+def _exit_at_once(number: int, frame: FrameType | None) -> None:
     os._exit(0)
 
 
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
-signal.signal(signal.SIGTERM, _end)
+signal.signal(signal.SIGTERM, _exit_at_once)
 gc.disable()
--- a/rosechute/processes/logs.py
+++ b/rosechute/processes/logs.py
@@ -1,7 +1,6 @@
-"""The log of a process: one line an event, on standard error.
+"""Logging of a process: one line per event on standard error, with time, level, module and message.
 
-A line has the time, the level, the module and the message. The level comes from the environment, else from the
-settings, else it is INFO.
+The level is that of the environment, else that of the settings, else INFO.
 """
 
 from __future__ import annotations
@@ -17,20 +16,25 @@
     from loguru import Record
 
 LEVEL_VARIABLE = "ROSECHUTE_LOG_LEVEL"
-"""The environment variable with the lowest level that is written."""
+"""Name of the environment variable with the lowest level that is logged."""
 DEFAULT_LEVEL = "INFO"
 LEVELS = ("TRACE", "DEBUG", "INFO", "SUCCESS", "WARNING", "ERROR", "CRITICAL")
 
 
-def configure_logging(configured: str = "", stream: TextIO | None = None) -> str:
-    """Write events of a level and above to the stream, one line each; return the level.
+def configure_logging(configured_level: str = "", stream: TextIO | None = None) -> str:
+    """Log events of a level and above to a stream, in place of any earlier destination.
 
-    A level that does not exist counts as none, so that a mistake in it never keeps a process from its start.
+    An unknown level counts as absent, so that a typing error in it never prevents a start.
+
+    Args:
+        configured_level: The level in the settings, in any case; empty if there is none.
+        stream: The destination; standard error if it is None.
+
+    Returns:
+        The level in force.
     """
-    level = next(
-        (word for word in (os.environ.get(LEVEL_VARIABLE, "").upper(), configured.upper()) if word in LEVELS),
-        DEFAULT_LEVEL,
-    )
+    candidates = (os.environ.get(LEVEL_VARIABLE, "").upper(), configured_level.upper())
+    level = next((candidate for candidate in candidates if candidate in LEVELS), DEFAULT_LEVEL)
     logger.remove()
     logger.add(
         stream or sys.stderr,
@@ -45,18 +49,18 @@
 
 
 def format_line(record: Record) -> str:
-    """One event in one line; an exception is told by its type, its text and the place where it was raised."""
-    when = record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3]
-    text = f"{when} {record['level'].name} {record['name']} {record['message']}"
-    raised = record["exception"]
-    if raised is not None and raised.value is not None:
-        frames = traceback.extract_tb(raised.traceback)
-        place = f" at {os.path.basename(frames[-1].filename)}:{frames[-1].lineno}" if frames else ""
-        text += f" | {type(raised.value).__name__}: {raised.value}{place}"
+    """Return one line for an event; an exception adds its type, its text and where it was raised."""
+    time = record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3]
+    text = f"{time} {record['level'].name} {record['name']} {record['message']}"
+    exception = record["exception"]
+    if exception is not None and exception.value is not None:
+        frames = traceback.extract_tb(exception.traceback)
+        location = f" at {os.path.basename(frames[-1].filename)}:{frames[-1].lineno}" if frames else ""
+        text += f" | {type(exception.value).__name__}: {exception.value}{location}"
     return text.replace("\r", "\\r").replace("\n", "\\n")
 
 
 def _template(record: Record) -> str:
-    """The format of a record for the logging library."""
+    """Return the format string of a record; the line goes through `extra`, so that its braces are not expanded."""
     record["extra"]["line"] = format_line(record)
     return "{extra[line]}\n"
--- a/rosechute/processes/settings_watch.py
+++ b/rosechute/processes/settings_watch.py
@@ -1,4 +1,4 @@
-"""The settings file of a running process: read again on SIGHUP and whenever the file has changed."""
+"""Reloading of the settings file of a running process: on SIGHUP, and when the file has changed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Differs from the one before where the file has changed."""
+    """Identifies the content of a file without reading it."""
 
     modified_ns: int
     size: int
@@ -26,17 +26,25 @@
 
 
 class SettingsWatch:
-    """The settings in force, and the file that they came from. `apply` is called with those that differ."""
+    """The settings in force, and the file that they are loaded from."""
 
     def __init__(self, settings: ProcessSettings, path: str, apply: Callable[[ProcessSettings], None]) -> None:
+        """Watch a settings file.
+
+        Args:
+            settings: The settings that the process started with.
+            path: The file.
+            apply: Called with the new settings whenever they differ from those in force.
+        """
         self.settings = settings
         self._path = path
         self._apply = apply
-        self._read: FileVersion | None = None  # the settings may be older than the file is now
+        # Unknown at first: the file may have changed since the settings were loaded.
+        self._loaded_version: FileVersion | None = None
 
     def reload(self) -> None:
-        """Read the file now; one that can't be used changes nothing."""
-        self._read = file_version(self._path)
+        """Load the file now; an invalid or missing file leaves the settings in force."""
+        self._loaded_version = file_version(self._path)
         loaded = load_settings(self._path)
         if isinstance(loaded, Failure):
             logger.warning("settings: {}", loaded.failure())
@@ -46,21 +54,21 @@
             logger.info("settings changed")
 
     def reload_if_changed(self) -> None:
-        """Read the file where it has changed since it was read last."""
-        if file_version(self._path) != self._read:
+        """Load the file if it has changed since the last load."""
+        if file_version(self._path) != self._loaded_version:
             self.reload()
 
     async def run(self) -> None:
-        """Look at the file every `POLL_INTERVAL_S`, until cancelled."""
+        """Check the file every `POLL_INTERVAL_S`, until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             self.reload_if_changed()
 
 
 def file_version(path: str) -> FileVersion:
-    """The version of a file, without reading it."""
+    """Return the version of a file; `NO_FILE` if it cannot be found."""
     try:
-        told = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return NO_FILE
-    return FileVersion(told.st_mtime_ns, told.st_size)
+    return FileVersion(status.st_mtime_ns, status.st_size)
--- a/rosechute/processes/state.py
+++ b/rosechute/processes/state.py
@@ -1,4 +1,4 @@
-"""The state of a running process as JSON: `GET /state` at its control or readiness address, and asking for it."""
+"""The state of a running process as JSON: serving `GET /state`, and fetching it from another process."""
 
 from __future__ import annotations
 
@@ -20,71 +20,89 @@
 FETCH_TIMEOUT_S = 3.0
 JSON = "application/json"
 
+Section = Callable[[], Any]
+"""Returns a part of the state without I/O: plain data, a struct or a dataclass."""
+
 
 class ProcessState:
-    """Sections of a process's state by name; each is asked for when the state is."""
+    """The state of this process, in named sections that are computed on each request."""
 
     def __init__(self, settings: ProcessSettings) -> None:
+        """Create a state that holds only what the settings say.
+
+        Args:
+            settings: Settings that the process started with.
+        """
         self._settings = settings
-        self._started = time.monotonic()
-        self._sections: dict[str, Callable[[], Any]] = {}
+        self._started_at = time.monotonic()
+        self._sections: dict[str, Section] = {}
 
-    def add(self, name: str, section: Callable[[], Any]) -> None:
-        """Add a section: a function without I/O that gives plain data, a struct or a dataclass."""
+    def add(self, name: str, section: Section) -> None:
+        """Add a section under a name."""
         self._sections[name] = section
 
     def add_to(self, application: web.Application) -> None:
-        """Answer `GET /state` in this application."""
-        application.router.add_get(STATE_PATH, self._answer)
+        """Serve `GET /state` in an application."""
+        application.router.add_get(STATE_PATH, self._handle)
 
     def collect(self) -> dict[str, Any]:
-        """The state now. A section that fails is told by its error, and costs the others nothing."""
-        found: dict[str, Any] = {
+        """Return the current state; a section that fails is replaced by its error."""
+        state: dict[str, Any] = {
             "node_name": self._settings.node_name,
             "zone": self._settings.zone,
             "serves": self._settings.serves,
             "version": __version__,
             "process": os.getpid(),
-            "running_s": round(time.monotonic() - self._started, 3),
+            "running_s": round(time.monotonic() - self._started_at, 3),
         }
         for name, section in self._sections.items():
             try:
-                found[name] = msgspec.to_builtins(section(), str_keys=True)
-            except Exception as error:
-                found[name] = {"error": f"{type(error).__name__}: {error}"}
-        return found
+                state[name] = msgspec.to_builtins(section(), str_keys=True)
+            except Exception as error:  # the state is read to find faults: one must not hide the other sections
+                state[name] = {"error": f"{type(error).__name__}: {error}"}
+        return state
 
-    async def _answer(self, request: web.Request) -> web.Response:
+    async def _handle(self, request: web.Request) -> web.Response:
         return web.Response(body=msgspec.json.encode(self.collect()), content_type=JSON)
 
 
 @dataclass(frozen=True, slots=True)
 class StateError:
-    """Why a process did not tell its state."""
+    """Why the state of a process could not be fetched. Returned as the failure of a `Result`, not raised."""
 
     step: str
-    """`connect`, `answer` or `decode`."""
+    """The step that failed: `connect`, `answer` or `decode`."""
     peer: str
+    """The address that was asked, `host:port`."""
     reason: str
+    """One sentence."""
 
     def __str__(self) -> str:
+        """Return the error in one line, as the command line shows it."""
         return f"{self.peer}: {self.step}: {self.reason}"
 
 
 async def fetch_state(address: str) -> Result[dict[str, Any], StateError]:
-    """The state of the process at a control or readiness address."""
+    """Fetch the state of a process.
+
+    Args:
+        address: Its control or readiness address, `host:port`.
+
+    Returns:
+        The sections by name, or the error of the step that failed, after `FETCH_TIMEOUT_S` at the latest.
+    """
     try:
         async with (
             aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=FETCH_TIMEOUT_S)) as session,
-            session.get(f"http://{address}{STATE_PATH}") as answer,
+            session.get(f"http://{address}{STATE_PATH}") as response,
         ):
-            body = await answer.read()
+            body = await response.read()
     except aiohttp.ClientConnectorError as error:
         return Failure(StateError("connect", address, os.strerror(error.os_error.errno or 0)))
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
         return Failure(StateError("answer", address, str(error) or f"nothing within {FETCH_TIMEOUT_S:g} s"))
-    if answer.status != 200:
-        return Failure(StateError("answer", address, f"status {answer.status}"))
+    if response.status != 200:
+        return Failure(StateError("answer", address, f"status {response.status}"))
     try:
         return Success(msgspec.json.decode(body, type=dict[str, Any]))
     except msgspec.DecodeError as error:
--- a/tests/fleet/test_configuration_operator.py
+++ b/tests/fleet/test_configuration_operator.py
@@ -1,4 +1,4 @@
-"""What the operator's configuration may hold, and what makes it invalid."""
+"""Unit tests of `configuration.operator`: decoding and validating the operator's configuration."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 
 
 def parsed(value: Any) -> Configuration:
-    """The configuration, which must be valid."""
+    """Return the configuration, which must be valid."""
     result = parse_configuration(encode(value))
     if not isinstance(result, Success):
-        raise AssertionError(f"refused: {result}")
+        raise AssertionError(f"rejected: {result}")
     return result.unwrap()
 
 
-def problem(body: bytes) -> ConfigurationError:
-    """What is wrong with the configuration, which must be invalid."""
+def error_of(body: bytes) -> ConfigurationError:
+    """Return the error of a configuration, which must be invalid."""
     result = parse_configuration(body)
     if not isinstance(result, Failure):
-        raise AssertionError(f"taken: {result}")
+        raise AssertionError(f"accepted: {result}")
     return result.failure()
 
 
 def changed(change: Change) -> bytes:
-    """The sample after a change."""
+    """Return the sample after a change."""
     value = configuration()
     change(value)
     return encode(value)
 
 
-class Valid(unittest.TestCase):
-    """Configurations that must be taken."""
+class ValidConfigurationTest(unittest.TestCase):
+    """Configurations that must be accepted."""
 
     def test_every_field_is_read(self) -> None:
         read = parsed(configuration())
@@ -109,21 +109,21 @@
         self.assertEqual(parsed(value).routes[1].timeout_ms, 0.5)
 
 
-class Invalid(unittest.TestCase):
-    """Configurations that must be refused, with the place that is named."""
+class InvalidConfigurationTest(unittest.TestCase):
+    """Configurations that must be rejected, with the field that the error names."""
 
-    def assert_refused(self, place: str, change: Change) -> None:
-        found = problem(changed(change))
-        self.assertEqual(found.field, place, str(found))
+    def assert_rejected(self, field: str, change: Change) -> None:
+        found = error_of(changed(change))
+        self.assertEqual(found.field, field, str(found))
         self.assertTrue(found.reason)
 
-    def test_cut_short_at_every_byte(self) -> None:
+    def test_truncated_at_every_byte(self) -> None:
         body = encode(configuration())
         for length in range(len(body)):
-            self.assertEqual(problem(body[:length]).step, "decode")
+            self.assertEqual(error_of(body[:length]).step, "decode")
 
     def test_bytes_after_the_end(self) -> None:
-        self.assertEqual(problem(encode(configuration()) + b"}").step, "decode")
+        self.assertEqual(error_of(encode(configuration()) + b"}").step, "decode")
 
     def test_not_text(self) -> None:
         for body in (
@@ -135,18 +135,18 @@
             b'{"config_version":1,"routes":[{"host":"\xff"}]}',
             b"[" * 100_000,
         ):
-            self.assertEqual(problem(body).step, "decode", body[:20])
+            self.assertEqual(error_of(body).step, "decode", body[:20])
 
     def test_fields_that_must_be_there(self) -> None:
         for field in ("config_version", "routes", "services"):
-            self.assert_refused("", lambda value, field=field: value.pop(field))
+            self.assert_rejected("", lambda value, field=field: value.pop(field))
         for field in ("host", "path_prefix", "timeout_ms"):
-            self.assert_refused("routes[1]", lambda value, field=field: value["routes"][1].pop(field))
-        self.assert_refused("services[1]", lambda value: value["services"][1].pop("name"))
-        self.assert_refused("tenants[0]", lambda value: value["tenants"][0].pop("name"))
+            self.assert_rejected("routes[1]", lambda value, field=field: value["routes"][1].pop(field))
+        self.assert_rejected("services[1]", lambda value: value["services"][1].pop("name"))
+        self.assert_rejected("tenants[0]", lambda value: value["tenants"][0].pop("name"))
 
     def test_wrong_types(self) -> None:
-        for place, change in (
+        for field, change in (
             ("config_version", lambda value: value.update(config_version="4")),
             ("config_version", lambda value: value.update(config_version=True)),
             ("config_version", lambda value: value.update(config_version=-1)),
@@ -163,29 +163,29 @@
             ("tenants[0].api_keys[1]", lambda value: value["tenants"][0]["api_keys"].__setitem__(1, 7)),
             ("services[0].engine", lambda value: value["services"][0].update(engine="large")),
         ):
-            with self.subTest(place):
-                self.assert_refused(place, change)
+            with self.subTest(field):
+                self.assert_rejected(field, change)
 
     def test_unknown_services(self) -> None:
-        self.assert_refused("routes[1].service", lambda value: value["routes"][1].update(service="lost"))
-        self.assert_refused(
+        self.assert_rejected("routes[1].service", lambda value: value["routes"][1].update(service="lost"))
+        self.assert_rejected(
             "routes[0].traffic_split[1].service",
             lambda value: value["routes"][0]["traffic_split"][1].update(service="lost"),
         )
-        self.assert_refused("routes[0].traffic_split[1].service", lambda value: value["services"].pop(1))
+        self.assert_rejected("routes[0].traffic_split[1].service", lambda value: value["services"].pop(1))
 
     def test_an_unknown_service_with_no_weight(self) -> None:
-        self.assert_refused(
+        self.assert_rejected(
             "routes[0].traffic_split[1].service",
             lambda value: value["routes"][0]["traffic_split"][1].update(service="lost", weight=0),
         )
 
     def test_no_service_at_all(self) -> None:
-        self.assert_refused("routes[1].service", lambda value: value["routes"][1].pop("service"))
-        self.assert_refused("routes[0].service", lambda value: value["routes"][0].update(traffic_split=[]))
+        self.assert_rejected("routes[1].service", lambda value: value["routes"][1].pop("service"))
+        self.assert_rejected("routes[0].service", lambda value: value["routes"][0].update(traffic_split=[]))
 
     def test_same_place(self) -> None:
-        self.assert_refused("routes[1].path_prefix", lambda value: value["routes"][1].update(path_prefix="/berths/"))
+        self.assert_rejected("routes[1].path_prefix", lambda value: value["routes"][1].update(path_prefix="/berths/"))
 
     def test_weights(self) -> None:
         def weights(*values: float) -> Change:
@@ -194,27 +194,27 @@
 
             return change
 
-        self.assert_refused("routes[0].traffic_split", weights(0))
-        self.assert_refused("routes[0].traffic_split", weights(0, 0, 0))
-        self.assert_refused("routes[0].traffic_split[1].weight", weights(5, -1))
-        self.assert_refused("routes[0].traffic_split[1].weight", weights(1, -1))
+        self.assert_rejected("routes[0].traffic_split", weights(0))
+        self.assert_rejected("routes[0].traffic_split", weights(0, 0, 0))
+        self.assert_rejected("routes[0].traffic_split[1].weight", weights(5, -1))
+        self.assert_rejected("routes[0].traffic_split[1].weight", weights(1, -1))
 
     def test_timeout(self) -> None:
         for timeout in (0, -1, 0.0):
-            self.assert_refused(
+            self.assert_rejected(
                 "routes[1].timeout_ms", lambda value, timeout=timeout: value["routes"][1].update(timeout_ms=timeout)
             )
 
     def test_shared_key(self) -> None:
-        self.assert_refused("tenants[1].api_keys[0]", lambda value: value["tenants"][1].update(api_keys=["k-two"]))
+        self.assert_rejected("tenants[1].api_keys[0]", lambda value: value["tenants"][1].update(api_keys=["k-two"]))
 
     def test_names_that_occur_twice(self) -> None:
-        self.assert_refused(
+        self.assert_rejected(
             "services[2].name", lambda value: value["services"].append(copy.deepcopy(value["services"][0]))
         )
-        self.assert_refused("tenants[1].name", lambda value: value["tenants"][1].update(name="ferries"))
-        self.assert_refused("routes[1].name", lambda value: value["routes"][1].update(name="berths"))
+        self.assert_rejected("tenants[1].name", lambda value: value["tenants"][1].update(name="ferries"))
+        self.assert_rejected("routes[1].name", lambda value: value["routes"][1].update(name="berths"))
 
-    def test_the_problem_is_told_in_one_line(self) -> None:
-        text = str(problem(changed(lambda value: value["routes"][1].update(service="lost"))))
+    def test_an_error_is_one_line(self) -> None:
+        text = str(error_of(changed(lambda value: value["routes"][1].update(service="lost"))))
         self.assertEqual(text, "check: routes[1].service: no service is named 'lost'")
--- a/tests/fleet/test_configuration_process.py
+++ b/tests/fleet/test_configuration_process.py
@@ -1,4 +1,4 @@
-"""The settings file of a process."""
+"""Unit tests of `configuration.process`: loading and validating a settings file."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 def read(value: Any) -> process.ProcessSettings:
-    """The settings, which must be usable."""
+    """Return the settings, which must be valid."""
     result = process.decode_settings(encode(value), "node.json")
     if not isinstance(result, Success):
-        raise AssertionError(f"refused: {result}")
+        raise AssertionError(f"rejected: {result}")
     return result.unwrap()
 
 
-def problem(value: Any) -> SettingsError:
-    """What is wrong with the settings, which must not be usable."""
+def error_of(value: Any) -> SettingsError:
+    """Return the error of settings, which must be invalid."""
     result = process.decode_settings(encode(value), "node.json")
     if not isinstance(result, Failure):
-        raise AssertionError(f"taken: {result}")
+        raise AssertionError(f"accepted: {result}")
     return result.failure()
 
 
-class Reading(unittest.TestCase):
+class ValidSettingsTest(unittest.TestCase):
     """Fields, defaults and addresses."""
 
     def test_fields(self) -> None:
@@ -64,11 +64,11 @@
         self.assertEqual(found.seed_peers, ("127.0.2.1:7100", "127.0.2.2:7100"))
 
 
-class Problems(unittest.TestCase):
-    """Settings that cannot be used, with step, place and file."""
+class InvalidSettingsTest(unittest.TestCase):
+    """Settings that must be rejected, with step, field and file."""
 
-    def test_place(self) -> None:
-        for place, change in (
+    def test_fields_of_errors(self) -> None:
+        for field, change in (
             ("ip", {"ip": 4}),
             ("limits.memory_mb", {"limits": {"memory_mb": "much"}}),
             ("bounds.drain_ms", {"bounds": {"drain_ms": []}}),
@@ -78,14 +78,14 @@
             ("listen.front", {"listen": {"front": "127.0.3.1:http"}}),
             ("cloud_api.address", {"cloud_api": {"address": ":80"}}),
         ):
-            with self.subTest(place):
-                found = problem(settings() | change)
-                self.assertEqual((found.field, found.source), (place, "node.json"), str(found))
+            with self.subTest(field):
+                found = error_of(settings() | change)
+                self.assertEqual((found.field, found.source), (field, "node.json"), str(found))
 
     def test_a_field_that_must_be_there(self) -> None:
         value = settings()
         del value["node_name"]
-        self.assertEqual(str(problem(value)), "node.json: decode: Object missing required field `node_name`")
+        self.assertEqual(str(error_of(value)), "node.json: decode: Object missing required field `node_name`")
 
     def test_what_a_side_needs(self) -> None:
         found = read(settings())
--- a/tests/fleet/test_configuration_routes.py
+++ b/tests/fleet/test_configuration_routes.py
@@ -33,7 +33,7 @@
         self.table = RouteTable(parsed(configuration()))
 
     def name(self, host: str, path: str) -> str | None:
-        route = self.table.find(host, path)
+        route = self.table.find_route(host, path)
         return None if route is None else route.name
 
     def test_longest_prefix(self) -> None:
@@ -66,14 +66,14 @@
             table = RouteTable(Configuration(config_version=1, routes=routes, services=(Service(name="s"),)))
             for _ in range(40):
                 host, path = source.choice(HOSTS), random_prefix(source) + source.choice(("", "x", "end"))
-                self.assertIs(table.find(host, path), longest(routes, host, path))
+                self.assertIs(table.find_route(host, path), longest(routes, host, path))
 
     def test_tenants(self) -> None:
         self.assertTrue(self.table.has_tenants)
-        found = self.table.tenant("k-two")
+        found = self.table.find_tenant("k-two")
         self.assertEqual(found and found.name, "ferries")
-        self.assertIsNone(self.table.tenant("k-four"))
-        self.assertIsNone(self.table.tenant(""))
+        self.assertIsNone(self.table.find_tenant("k-four"))
+        self.assertIsNone(self.table.find_tenant(""))
 
     def test_without_tenants(self) -> None:
         value = configuration()
--- a/tests/fleet/test_processes_logs.py
+++ b/tests/fleet/test_processes_logs.py
@@ -1,4 +1,4 @@
-"""One line an event, at the level that was asked for."""
+"""Unit tests of `processes.logs`: one line per event, at the configured level."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Logs(unittest.TestCase):
-    """What is written, and what is not."""
+    """Which events are logged, and how."""
 
     def setUp(self) -> None:
         self.stream = io.StringIO()
@@ -27,7 +27,7 @@
         (line,) = self.lines()
         self.assertRegex(line, r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3} INFO \S+ first\\nsecond 3$")
 
-    def test_an_exception_is_told_in_the_same_line(self) -> None:
+    def test_an_exception_is_logged_in_the_same_line(self) -> None:
         logs.configure_logging(stream=self.stream)
         try:
             raise ValueError("no\nport")
--- a/tests/fleet/test_processes_settings_watch.py
+++ b/tests/fleet/test_processes_settings_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the settings file, which the core's and the edge's program share."""
+"""Unit tests of `processes.settings_watch`, which the core and the edge program share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.processes.settings_watch")  # files that can't be used are told
+    logger.disable("rosechute.processes.settings_watch")  # it warns of invalid files
 
 
 def tearDownModule() -> None:
@@ -24,16 +24,16 @@
 
 class SettingsWatchTest(TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = str(Path(folder.name) / "node.json")
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = str(Path(directory.name) / "node.json")
         self.writes = 0
         self.write(zone="a")
         self.applied: list[ProcessSettings] = []
         self.watch = SettingsWatch(load_settings(self.path).unwrap(), self.path, self.applied.append)
 
     def write(self, **changed: object) -> None:
-        """Each writing gets a time of its own, however fast they follow each other."""
+        """Write the file with a modification time of its own, however fast writes follow each other."""
         settings = {
             "node_name": "n",
             "ip": "10.0.0.1",
--- a/tests/fleet/test_processes_state.py
+++ b/tests/fleet/test_processes_state.py
@@ -1,4 +1,4 @@
-"""The state of a process, and asking for it."""
+"""Unit tests of `processes.state`: collecting sections, and fetching them from another process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     routes: int
 
 
-def asked(application: web.Application) -> Result[dict[str, Any], StateError]:
+def fetched(application: web.Application) -> Result[dict[str, Any], StateError]:
     """Serve this application at a free port of loopback and ask for its state."""
 
     async def exchange() -> Result[dict[str, Any], StateError]:
@@ -39,7 +39,7 @@
 
 
 class Sections(unittest.TestCase):
-    """What a process tells."""
+    """The sections of a state."""
 
     def setUp(self) -> None:
         self.state = ProcessState(read(settings()))
@@ -58,19 +58,19 @@
         self.assertEqual(found["well"], {"1": "one"})
 
 
-class Asking(unittest.TestCase):
-    """What the command line gets."""
+class Fetching(unittest.TestCase):
+    """What the command line gets from a process."""
 
     def test_a_running_process(self) -> None:
         application = web.Application()
         ProcessState(read(settings())).add_to(application)
-        found = asked(application)
+        found = fetched(application)
         self.assertIsInstance(found, Success)
         self.assertEqual(found.unwrap()["node_name"], "edge-pier-1")
 
     def test_an_address_without_a_state(self) -> None:
-        problem = asked(web.Application()).failure()
-        self.assertEqual((problem.step, problem.reason), ("answer", "status 404"))
+        error = fetched(web.Application()).failure()
+        self.assertEqual((error.step, error.reason), ("answer", "status 404"))
 
     def test_an_answer_that_is_none(self) -> None:
         async def odd(request: web.Request) -> web.Response:
@@ -78,7 +78,7 @@
 
         application = web.Application()
         application.router.add_get("/state", odd)
-        self.assertEqual(asked(application).failure().step, "decode")
+        self.assertEqual(fetched(application).failure().step, "decode")
 
     def test_nobody_there(self) -> None:
         async def closed_port() -> int:
