--- a/rosechute/coordination/acceptor.py
+++ b/rosechute/coordination/acceptor.py
@@ -88,11 +88,8 @@
     def _send_accepted(self, sender: MachineIdentity, epoch: int, ballot: Ballot) -> None:
         """Send phase 2b."""
         replica_state = self._context.replica_state
-        if (
-            replica_state.view.epoch != epoch
-            or replica_state.accepted is None
-            or replica_state.accepted.ballot != ballot
-        ):
+        proposal = replica_state.accepted
+        if replica_state.view.epoch != epoch or proposal is None or proposal.ballot != ballot:
             return
         accepted = pb.Accepted(epoch=epoch, ballot=ballot.to_message())
         self._context.outbox.send(sender, pb.CoreMessage(accepted=accepted))
--- a/rosechute/coordination/membership.py
+++ b/rosechute/coordination/membership.py
@@ -1,4 +1,4 @@
-"""The views of this machine: adopting them, catching up, and proposing the next one."""
+"""Membership: the current view of this machine, the adoption of a new one, and when to propose the next."""
 
 from __future__ import annotations
 
@@ -7,21 +7,46 @@
 
 from rosechute.coordination.acceptor import Acceptor
 from rosechute.coordination.chain import Chain
+from rosechute.coordination.cluster_status import ClusterStatus, observe_cluster
 from rosechute.coordination.context import Context
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.planning import Joiner, Situation, any_view, needed_view
+from rosechute.coordination.planning import next_view_if_needed, next_view_of_sealed_epoch
 from rosechute.coordination.proposer import Phase, Proposer
 from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import Ballot, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
-FETCH_PAUSE_S = 0.1
+FETCH_INTERVAL_S = 0.1  # at least, between two requests of a machine for the state of others
 
 
 class Membership:
-    """The current view, and the change to the next one."""
+    """The view of this machine, and the change to the next one.
+
+    Who calls whom:
+
+    - `Replica` calls the public methods: `adopt` at the bootstrap of a cluster, `tick` with time, `on_chosen`,
+      `on_decided` and `on_fetch` for messages, and after each heartbeat `activate_chain_if_ready` and
+      `fetch_if_behind`. Messages for the proposer go to `proposer` directly.
+    - `Membership` owns the `Proposer`, and begins and stops its attempts. The proposer calls back `_choose_view` once
+      a majority has promised, and `_on_decision` once a view is decided.
+    - When a view is adopted, `Membership` makes `LeaseGrantor` abstain where this machine joins the acceptors, and
+      tells `Chain` and `EpochConfirmer` that the old epoch is over. `RecordWriter` calls back `_on_adoption_synced`.
+    - `Acceptor.sealed_since` and `LeaderLease` are only read, to decide whether to propose.
+
+    Args:
+        context: what the parts of a replica share.
+        acceptor: the acceptor of this machine.
+        chain: this machine's part in the replication chain.
+        confirmer: the epoch confirmations that this machine has requested.
+        lease_grantor: the grants of this machine.
+        leader_lease: the leader lease of this machine.
+        on_committed: called when the committed configuration may have changed.
+
+    Attributes:
+        proposer: the proposer of this machine.
+    """
 
     def __init__(
         self,
@@ -29,175 +54,145 @@
         acceptor: Acceptor,
         chain: Chain,
         confirmer: EpochConfirmer,
-        grantor: LeaseGrantor,
-        holder: LeaderLease,
-        committed: Callable[[], None],
+        lease_grantor: LeaseGrantor,
+        leader_lease: LeaderLease,
+        on_committed: Callable[[], None],
     ) -> None:
         self._context = context
         self._acceptor = acceptor
         self._chain = chain
         self._confirmer = confirmer
-        self._lease_grantor = grantor
-        self._leader_lease = holder
-        self._committed = committed
-        self._last_fetch = 0.0
+        self._lease_grantor = lease_grantor
+        self._leader_lease = leader_lease
+        self._on_committed = on_committed
+        self._last_fetch_at = 0.0
         self.proposer = Proposer(context, self._choose_view, self._on_decision)
 
-    def adopt(self, view: View, state: RegisterState, accepted: Ballot | None = None) -> None:
-        """Take over a decided view with its state."""
+    def adopt(self, view: View, state: RegisterState, accepted_ballot: Ballot | None = None) -> None:
+        """Adopt a decided view with the register state that it starts from.
+
+        Args:
+            view: the decided view.
+            state: the register state.
+            accepted_ballot: ballot of the accepted proposal that holds both, so that its ballot suffices as a record.
+        """
         context = self._context
-        joins = context.replica_state.joins(view)
-        if accepted is not None:
-            record = pb.AdoptRecord(accepted=accepted.to_message())
+        is_joining = context.replica_state.joins(view)
+        if accepted_ballot is not None:
+            record = pb.AdoptRecord(accepted=accepted_ballot.to_message())
         else:
             record = pb.AdoptRecord(view=view.to_message(), state=state.to_message())
-        context.record_writer.write(pb.Record(adopt=record), partial(self._adopted, view.epoch))
-        if joins:
+        context.record_writer.write(pb.Record(adopt=record), partial(self._on_adoption_synced, view.epoch))
+        if is_joining:
             self._lease_grantor.abstain()
-        self._committed()
+        self._on_committed()
         self.proposer.stop()
         self._chain.on_view_change()
         self._confirmer.reject_all()
 
-    def _adopted(self, epoch: int) -> None:
-        """The adoption of a view is synced."""
+    def _on_adoption_synced(self, epoch: int) -> None:
         context = self._context
         if context.replica_state.view.epoch == epoch:
             context.adopted_epoch = context.joined_epoch = epoch
             context.heartbeat_due = True
-            self.check_active()
+            self.activate_chain_if_ready()
 
-    def check_active(self) -> None:
-        """At the head: see whether all members of the chain have adopted the epoch."""
+    def activate_chain_if_ready(self) -> None:
+        """As the head, accept writes once all members of the chain have adopted the epoch."""
         context = self._context
         view = context.replica_state.view
         if self._chain.is_active or not view.chain or view.chain[0] != context.own.id:
             return
         if context.joined_epoch != view.epoch or not context.is_epoch_adopted:
             return
-        for member in view.chain[1:]:
-            peer = context.failure_detector.peers.get(member)
-            if peer is None or peer.heartbeat.epoch != view.epoch or not peer.heartbeat.joined:
-                return
-        self._chain.activate()
+        if all(self._has_adopted(member) for member in view.chain[1:]):
+            self._chain.activate()
+
+    def _has_adopted(self, machine_id: str) -> bool:
+        """Return whether the running process of another machine has adopted the current epoch."""
+        peer = self._context.failure_detector.peers.get(machine_id)
+        if peer is None:
+            return False
+        return peer.heartbeat.epoch == self._context.replica_state.view.epoch and peer.heartbeat.joined
 
     def on_chosen(self, chosen: pb.Chosen) -> None:
-        """The proposal of this ballot is decided."""
+        """Adopt the view of a proposal that this machine has accepted, now that it is decided."""
         replica_state = self._context.replica_state
         ballot = Ballot.from_message(chosen.ballot)
-        if (
-            chosen.epoch != replica_state.view.epoch
-            or replica_state.accepted is None
-            or replica_state.accepted.ballot != ballot
-        ):
+        accepted = replica_state.accepted
+        if chosen.epoch != replica_state.view.epoch or accepted is None or accepted.ballot != ballot:
             return
-        self.adopt(replica_state.accepted.view, replica_state.accepted.state, ballot)
+        self.adopt(accepted.view, accepted.state, ballot)
 
     def on_decided(self, decided: pb.Decided) -> None:
-        """A decided view came whole, with a state of it that stays."""
+        """Adopt a newer view; outside of the chain, also store a newer committed state of the current one."""
         context, replica_state = self._context, self._context.replica_state
         view, state = decided.view, decided.state
         if view.epoch > replica_state.view.epoch:
             self.adopt(View.from_message(view), RegisterState.from_message(state))
-        elif not context.is_in_chain and (view.epoch, state.sequence) > (
-            replica_state.view.epoch,
-            replica_state.newest.sequence,
-        ):
-            # Members of the chain get writes in order, through the chain.
+            return
+        known = (replica_state.view.epoch, replica_state.newest.sequence)
+        # Members of the chain receive writes in order, through the chain.
+        if not context.is_in_chain and (view.epoch, state.sequence) > known:
             context.record_writer.write(pb.Record(learn=pb.LearnRecord(state=state)))
-            self._committed()
+            self._on_committed()
 
-    def fetch_if_behind(self, sender: MachineIdentity, beat: pb.Heartbeat) -> None:
-        """Ask a machine for what it has and this one lacks."""
+    def fetch_if_behind(self, sender: MachineIdentity, heartbeat: pb.Heartbeat) -> None:
+        """Request the view and state of a machine whose heartbeat shows that this one is behind."""
         context, replica_state = self._context, self._context.replica_state
-        epoch, committed = replica_state.view.epoch, replica_state.committed.sequence
-        missing = not context.is_in_chain and beat.committed > replica_state.newest.sequence
-        behind = beat.epoch > epoch or (beat.epoch == epoch and missing)
-        if behind and context.now - self._last_fetch >= FETCH_PAUSE_S:
-            self._last_fetch = context.now
-            context.outbox.send(sender, pb.CoreMessage(fetch=pb.Fetch(epoch=epoch, sequence=committed)))
+        epoch = replica_state.view.epoch
+        is_state_behind = not context.is_in_chain and heartbeat.committed > replica_state.newest.sequence
+        is_behind = heartbeat.epoch > epoch or (heartbeat.epoch == epoch and is_state_behind)
+        if is_behind and context.now - self._last_fetch_at >= FETCH_INTERVAL_S:
+            self._last_fetch_at = context.now
+            fetch = pb.Fetch(epoch=epoch, sequence=replica_state.committed.sequence)
+            context.outbox.send(sender, pb.CoreMessage(fetch=fetch))
 
     def on_fetch(self, sender: MachineIdentity, fetch: pb.Fetch) -> None:
-        """Another machine lacks what this one has."""
+        """Send the current view and committed state to a machine that is behind."""
         replica_state = self._context.replica_state
         if (replica_state.view.epoch, replica_state.committed.sequence) > (fetch.epoch, fetch.sequence):
             decided = pb.Decided(view=replica_state.view.to_message(), state=replica_state.committed.to_message())
             self._context.outbox.send(sender, pb.CoreMessage(decided=decided))
 
     def tick(self) -> None:
-        """Repeat what was not answered, and see whether the view is right."""
+        """Drive the proposer, propose the next view where one is needed, and activate the chain."""
         self.proposer.tick()
-        self._consider()
-        self.check_active()
+        self._propose_if_needed()
+        self.activate_chain_if_ready()
 
-    def _consider(self) -> None:
+    def _propose_if_needed(self) -> None:
         """Propose the next view: as the leader when one is needed, as any acceptor when an epoch stays sealed."""
         context = self._context
         if self.proposer.phase is not Phase.IDLE or not context.is_acceptor or not context.is_healthy:
             return
         if self._leader_lease.is_held(context.now):
-            if context.replica_state.sealed or needed_view(context.replica_state.view, self._situation()) is not None:
+            if context.replica_state.sealed or self._is_next_view_needed():
                 self.proposer.begin()
         elif context.replica_state.sealed:
-            wait = context.timing.recover_sealed + context.timing.heartbeat * self._context.chain_position()
-            if context.now - self._acceptor.sealed_since >= wait:
+            # Acceptors take turns in the order of the chain, so that their proposals do not collide.
+            wait_s = context.timing.recover_sealed + context.timing.heartbeat * context.chain_position()
+            if context.now - self._acceptor.sealed_since >= wait_s:
                 self.proposer.begin()
 
-    def _choose_view(self, answering: set[str]) -> View:
-        """The view to propose, now that the epoch is sealed."""
+    def _is_next_view_needed(self) -> bool:
+        return next_view_if_needed(self._context.replica_state.view, self._status()) is not None
+
+    def _choose_view(self, promised_ids: set[str]) -> View:
+        """Return the view to propose, now that a majority has sealed the epoch."""
         context = self._context
         view = context.replica_state.view
-        situation = self._situation()
-        chosen = any_view(view, situation, answering)
+        chosen = next_view_of_sealed_epoch(view, self._status(), promised_ids)
         for member in view.chain:
             if member not in chosen.chain and not context.failure_detector.is_healthy(member):
                 context.failure_detector.record_removal(context.now, member)
         return chosen
 
     def _on_decision(self, proposal: Proposal) -> None:
+        """Adopt the decided proposal: by its ballot where this machine has accepted it, else as a whole."""
         self.on_chosen(pb.Chosen(epoch=proposal.view.epoch - 1, ballot=proposal.ballot.to_message()))
         if self._context.replica_state.view.epoch < proposal.view.epoch:
             self.adopt(proposal.view, proposal.state)
 
-    def _situation(self) -> Situation:
-        context = self._context
-        detector, view, now = context.failure_detector, context.replica_state.view, context.now
-        usable, restarted, joiners = {context.own.id}, set(), []
-        leaving, returning = set(), set()
-        for machine_id, peer in detector.peers.items():
-            if peer.heartbeat.leaving and detector.is_reachable(now, machine_id):
-                leaving.add(machine_id)
-            if peer.is_healthy:
-                returning.add(machine_id)
-            stays = machine_id in view.chain and peer.is_healthy
-            if stays or detector.is_readmittable(now, machine_id):
-                usable.add(machine_id)
-                if not view.is_acceptor(machine_id):
-                    joiners.append(Joiner(peer.identity, peer.heartbeat.newcomer))
-            if peer.is_healthy and peer.heartbeat.epoch == view.epoch and not peer.heartbeat.joined:
-                restarted.add(machine_id)
-        if context.joined_epoch != view.epoch and context.adopted_epoch == view.epoch:
-            restarted.add(context.own.id)
-        for member in view.chain:
-            if detector.silence_s(now, member) < context.timing.suspect and member not in detector.peers:
-                usable.add(member)  # not heard yet since this machine started
-        return Situation(
-            own=context.own.id,
-            usable=usable,
-            restarted=restarted,
-            joiners=joiners,
-            details=self._details,
-            leaving=leaving,
-            returning=returning,
-            silence_s=partial(detector.silence_s, now),
-            silent_removed=context.timing.silent_removed,
-            suspect=context.timing.suspect,
-            conflicts=detector.unreachable_pairs(now),
-            granting=self._leader_lease.count_granting_acceptors(),
-        )
-
-    def _details(self, machine_id: str) -> MachineIdentity | None:
-        if machine_id == self._context.own.id:
-            return self._context.own
-        peer = self._context.failure_detector.peers.get(machine_id)
-        return peer.identity if peer is not None else None
+    def _status(self) -> ClusterStatus:
+        return observe_cluster(self._context, self._leader_lease.count_granting_acceptors())
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -1,142 +1,138 @@
-"""Which view should follow the current one."""
+"""Planning of the next view (reconfiguration): which acceptors, and which chain, should follow the current ones.
+
+Pure functions of the current view and of the status of the machines. One view changes at most one acceptor, so any
+majority of the old acceptors shares a machine with any majority of the new ones.
+"""
 
 from __future__ import annotations
 
 import itertools
-from collections.abc import Callable, Collection, Sequence
-from dataclasses import dataclass, replace
+from collections.abc import Collection
+from dataclasses import replace
 
+from rosechute.coordination.cluster_status import ClusterStatus, JoinCandidate
 from rosechute.coordination.types import MachineIdentity
 from rosechute.coordination.views import View
 
 
-@dataclass(frozen=True, slots=True)
-class Joiner:
-    """A machine that is not an acceptor and asks to be one."""
-
-    identity: MachineIdentity
-    newcomer: bool  # it started with the system: the view grows for it
-
-
-@dataclass(frozen=True, slots=True)
-class Situation:
-    """What the proposer knows of the machines."""
-
-    own: str
-    usable: Collection[str]  # may be in the chain
-    restarted: Collection[str]  # members of the chain that have to adopt a view anew
-    joiners: Sequence[Joiner]
-    details: Callable[
-        [str], MachineIdentity | None
-    ]  # newest identity of a machine: the first view knows addresses only
-    leaving: Collection[str]  # acceptors whose processes are about to end
-    returning: Collection[str]  # healthy, but not for long enough: in the chain only where it lacks a majority
-    silence_s: Callable[[str], float]
-    silent_removed: float
-    suspect: float
-    conflicts: Collection[tuple[str, str]]
-    granting: int  # acceptors that grant the leader lease to this machine
-
+def next_view_if_needed(view: View, status: ClusterStatus) -> View | None:
+    """Return the view that should follow, or None where the current one is right.
 
-def needed_view(view: View, situation: Situation) -> View | None:
-    """The view that should follow, without its base; None where the current one is right."""
-    for planned in _plans(view, situation):
-        if planned is None:
+    The base state and the leader term of the result are those of the current view; the proposer sets them.
+    """
+    for plan in _plans(view, status):
+        if plan is None:
             continue
-        if planned.chain != view.chain or planned.acceptors != view.acceptors:
-            return planned
-        if set(planned.chain) & set(situation.restarted):
-            return planned
+        if plan.chain != view.chain or plan.acceptors != view.acceptors:
+            return plan
+        if set(plan.chain) & set(status.restarted_ids):
+            return plan
         return None
     return None
 
 
-def any_view(view: View, situation: Situation, answering: Collection[str]) -> View:
-    """A view for an epoch that is sealed already: the best one, else one of the machines that have answered."""
-    for planned in _plans(view, situation):
-        if planned is not None:
-            return planned
-    chain = [each for each in view.chain if each in answering]
-    chain += [each.id for each in view.acceptors if each.id in answering and each.id not in chain]
+def next_view_of_sealed_epoch(view: View, status: ClusterStatus, promised_ids: Collection[str]) -> View:
+    """Return a view to follow an epoch that is sealed: the best one, else one of the machines that have promised."""
+    for plan in _plans(view, status):
+        if plan is not None:
+            return plan
+    chain = [machine_id for machine_id in view.chain if machine_id in promised_ids]
+    chain += [each.id for each in view.acceptors if each.id in promised_ids and each.id not in chain]
     return replace(view, epoch=view.epoch + 1, chain=tuple(chain))
 
 
-def _plans(view: View, situation: Situation) -> list[View | None]:
-    """With a change of the acceptors, and without one."""
-    known = _with_details(view, situation)
-    changed = _change_acceptors(known, situation)
-    plans = [_with_chain(changed, situation)] if changed is not None else []
-    return [*plans, _with_chain(known, situation)]
+def _plans(view: View, status: ClusterStatus) -> list[View | None]:
+    """Return the possible next views, best first: with a change of the acceptors, and without one."""
+    updated = _with_newest_identities(view, status)
+    changed = _change_acceptors(updated, status)
+    plans = [_with_chain(changed, status)] if changed is not None else []
+    return [*plans, _with_chain(updated, status)]
 
 
-def _with_details(view: View, situation: Situation) -> View:
-    acceptors = tuple(situation.details(each.id) or each for each in view.acceptors)
+def _with_newest_identities(view: View, status: ClusterStatus) -> View:
+    acceptors = tuple(status.newest_identity(acceptor.id) or acceptor for acceptor in view.acceptors)
     return replace(view, epoch=view.epoch + 1, acceptors=acceptors)
 
 
-def _change_acceptors(view: View, situation: Situation) -> View | None:
-    for joiner in sorted(situation.joiners, key=lambda each: each.identity.control_address):
-        changed = _join(view, joiner, situation)
+def _change_acceptors(view: View, status: ClusterStatus) -> View | None:
+    """Return the view with one acceptor replaced, added or removed, or None where nothing is to change."""
+    for candidate in sorted(status.join_candidates, key=lambda each: each.identity.control_address):
+        changed = _join(view, candidate, status)
         if changed is not None:
             return changed
+    return _remove_surplus(view, status)
+
+
+def _remove_surplus(view: View, status: ClusterStatus) -> View | None:
+    """Return the view without one surplus acceptor that is leaving or silent, or None."""
     if len(view.acceptors) <= view.size:
         return None
-    ending = next((each for each in view.acceptors if each.id in situation.leaving), None)
-    if ending is not None:  # the others need not count on it, neither now nor once it has ended
-        return _without(view, ending)
-    longest = max(view.acceptors, key=lambda each: situation.silence_s(each.id))
-    if situation.silence_s(longest.id) < situation.silent_removed:
+    leaving = next((acceptor for acceptor in view.acceptors if acceptor.id in status.leaving_ids), None)
+    if leaving is not None:  # so that no majority depends on it, neither now nor once it has ended
+        return _without(view, leaving)
+    most_silent = _most_silent(view, status)
+    if status.silence_s(most_silent.id) < status.remove_after_s:
         return None
-    return _without(view, longest)
+    return _without(view, most_silent)
+
+
+def _without(view: View, removed: MachineIdentity) -> View:
+    return replace(view, acceptors=tuple(acceptor for acceptor in view.acceptors if acceptor.id != removed.id))
+
+
+def _replace_acceptor(view: View, old: MachineIdentity, new: MachineIdentity) -> View:
+    acceptors = tuple(new if acceptor.id == old.id else acceptor for acceptor in view.acceptors)
+    return replace(view, acceptors=acceptors)
 
 
-def _without(view: View, acceptor: MachineIdentity) -> View:
-    return replace(view, acceptors=tuple(each for each in view.acceptors if each.id != acceptor.id))
+def _most_silent(view: View, status: ClusterStatus) -> MachineIdentity:
+    return max(view.acceptors, key=lambda acceptor: status.silence_s(acceptor.id))
 
 
-def _join(view: View, joiner: Joiner, situation: Situation) -> View | None:
-    identity = joiner.identity
+def _join(view: View, candidate: JoinCandidate, status: ClusterStatus) -> View | None:
+    """Return the view with the candidate as an acceptor, or None where it has to wait."""
+    identity = candidate.identity
     for old in view.acceptors:
-        gone = situation.silence_s(old.id) >= situation.suspect
-        wiped = old.control_address == identity.control_address
-        if wiped or (gone and old.name and old.name == identity.name):
-            replaced = tuple(identity if each.id == old.id else each for each in view.acceptors)
-            return replace(view, acceptors=replaced)
-    longest = max(view.acceptors, key=lambda each: situation.silence_s(each.id))
-    if not joiner.newcomer and situation.silence_s(longest.id) >= situation.silent_removed:
-        replaced = tuple(identity if each.id == longest.id else each for each in view.acceptors)
-        return replace(view, acceptors=replaced)
-    grown = replace(view, acceptors=(*view.acceptors, identity), size=view.size + joiner.newcomer)
-    if situation.granting < grown.majority:
-        return None  # a new acceptor grants nothing at first: the leader would lose its lease
-    return grown if joiner.newcomer or len(view.acceptors) <= view.size else None
-
-
-def _with_chain(view: View, situation: Situation) -> View | None:
-    """The view with its chain: the members that stay in their order, then those that come back."""
-    ids = [each.id for each in view.acceptors]
-    ordered = [each for each in view.chain if each in ids]
-    ordered += [each for each in ids if each not in ordered]
-    members = [each for each in ordered if each in situation.usable]
-    members = _without_conflicts(members, situation)
+        is_wiped = old.control_address == identity.control_address  # the same machine with a new disk
+        is_moved = bool(old.name) and old.name == identity.name  # the same machine at another address
+        if is_wiped or (status.silence_s(old.id) >= status.suspect_after_s and is_moved):
+            return _replace_acceptor(view, old, identity)
+    most_silent = _most_silent(view, status)
+    if not candidate.is_newcomer and status.silence_s(most_silent.id) >= status.remove_after_s:
+        return _replace_acceptor(view, most_silent, identity)
+    grown = replace(view, acceptors=(*view.acceptors, identity), size=view.size + candidate.is_newcomer)
+    if status.granting_acceptors < grown.majority:
+        return None  # a new acceptor grants nothing at first, so the leader would lose its lease
+    return grown if candidate.is_newcomer or len(view.acceptors) <= view.size else None
+
+
+def _with_chain(view: View, status: ClusterStatus) -> View | None:
+    """Return the view with its chain: remaining members in their order, then others; None without a majority.
+
+    Machines that are healthy, but not for long enough, are members only where the others are no majority.
+    """
+    acceptor_ids = [acceptor.id for acceptor in view.acceptors]
+    ordered = [machine_id for machine_id in view.chain if machine_id in acceptor_ids]
+    ordered += [machine_id for machine_id in acceptor_ids if machine_id not in ordered]
+    members = _mutually_reachable([each for each in ordered if each in status.chain_eligible_ids], status)
     if len(members) < view.majority:
-        members = [each for each in ordered if each in situation.usable or each in situation.returning]
-        members = _without_conflicts(members, situation)
+        eligible_ids = {*status.chain_eligible_ids, *status.recovering_ids}
+        members = _mutually_reachable([each for each in ordered if each in eligible_ids], status)
     if len(members) < view.majority or not members:
         return None
     return replace(view, chain=tuple(members))
 
 
-def _without_conflicts(members: list[str], situation: Situation) -> list[str]:
-    """Leave out machines until all that stay reach each other."""
+def _mutually_reachable(members: list[str], status: ClusterStatus) -> list[str]:
+    """Leave out members until all that remain reach each other; first those in the most unreachable pairs."""
     pairs = [
         pair
         for pair in itertools.combinations(members, 2)
-        if pair in situation.conflicts or (pair[1], pair[0]) in situation.conflicts
+        if pair in status.unreachable_pairs or (pair[1], pair[0]) in status.unreachable_pairs
     ]
     while pairs:
-        count = {each: sum(each in pair for pair in pairs) for each in members if each != situation.own}
-        worst = max(reversed(list(count)), key=lambda each: count[each])
+        counts = {each: sum(each in pair for pair in pairs) for each in members if each != status.own_id}
+        worst = max(reversed(list(counts)), key=lambda machine_id: counts[machine_id])
         members = [each for each in members if each != worst]
         pairs = [pair for pair in pairs if worst not in pair]
     return members
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -318,6 +318,6 @@
 
     def _on_heartbeat(self, message: pb.CoreMessage, sender: MachineIdentity) -> None:
         if self._heartbeats.receive(sender, message.boot, message.heartbeat) is not None:
-            self._membership.check_active()
+            self._membership.activate_chain_if_ready()
             self._freshness.update()
             self._membership.fetch_if_behind(sender, message.heartbeat)
--- a/tests/fleet/test_coordination_planted.py
+++ b/tests/fleet/test_coordination_planted.py
@@ -245,7 +245,7 @@
         self.objects({"answer"}, {"freeze_some", "cut_in_two", "kill_some"}, troubles=8)
 
     def test_no_view_is_proposed(self) -> None:
-        self.plant(membership, "needed_view", lambda view, situation: None)
+        self.plant(membership, "next_view_if_needed", lambda view, situation: None)
         self.objects({"live"}, {"kill_one", "replace"})
 
 
--- a/tests/fleet/test_coordination_planted_worlds.py
+++ b/tests/fleet/test_coordination_planted_worlds.py
@@ -135,7 +135,7 @@
         self.objects({"joined", "behind", "surplus"}, Kind.RACES, first=36)
 
     def test_no_order_after_a_loss(self) -> None:
-        self.plant(membership, "needed_view", lambda view, situation: None)
+        self.plant(membership, "next_view_if_needed", lambda view, situation: None)
         self.objects({"live"}, Kind.PACED)
 
     # Disks
--- a/tests/fleet/test_coordination_worst_planted.py
+++ b/tests/fleet/test_coordination_worst_planted.py
@@ -19,7 +19,7 @@
     replica_state,
     views,
 )
-from rosechute.coordination.planning import Situation
+from rosechute.coordination.cluster_status import ClusterStatus
 from rosechute.coordination.views import View
 from rosechute.messages import coordination_pb2 as pb
 from tests.fleet import test_coordination_membership as membership_days
@@ -96,19 +96,19 @@
     # Point 3
 
     def test_surplus_members_counted_on_until_silent(self) -> None:
-        self.plan_without("leaving")
+        self.plan_without("leaving_ids")
         self.assert_fails(days.SecondLoss("test_a_surplus_member_leaves_and_the_next_loss_follows_at_once"))
 
     def test_surplus_members_counted_on_in_random_days(self) -> None:
-        self.plan_without("leaving")
+        self.plan_without("leaving_ids")
         self.assert_fails(membership_days.MembershipDays("test_days"))
 
     def test_nothing_handed_over(self) -> None:
-        self.plant(membership, "needed_view", lambda view, situation: None)
+        self.plant(membership, "next_view_if_needed", lambda view, situation: None)
         self.assert_fails(days.SecondLoss("test_a_leaving_member_hands_over_before_it_ends"))
 
     def test_members_that_return_wait_however_few_are_left(self) -> None:
-        self.plan_without("returning")
+        self.plan_without("recovering_ids")
         self.assert_fails(days.SecondLoss("test_a_member_back_from_many_freezes_takes_its_place_at_the_next_loss"))
 
     def test_joiners_left_out(self) -> None:
@@ -120,7 +120,7 @@
         planned = planning._plans
         nothing: dict[str, Collection[str]] = {field: ()}
 
-        def plans(view: View, situation: Situation) -> list[View | None]:
+        def plans(view: View, situation: ClusterStatus) -> list[View | None]:
             return planned(view, replace(situation, **nothing))  # type: ignore[arg-type]
 
         self.plant(planning, "_plans", plans)
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -9,8 +9,9 @@
 
 from rosechute.coordination import Replica, ReplicaConfig
 from rosechute.coordination.chain import SILENT_HEARTBEATS, Chain
+from rosechute.coordination.cluster_status import ClusterStatus, JoinCandidate
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
-from rosechute.coordination.planning import Joiner, Situation, any_view, needed_view
+from rosechute.coordination.planning import next_view_if_needed, next_view_of_sealed_epoch
 from rosechute.coordination.replica_state import chain_write_message, load_replica_state
 from rosechute.coordination.types import (
     ConfigurationCommitted,
@@ -576,32 +577,32 @@
         self,
         usable: str = "abc",
         restarted: str = "",
-        joiners: Collection[Joiner] = (),
+        joiners: Collection[JoinCandidate] = (),
         silent: dict[str, float] | None = None,
         conflicts: Collection[tuple[str, str]] = (),
         granting: int = 9,
         own: str = "a",
         leaving: str = "",
         returning: str = "",
-    ) -> Situation:
+    ) -> ClusterStatus:
         times = silent or {}
-        return Situation(
-            own=own,
-            usable=usable,
-            restarted=restarted,
-            joiners=tuple(joiners),
-            details=lambda name: identity(name) if name in "abcdefgn" else None,
-            leaving=leaving,
-            returning=returning,
+        return ClusterStatus(
+            own_id=own,
+            chain_eligible_ids=usable,
+            restarted_ids=restarted,
+            join_candidates=tuple(joiners),
+            newest_identity=lambda name: identity(name) if name in "abcdefgn" else None,
+            leaving_ids=leaving,
+            recovering_ids=returning,
             silence_s=lambda name: times.get(name, 0.0),
-            silent_removed=1.0,
-            suspect=0.7,
-            conflicts=conflicts,
-            granting=granting,
+            remove_after_s=1.0,
+            suspect_after_s=0.7,
+            unreachable_pairs=conflicts,
+            granting_acceptors=granting,
         )
 
     def needed(self, members: str = "abc", chain: str | None = None, size: int = 3, **fields: Any) -> Any:
-        found = needed_view(view(members, chain=chain, size=size), self.situation(**fields))
+        found = next_view_if_needed(view(members, chain=chain, size=size), self.situation(**fields))
         if found is None:
             return None
         self.assertEqual(found.epoch, EPOCH + 1)
@@ -609,8 +610,8 @@
 
     def stranger(
         self, name: str = "n", address: str = "n:8367", known_as: str = "", newcomer: bool = False
-    ) -> Joiner:
-        return Joiner(MachineIdentity(name, known_as or f"name-{name}", "z", address, "n:7500"), newcomer)
+    ) -> JoinCandidate:
+        return JoinCandidate(MachineIdentity(name, known_as or f"name-{name}", "z", address, "n:7500"), newcomer)
 
     def test_nothing_where_all_is_right(self) -> None:
         self.assertIsNone(self.needed())
@@ -634,8 +635,8 @@
         old = view()
         moved = MachineIdentity("c", "c", "z", "elsewhere:8367", "elsewhere:7500")
         situation = self.situation()
-        object.__setattr__(situation, "details", lambda name: moved if name == "c" else None)
-        found = needed_view(old, situation)
+        object.__setattr__(situation, "newest_identity", lambda name: moved if name == "c" else None)
+        found = next_view_if_needed(old, situation)
         assert found is not None
         self.assertEqual(found.acceptors, (*old.acceptors[:2], moved))
 
@@ -651,10 +652,12 @@
 
     def test_machines_without_a_name_are_not_the_same(self) -> None:
         nameless = MachineIdentity("c", "", "z", "c:8367", "c:7500")
-        situation = self.situation("abn", joiners=[Joiner(MachineIdentity("n", "", "z", "n:8367", "n:7500"), False)])
+        situation = self.situation(
+            "abn", joiners=[JoinCandidate(MachineIdentity("n", "", "z", "n:8367", "n:7500"), False)]
+        )
         object.__setattr__(situation, "silence_s", lambda name: 0.8 if name == "c" else 0.0)
-        object.__setattr__(situation, "details", lambda name: nameless if name == "c" else identity(name))
-        found = needed_view(view(), situation)
+        object.__setattr__(situation, "newest_identity", lambda name: nameless if name == "c" else identity(name))
+        found = next_view_if_needed(view(), situation)
         assert found is not None
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "c", "n"])
 
@@ -678,7 +681,7 @@
     def test_grows_by_a_newcomer(self) -> None:
         joiner = self.stranger(newcomer=True)
         self.assertEqual(self.needed(usable="abcn", joiners=[joiner]), ("abcn", "abcn"))
-        found = needed_view(view(), self.situation("abcn", joiners=[joiner]))
+        found = next_view_if_needed(view(), self.situation("abcn", joiners=[joiner]))
         assert found is not None
         self.assertEqual(found.size, 4)
         self.assertEqual(self.needed("abcd", usable="abcdn", joiners=[joiner]), ("abcdn", "abcdn"))
@@ -690,7 +693,7 @@
     def test_grows_beyond_its_size_by_one_at_most(self) -> None:
         joiner = self.stranger()
         self.assertEqual(self.needed(usable="abcn", joiners=[joiner]), ("abcn", "abcn"))
-        found = needed_view(view(), self.situation("abcn", joiners=[joiner]))
+        found = next_view_if_needed(view(), self.situation("abcn", joiners=[joiner]))
         assert found is not None
         self.assertEqual(found.size, 3)
         self.assertIsNone(self.needed("abcd", usable="abcdn", joiners=[joiner]))
@@ -732,13 +735,13 @@
         self.assertEqual(self.needed(conflicts=[("b", "c")], own="c"), ("abc", "ac"))
 
     def test_any_view_for_a_sealed_epoch(self) -> None:
-        found = any_view(view(), self.situation("ab"), "abc")
+        found = next_view_of_sealed_epoch(view(), self.situation("ab"), "abc")
         self.assertEqual(found.chain, ("a", "b"))
-        found = any_view(view(), self.situation("a"), "bc")
+        found = next_view_of_sealed_epoch(view(), self.situation("a"), "bc")
         self.assertEqual((found.epoch, found.chain), (EPOCH + 1, ("b", "c")))
-        found = any_view(view(chain="ca"), self.situation("a"), "abc")
+        found = next_view_of_sealed_epoch(view(chain="ca"), self.situation("a"), "abc")
         self.assertEqual(found.chain, ("c", "a", "b"))
-        found = any_view(view("abcd", size=4, chain="ab"), self.situation("a"), "bcd")
+        found = next_view_of_sealed_epoch(view("abcd", size=4, chain="ab"), self.situation("a"), "bcd")
         self.assertEqual(found.chain, ("b", "c", "d"))
 
 
--- a/tests/fleet/test_planted_coordination_views.py
+++ b/tests/fleet/test_planted_coordination_views.py
@@ -11,7 +11,7 @@
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.membership import FETCH_PAUSE_S, Membership
+from rosechute.coordination.membership import FETCH_INTERVAL_S, Membership
 from rosechute.coordination.proposer import BACKOFF_MIN_S, BACKOFF_SPREAD_S, Phase, Proposer
 from rosechute.coordination.types import WriteAcknowledged, WriteRequest
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
@@ -542,13 +542,13 @@
         self.assertEqual(self.membership.proposer.phase, Phase.IDLE)
 
     def test_the_head_of_the_old_epoch_is_inactive(self) -> None:
-        self.membership.check_active()
+        self.membership.activate_chain_if_ready()
         self.assertTrue(self.member.chain.is_active)
         self.decided(EPOCH + 1)
         self.assertFalse(self.member.chain.is_active)
 
     def test_an_order_under_way_is_carried_over(self) -> None:
-        self.membership.check_active()
+        self.membership.activate_chain_if_ready()
         self.member.chain.propose_write(WriteRequest(4, 50, 51, b"new", b"N" * 32))
         taken = state(9, EPOCH + 1).applied_writes + b"N" * 16 + (51).to_bytes(8, "big")
         decided = RegisterState(EPOCH + 1, 6, 51, b"new", b"N" * 32, taken)
@@ -570,36 +570,36 @@
     def test_active_once_all_members_have_adopted(self) -> None:
         for fields in ({"joined": False}, {"epoch": EPOCH - 1}):
             self.parts.hear("c", **fields)
-            self.membership.check_active()
+            self.membership.activate_chain_if_ready()
             self.assertFalse(self.member.chain.is_active)
         self.parts.hear("c")
-        self.membership.check_active()
+        self.membership.activate_chain_if_ready()
         self.assertTrue(self.member.chain.is_active)
 
     def test_not_active_without_word_of_a_member(self) -> None:
         del self.parts.detector.peers["c"]
-        self.membership.check_active()
+        self.membership.activate_chain_if_ready()
         self.assertFalse(self.member.chain.is_active)
 
     def test_not_active_while_sealed_or_not_joined(self) -> None:
         context = self.parts.context
         context.joined_epoch = 0
-        self.membership.check_active()
+        self.membership.activate_chain_if_ready()
         self.assertFalse(self.member.chain.is_active)
         context.joined_epoch = EPOCH
         self.parts.seal()
-        self.membership.check_active()
+        self.membership.activate_chain_if_ready()
         self.assertFalse(self.member.chain.is_active)
 
     def test_only_the_head_is_active(self) -> None:
         member = Member("b")
-        member.membership.check_active()
+        member.membership.activate_chain_if_ready()
         self.assertFalse(member.chain.is_active)
 
     def test_a_machine_outside_of_the_chain_is_never_active(self) -> None:
         for chain in ("ab", ""):
             member = Member("c", chain=chain)
-            member.membership.check_active()
+            member.membership.activate_chain_if_ready()
             self.assertFalse(member.chain.is_active)
 
     def test_active_by_the_sync_of_its_own_adoption(self) -> None:
@@ -626,7 +626,7 @@
         self.assertEqual((self.parts.replica_state.committed.sequence, self.parts.sync()), (5, []))
 
     def fetched(self, member: Member, **fields: Any) -> list[Any]:
-        member.parts.pass_time(FETCH_PAUSE_S)
+        member.parts.pass_time(FETCH_INTERVAL_S)
         beat = pb.Heartbeat(**({"epoch": EPOCH, "committed": 5} | fields))
         member.membership.fetch_if_behind(identity("b"), beat)
         return member.parts.sent("fetch")
@@ -648,7 +648,7 @@
         for _ in range(2):
             self.membership.fetch_if_behind(identity("b"), beat)
         self.assertEqual(self.parts.sent_to("fetch"), ["b"])
-        self.parts.pass_time(FETCH_PAUSE_S)
+        self.parts.pass_time(FETCH_INTERVAL_S)
         self.membership.fetch_if_behind(identity("c"), beat)
         self.assertEqual(self.parts.sent_to("fetch"), ["c"])
 
