--- a/rosechute/processes/edge.py
+++ b/rosechute/processes/edge.py
@@ -46,14 +46,22 @@
 
 
 class EdgeProcess:
-    """One life of the program: start, settings that change, end."""
+    """One run of the program: start, changed settings, graceful shutdown.
+
+    Implements `rosechute.data_plane.ports.Freshness`.
+
+    Args:
+        loop: The event loop.
+        settings: As read from the settings file.
+        path: Of that file, which is read again at SIGHUP and when it changes.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: ProcessSettings, path: str) -> None:
         self._settings = settings
         self._watch = SettingsWatch(settings, path, self._change_settings)
-        self._ends = asyncio.Event()
+        self._ending = asyncio.Event()
         self._links = EdgeLinks(loop, settings, secrets.randbits(63), self._apply)
-        self._failed_sequence = 0  # of a configuration that could not be read
+        self._invalid_sequence = 0  # of a configuration that could not be parsed; 0 for none
         draw = secrets.SystemRandom().random
         router = Router(draw, RouterTuning(zone=settings.zone))
         self._plane = DataPlane(loop, settings, router, self._links.quota, self)
@@ -65,7 +73,7 @@
         self._state.add("routing", lambda: router_report(router, loop.time()))
 
     async def run(self) -> None:
-        """Until SIGTERM or SIGINT, and then until everything is answered."""
+        """Run until SIGTERM or SIGINT, then until every request is answered or the grace period is over."""
         loop = asyncio.get_running_loop()
         await self._plane.start()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -74,12 +82,12 @@
         runner = await self._listen_readiness()
         await self._metrics.start()
         await self._links.start()
-        logger.info("edge {} takes clients at {}", self._settings.node_name, self._settings.listen.front)
+        logger.info("edge started edge={} listen={}", self._settings.node_name, self._settings.listen.front)
         gc.enable()
         gc.freeze()
         watching = loop.create_task(self._watch.run())
-        await self._ends.wait()
-        logger.info("edge {} shuts down", self._settings.node_name)
+        await self._ending.wait()
+        logger.info("edge shutting down edge={}", self._settings.node_name)
         watching.cancel()
         self._links.leave()
         await self._plane.finish_shutdown()
@@ -88,13 +96,13 @@
         await runner.cleanup()
 
     def end(self) -> None:
-        """Shut down. Not ready in this very turn: readiness may be asked before the next one."""
+        """Begin the shutdown. Readiness fails from this very turn on: it may be probed before the next one."""
         self._plane.begin_shutdown()
-        self._ends.set()
+        self._ending.set()
 
     def confirmed_at(self) -> float:
-        """For the data plane: as of when the configuration in force was the newest one."""
-        return -math.inf if self._failed_sequence else self._links.subscriber.confirmed_at
+        """See `Freshness`. Nothing is confirmed while the newest configuration can't be parsed."""
+        return -math.inf if self._invalid_sequence else self._links.subscriber.confirmed_at
 
     def _change_settings(self, settings: ProcessSettings) -> None:
         self._plane.apply_settings(settings)
@@ -114,7 +122,7 @@
         return web.Response(status=200 if self._plane.ready() else 503)
 
     def _apply(self, action: Action) -> None:
-        """Put in force what the distribution brought."""
+        """Put an update of the distribution in force."""
         match action:
             case ConfigurationChanged():
                 self._apply_configuration(action)
@@ -124,15 +132,15 @@
                 self._plane.apply_edges(count)
 
     def _apply_configuration(self, change: ConfigurationChanged) -> None:
-        """A configuration that can't be read is not in force, so nothing is confirmed from there on."""
+        """Put a configuration in force. One that can't be parsed is not, and nothing is confirmed from then on."""
         parsed = parse_configuration(change.body)
         if isinstance(parsed, Failure):
-            self._failed_sequence = change.sequence
-            logger.error("configuration {}: {}", change.sequence, parsed.failure())
+            self._invalid_sequence = change.sequence
+            logger.error("invalid configuration sequence={} error={}", change.sequence, parsed.failure())
             return
-        self._failed_sequence = 0
+        self._invalid_sequence = 0
         self._plane.apply_configuration(parsed.unwrap(), change.sequence)
-        logger.info("configuration {} in force, sequence {}", change.version, change.sequence)
+        logger.info("configuration in force version={} sequence={}", change.version, change.sequence)
 
     def _distribution_state(self) -> dict[str, object]:
         subscriber = self._links.subscriber
@@ -147,7 +155,7 @@
 
 
 def main() -> int:
-    """Run the program; the exit status."""
+    """Run the program; return its exit status: 2 for bad settings or an address that is not available."""
     logs.configure_logging()
     loaded = load_settings_from_environment()
     if isinstance(loaded, Failure):
@@ -162,7 +170,7 @@
     try:
         asyncio.run(_run(settings, os.environ[SETTINGS_VARIABLE]))
     except OSError as error:
-        logger.error("edge {}: listen: {}", settings.node_name, error)
+        logger.error("cannot listen edge={} error={}", settings.node_name, error)
         return 2
     return 0
 
--- a/rosechute/processes/edge_metrics.py
+++ b/rosechute/processes/edge_metrics.py
@@ -1,4 +1,4 @@
-"""What an edge tells as metrics. docs/fleet/metrics.md explains the names to operators."""
+"""Metrics of an edge. docs/fleet/metrics.md explains them to operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def edge_families(
     loop: asyncio.AbstractEventLoop, plane: DataPlane, router: Router, links: EdgeLinks
 ) -> list[Family]:
-    """The figures of one edge process."""
+    """Return the metric families of one edge."""
     subscriber = links.subscriber
 
     def confirmed_age_s() -> float:
@@ -25,57 +25,59 @@
     return [
         Family(
             "requests_total",
-            "Requests that are over, by route type and outcome.",
+            "Finished requests by route type and outcome.",
             ("route_type", "outcome"),
             lambda: _requests(plane),
         ),
         Family(
-            "turned_away_total",
-            "Requests refused at their head, by status.",
+            "admission_rejections_total",
+            "Requests rejected at their head, by status.",
             ("status",),
             by_kind(lambda: plane.counts.of(REJECTED)),
         ),
-        Family("requests_open", "Requests taken and not ended.", (), single(lambda: plane.clients().requests)),
+        Family(
+            "requests_open", "Accepted requests that are not finished.", (), single(lambda: plane.clients().requests)
+        ),
         Family("client_connections", "Open connections of clients.", (), single(lambda: plane.clients().connections)),
         Family(
             "attempts_total",
-            "Attempts at servers that have ended, by result.",
+            "Finished attempts at servers, by result.",
             ("result",),
             by_kind(lambda: router.counts.of(ATTEMPTS)),
         ),
         Family(
-            "refusals_total",
-            "Requests that the router gave up, by reason.",
+            "requests_rejected_total",
+            "Requests rejected by the router, by reason.",
             ("reason",),
             by_kind(lambda: router.counts.of(REFUSALS)),
         ),
         Family(
-            "sticky_picks_total",
-            "Servers chosen for prompts with shared parts, by what decided.",
+            "prefix_affinity_selections_total",
+            "Servers selected for prompts with shared prefixes, by what decided.",
             ("pick",),
             by_kind(lambda: router.counts.of(STICKY_PICKS)),
         ),
         Family(
             "prompt_tokens_total",
-            "Prompt tokens sent to servers: to be read, or believed to be kept there.",
+            "Prompt tokens sent to servers: to be prefilled (`read`), or expected in their prefix cache (`kept`).",
             ("state",),
             by_kind(lambda: router.counts.of(PROMPT_TOKENS)),
         ),
         Family(
-            "requests_waiting",
-            "Requests that wait for a server, by service.",
+            "requests_queued",
+            "Requests that are queued for a server, by service.",
             ("service",),
             lambda: {(name,): len(service.line) + len(service.repeats) for name, service in router.services.items()},
         ),
         Family(
             "servers",
-            "Servers of a service: up, and of those with a budget above 0.",
+            "Servers of a service: up, and those of them with a connection limit above 0.",
             ("service", "state"),
             lambda: _servers(router),
         ),
         Family(
-            "connection_budget",
-            "Connections that all servers of a service may have of this edge.",
+            "connection_limit",
+            "Connections that this edge may open to all servers of a service.",
             ("service",),
             lambda: {
                 (name,): sum(server.k for server in service.pool.servers.values())
@@ -83,28 +85,31 @@
             },
         ),
         Family(
-            "repeats_left",
-            "Further attempts that the budget for repeats allows now.",
+            "retry_budget_remaining",
+            "Retries that the retry budget allows now.",
             ("service",),
             lambda: {(name,): service.budget.left(loop.time()) for name, service in router.services.items()},
         ),
         Family(
             "quota_decisions_total",
-            "Requests of limited tenants, by whether they had their tokens.",
+            "Requests of limited tenants, by whether their quota allowed them.",
             ("decision",),
             by_kind(lambda: links.quota.counts.of(QUOTA_DECISIONS)),
         ),
         Family(
-            "sent_bytes_total",
+            "link_sent_bytes_total",
             "Bytes of messages to other processes of the fleet, by purpose.",
             ("purpose",),
             by_kind(lambda: links.counts.of(BYTES_SENT)),
         ),
         Family(
-            "edges", "Living edges, as the leader told; 0 while unknown.", (), single(lambda: subscriber.edges_total)
+            "live_edges",
+            "Live edges by the leader's count; 0 while unknown.",
+            (),
+            single(lambda: subscriber.edges_total),
         ),
-        Family("leader_term", "Highest term of a leader that answered.", (), single(lambda: subscriber.leader_term)),
-        Family("leader_attached", "Whether the leader answers.", (), single(lambda: float(subscriber.is_attached))),
+        Family("leader_term", "Highest leader term that was received.", (), single(lambda: subscriber.leader_term)),
+        Family("leader_attached", "1 while the leader answers.", (), single(lambda: float(subscriber.is_attached))),
         Family(
             "config_version",
             "Version of the configuration in force; 0 for none.",
@@ -113,7 +118,7 @@
         ),
         Family(
             "config_confirmed_age_seconds",
-            "For how long it was not confirmed to be the newest.",
+            "Time since it was last confirmed to be the newest.",
             (),
             single(confirmed_age_s),
         ),
--- a/rosechute/processes/metrics.py
+++ b/rosechute/processes/metrics.py
@@ -1,6 +1,6 @@
-"""Figures of a process as text, in the exposition format of Prometheus: `GET /metrics` at a port of its own.
+"""`GET /metrics` at a port of its own: metrics in the text exposition format of Prometheus.
 
-Figures are read when they are asked for; what is counted stands in `routing.counts` of the part that counts it.
+Values are read at each request. Counters are kept by the component that counts (`routing.counts`).
 """
 
 from __future__ import annotations
@@ -23,36 +23,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Family:
-    """Figures of one name. `read` gives their values now."""
+    """One metric with all its label values.
 
-    name: str  # without the prefix; counters end in `_total`
-    help: str  # with the unit
+    Attributes:
+        name: Without the prefix; counters end in `_total`.
+        help: One line, with the unit.
+        labels: Names of the labels.
+        read: Returns the current values by label values.
+    """
+
+    name: str
+    help: str
     labels: tuple[str, ...]
     read: Callable[[], Values]
 
     @property
     def kind(self) -> str:
-        """The type, as Prometheus has it."""
+        """The type by the name: counter or gauge."""
         return "counter" if self.name.endswith("_total") else "gauge"
 
 
 def by_kind(counts: Callable[[], Mapping[str, float]]) -> Callable[[], Values]:
-    """Counts of one event as values with one label."""
+    """Return a reader of counts with one label."""
     return lambda: {(kind,): value for kind, value in counts().items()}
 
 
 def single(value: Callable[[], float]) -> Callable[[], Values]:
-    """One figure without labels; infinity and what is not known are left out."""
+    """Return a reader of one value without labels; infinity and NaN mean unknown and are left out."""
 
     def read() -> Values:
-        now = value()
-        return {(): now} if math.isfinite(now) else {}
+        current = value()
+        return {(): current} if math.isfinite(current) else {}
 
     return read
 
 
 def render(families: Sequence[Family]) -> str:
-    """All figures. A family that can't be read is left out, and costs the others nothing."""
+    """Return all families as text. One that can't be read is left out and logged; the others are unaffected."""
     lines: list[str] = []
     for family in families:
         try:
@@ -78,14 +85,14 @@
 
 
 class MetricsServer:
-    """Answers `GET /metrics` at one address. A process that can't have the address runs without it."""
+    """Serves `GET /metrics` at one address. A process that can't bind the address runs without metrics."""
 
     def __init__(self, ip: str, port: int, families: Sequence[Family]) -> None:
         self._ip, self._port, self._families = ip, port, families
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen; log a warning where the address is not available."""
         application = web.Application()
         application.router.add_get(PATH, self._answer)
         self._runner = web.AppRunner(application, access_log=None, handle_signals=False, shutdown_timeout=0.1)
--- a/tests/fleet/test_processes_edge.py
+++ b/tests/fleet/test_processes_edge.py
@@ -97,7 +97,7 @@
         publisher.endpoint_list_read(now, [ListedServer("i-1", name, "127.0.0.9:80", "z", 4, True)])
 
     async def test_ready_with_a_configuration_and_servers_and_unready_at_its_end(self) -> None:
-        await self.line("takes clients")
+        await self.line("edge started")
         self.assertEqual(await self.status(), 503)
         await self.start_core()
         await self.line("in force")
@@ -105,21 +105,21 @@
             while await self.status() != 200:
                 await asyncio.sleep(0)
         self.process.send_signal(signal.SIGTERM)
-        await self.line("shuts down")
+        await self.line("edge shutting down")
         self.assertEqual(await self.status(), 503)
         self.assertEqual(await self.ends(), 0)
 
     async def test_it_ends_by_signals_in_any_order_also_before_it_knows_anything(self) -> None:
-        await self.line("takes clients")
+        await self.line("edge started")
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             self.process.send_signal(number)
-        await self.line("shuts down")
+        await self.line("edge shutting down")
         self.assertEqual(await self.status(), 503)
         self.process.send_signal(signal.SIGHUP)
         self.assertEqual(await self.ends(), 0)
 
     async def test_settings_are_read_again(self) -> None:
-        await self.line("takes clients")
+        await self.line("edge started")
         self.settings["seeds"] = ["127.0.0.7:1"]
         self.write()
         self.process.send_signal(signal.SIGHUP)
@@ -137,7 +137,7 @@
             while not self.ignores_hangup() and self.process.returncode is None:
                 await asyncio.sleep(0)
         self.process.send_signal(signal.SIGHUP)
-        await self.line("takes clients")
+        await self.line("edge started")
 
     def ignores_hangup(self) -> bool:
         """As the kernel tells it."""
@@ -146,7 +146,7 @@
         return bool(int(ignored.split()[1], 16) & 1 << (signal.SIGHUP - 1))
 
     async def test_unusable_settings_end_it(self) -> None:
-        await self.line("takes clients")
+        await self.line("edge started")
         self.process.kill()
         await self.ends()
         broken = self.path.with_name("broken.json")
--- a/tests/fleet/test_processes_metrics.py
+++ b/tests/fleet/test_processes_metrics.py
@@ -95,7 +95,7 @@
         text = self.check(families)
         self.assertIn('rosechute_prompt_tokens_total{state="read"} 100', text)
         self.assertIn('rosechute_servers{service="llm",state="up"} 1', text)
-        self.assertIn("rosechute_sticky_picks_total{pick=", text)
+        self.assertIn("rosechute_prefix_affinity_selections_total{pick=", text)
 
     async def test_core(self) -> None:
         machine = CoreMachine(settings())
