--- a/rosechute/storage/writer.py
+++ b/rosechute/storage/writer.py
@@ -23,9 +23,9 @@
 
 class _Job(msgspec.Struct, frozen=True):
     records: Sequence[bytes]
-    is_snapshot: bool
     on_written: OnWritten
     submitted_at: float  # in seconds of the writer's clock
+    is_snapshot: bool
 
 
 class StoreWriter:
@@ -64,11 +64,11 @@
 
         It fails while a snapshot has to be written first; see `RecordStore.can_append`.
         """
-        self._submit(_Job(records, False, on_written, self._clock()))
+        self._submit(_Job(records, on_written, self._clock(), is_snapshot=False))
 
     def write_snapshot(self, records: Sequence[bytes], on_written: OnWritten) -> None:
         """Replace all stored records."""
-        self._submit(_Job(records, True, on_written, self._clock()))
+        self._submit(_Job(records, on_written, self._clock(), is_snapshot=True))
 
     def oldest_pending_since(self) -> float | None:
         """Return when the oldest unfinished job was submitted, by the clock; None if all are finished."""
--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -68,12 +68,13 @@
             "test_distribution_values",
             "test_distribution_orders",
             "test_distribution_*",
+            "test_messages_*",
         ],
         [
             "test_distribution_clusters",
             "test_distribution_token_cache",
             "test_distribution_lo*",
-            "test_distribution_link",
+            "test_messages_links",
         ],
     ),
     Area(
