--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -23,8 +23,9 @@
 from rosechute.coordination.views import RegisterState
 from rosechute.data_plane.admission import ActiveConfiguration
 from rosechute.distribution.actions import DialedLink
+from rosechute.distribution.core_directory import CoreAddress
 from rosechute.distribution.membership import MEMBERSHIP_GRACE_S, EdgeIdentity
-from rosechute.distribution.publisher import CoreAddress, Publisher
+from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import Configuration, ListedServer, decode_configuration
 from rosechute.messages import coordination_pb2
--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -20,7 +20,8 @@
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.store import TopicStore
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.distribution.values import CONFIG_TOPIC, Configuration, ServiceList, decode_servers, next_service_list
+from rosechute.distribution.topics import CONFIG_TOPIC
+from rosechute.distribution.values import Configuration, ServiceList, decode_servers, next_service_list
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind, encode_frame
 from rosechute.routing.model import AttemptResult, PromptPart, RoutingRequest, Send, ServerEntry
--- a/benchmarks/hollow_edges.py
+++ b/benchmarks/hollow_edges.py
@@ -25,7 +25,7 @@
 )
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.distribution.values import CONFIG_TOPIC
+from rosechute.distribution.topics import CONFIG_TOPIC
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.errors import LinkError
 from rosechute.messages.framing import MessageKind
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -16,7 +16,8 @@
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import CommittedConfiguration, Outcome, OutcomeUnknown, ReplicaConfig
 from rosechute.distribution.actions import DialedLink, SendMessage
-from rosechute.distribution.publisher import CoreAddress, Publisher, PublisherState
+from rosechute.distribution.core_directory import CoreAddress
+from rosechute.distribution.publisher import Publisher, PublisherState
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
--- a/rosechute/distribution/__init__.py
+++ b/rosechute/distribution/__init__.py
@@ -1,4 +1,4 @@
-"""Distribution of configuration and lists from the leader of the core to the edges, and membership of the edges.
+"""Distribution of the configuration and of endpoint lists from the core's leader to the edges, and edge membership.
 
-Pure: clock and messages in, actions out. The processes around it own the links.
+Pure: takes the time and messages, returns actions. The processes own the links and carry the actions out.
 """
--- a/rosechute/distribution/actions.py
+++ b/rosechute/distribution/actions.py
@@ -1,26 +1,27 @@
-"""What the distribution asks the process around it to do."""
+"""The actions that the distribution asks its process to carry out, in their order."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from rosechute.distribution.values import ListedServer, Position
+from rosechute.distribution.topics import Position
+from rosechute.distribution.values import ListedServer
 from rosechute.messages.distribution_pb2 import Distribution
 
-Connection = Hashable  # names an open connection; the process around gives and understands it
+Connection = Hashable  # identifies an open connection; created and interpreted by the process
 
 
 @dataclass(frozen=True, slots=True)
 class DialedLink:
-    """The link that this process opens to an address, as a connection."""
+    """The outbound link of this process to an address, as a connection."""
 
     address: str  # host:port
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message on a connection; it may be lost."""
+    """Send a message on a connection; delivery is not guaranteed."""
 
     connection: Connection
     message: Distribution
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanged:
-    """A newer configuration is to be put in force."""
+    """Put a newer configuration in force."""
 
     sequence: int
     version: int
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersChanged:
-    """A newer list of one service is to be used."""
+    """Use a newer endpoint list of one service."""
 
     service: str
     position: Position
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgesTotalChanged:
-    """The number of living edges is another now."""
+    """Use another number of living edges."""
 
     count: int
 
--- a/rosechute/distribution/catch_up.py
+++ b/rosechute/distribution/catch_up.py
@@ -1,56 +1,77 @@
-"""Which topics an edge is known to be behind in, and when it fetches them from a core machine itself."""
+"""Anti-entropy of an edge: the topics that it is behind in, and when it fetches them from the core itself.
+
+Updates normally come through the home edge, which gets a short head start before a fetch is due.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
+from typing import NamedTuple
+
+from rosechute.distribution.topics import Position
+
+PATIENCE_S = 0.15  # the home edge's head start: one push from the leader and one relay
+PATIENCE_PER_EDGE_S = 0.01  # added per edge of the zone: a home relays to its subscribers one after the other
+RETRY_FIRST_S = 0.5  # backoff after the first fetch; doubles with each attempt
+RETRY_LIMIT_S = 2.0  # upper bound of the backoff
 
-from rosechute.distribution.values import Position
 
-PATIENCE_S = 0.15  # time for the home to bring it
-PATIENCE_PER_EDGE_S = 0.01  # a home sends to the other edges of its zone one after the other
-RETRY_FIRST_S = 0.5
-RETRY_LIMIT_S = 2.0
+class DueFetch(NamedTuple):
+    """A fetch that is due."""
+
+    topic: str
+    source: str  # address of the core machine that reported the position
+    attempt: int  # from 0
 
 
 @dataclass(slots=True)
-class _Behind:
+class _PendingTopic:
+    """A topic whose newest reported position is not held yet."""
+
     position: Position
-    source: str  # address of the core machine that told
+    source: str
     fetch_at: float
     attempts: int = 0
 
 
 class CatchUp:
-    """Topics that are behind, by what core machines told."""
+    """The topics with a reported position that is newer than the one held."""
 
     def __init__(self) -> None:
-        self._behind: dict[str, _Behind] = {}
-
-    def told(self, topic: str, position: Position, source: str, fetch_at: float) -> None:
-        """A core machine holds this position, which is newer than what is held here."""
-        known = self._behind.get(topic)
-        if known is None:
-            self._behind[topic] = _Behind(position, source, fetch_at)
-        elif position > known.position:
-            known.position, known.source, known.attempts = position, source, 0
-
-    def held(self, topic: str, position: Position) -> None:
-        """This position is held here now."""
-        known = self._behind.get(topic)
-        if known is not None and position >= known.position:
-            del self._behind[topic]
-
-    def due(self, now: float) -> list[tuple[str, str, int]]:
-        """Topics to be fetched now, each with the address of who told of it and the number of the attempt, from 0."""
-        due: list[tuple[str, str, int]] = []
-        for topic, behind in self._behind.items():
-            if behind.fetch_at <= now:
-                due.append((topic, behind.source, behind.attempts))
-                behind.fetch_at = now + min(RETRY_FIRST_S * 2.0**behind.attempts, RETRY_LIMIT_S)
-                behind.attempts += 1
+        self._pending: dict[str, _PendingTopic] = {}
+
+    def on_newer_position(self, topic: str, position: Position, source: str, fetch_at: float) -> None:
+        """Record that a core machine holds a position newer than the one held here.
+
+        Args:
+            topic: The topic.
+            position: The reported position.
+            source: Address of the core machine.
+            fetch_at: When the first fetch is due, if the topic is not pending already.
+        """
+        pending = self._pending.get(topic)
+        if pending is None:
+            self._pending[topic] = _PendingTopic(position, source, fetch_at)
+        elif position > pending.position:
+            pending.position, pending.source, pending.attempts = position, source, 0
+
+    def on_position_applied(self, topic: str, position: Position) -> None:
+        """Record that this position is held now."""
+        pending = self._pending.get(topic)
+        if pending is not None and position >= pending.position:
+            del self._pending[topic]
+
+    def due(self, now: float) -> list[DueFetch]:
+        """Return the fetches to send now, and schedule their retries."""
+        due: list[DueFetch] = []
+        for topic, pending in self._pending.items():
+            if pending.fetch_at <= now:
+                due.append(DueFetch(topic, pending.source, pending.attempts))
+                pending.fetch_at = now + min(RETRY_FIRST_S * 2.0**pending.attempts, RETRY_LIMIT_S)
+                pending.attempts += 1
         return due
 
     def next_due(self) -> float:
-        """When `due` has something next."""
-        return min((behind.fetch_at for behind in self._behind.values()), default=math.inf)
+        """Return when the next fetch is due; infinity for never."""
+        return min((pending.fetch_at for pending in self._pending.values()), default=math.inf)
--- a/rosechute/distribution/confirmation.py
+++ b/rosechute/distribution/confirmation.py
@@ -1,36 +1,42 @@
-"""As of when an edge knows that its configuration was the newest acknowledged one."""
+"""The time as of which an edge's configuration is confirmed to have been the newest acknowledged one."""
 
 from __future__ import annotations
 
 import math
 
-PENDING_LIMIT = 8
+PENDING_LIMIT = 8  # sequences that are awaited at once; more means that updates don't get through
 
 
 class Confirmation:
-    """Collects what answers tell, and confirms only what the configuration in force covers.
+    """Derives the confirmed time from answers to renewals, for the configuration in force only.
 
-    An answer to a renewal sent at t, with age a and sequence s, says: at t - a nothing newer than s was acknowledged.
-    The answering side counts its age at a time not before t, so t - a is never too late, however late the answer is.
+    An answer with age a and sequence s to a renewal sent at t states: at t - a nothing newer than s was acknowledged.
+    The answering side measures its age not before t, so t - a is never too late, however late the answer arrives.
     """
 
     def __init__(self) -> None:
         self.confirmed_at = -math.inf
-        self._held = 0
-        self._pending: dict[int, float] = {}  # by sequence that is not held yet
+        self._applied_sequence = 0
+        self._pending: dict[int, float] = {}  # confirmed time by sequence that is not in force yet
 
-    def told(self, sent_at: float, sequence: int, age_s: float) -> None:
-        """An answer to a renewal that was sent at this time."""
+    def on_answer(self, sent_at: float, sequence: int, age_s: float) -> None:
+        """Process an answer to a renewal.
+
+        Args:
+            sent_at: When the renewal was sent, in steady time of this process.
+            sequence: The newest acknowledged sequence, or a newer one.
+            age_s: Age of that knowledge when the answer was made.
+        """
         as_of = sent_at - age_s
-        if sequence <= self._held:
+        if sequence <= self._applied_sequence:
             self.confirmed_at = max(self.confirmed_at, as_of)
             return
         self._pending[sequence] = max(as_of, self._pending.get(sequence, -math.inf))
         while len(self._pending) > PENDING_LIMIT:
             del self._pending[min(self._pending)]
 
-    def held(self, sequence: int) -> None:
-        """The configuration of this sequence is in force now; it never goes back."""
-        self._held = max(self._held, sequence)
-        for pending in [pending for pending in self._pending if pending <= self._held]:
+    def on_configuration_applied(self, sequence: int) -> None:
+        """Record that the configuration of this sequence is in force; the sequence never goes back."""
+        self._applied_sequence = max(self._applied_sequence, sequence)
+        for pending in [pending for pending in self._pending if pending <= self._applied_sequence]:
             self.confirmed_at = max(self.confirmed_at, self._pending.pop(pending))
--- a/rosechute/distribution/fan_out.py
+++ b/rosechute/distribution/fan_out.py
@@ -1,4 +1,4 @@
-"""Passing values on to those who follow them, and hints for those who could not be reached.
+"""Fan-out of updates to targets, with hinted handoff for those that can't be reached.
 
 The leader uses it for the home edges, a home edge for its subscribers.
 """
@@ -11,105 +11,111 @@
 from rosechute.distribution.actions import Connection, SendMessage
 from rosechute.distribution.hints import Hints
 from rosechute.distribution.store import TopicStore
-from rosechute.distribution.values import NO_POSITION, Position
+from rosechute.distribution.topics import NO_POSITION, Position
 
-SUBSCRIPTION_S = 5.0  # a subscription that is not renewed ends
+SUBSCRIPTION_S = 5.0  # lifetime of a subscription that is not renewed, and of a silent target
 
 
 @dataclass(slots=True)
 class _Target:
-    """Somebody who spoke to this process, and how it is reached."""
+    """A process that contacted this one, and the connection to it."""
 
     connection: Connection | None
-    spoke: float
-    held: dict[str, Position] = field(default_factory=dict)  # told by it, or sent on this connection
-    told: dict[str, Position] = field(default_factory=dict)  # told by it
+    last_received_at: float
+    sent_or_reported: dict[str, Position] = field(default_factory=dict)  # the newest position on this connection
+    reported: dict[str, Position] = field(default_factory=dict)  # by the target itself: certainly held
 
 
 class FanOut:
-    """Targets by name, their subscriptions, and what each is known to hold."""
+    """Targets by name, their subscriptions, and the positions that each holds."""
 
     def __init__(self, store: TopicStore) -> None:
         self._store = store
         self._targets: dict[str, _Target] = {}
-        self._subscribed: dict[str, dict[str, float]] = {}  # by topic and name: until when
+        self._subscriptions: dict[str, dict[str, float]] = {}  # expiry by topic and name
         self._hints = Hints()
 
-    def spoke(self, now: float, name: str, connection: Connection, told: dict[str, Position]) -> list[SendMessage]:
-        """A target spoke on this connection and told what it holds; what was missed is handed over."""
+    def on_report(
+        self, now: float, name: str, connection: Connection, reported: dict[str, Position]
+    ) -> list[SendMessage]:
+        """Record a message of a target and the positions that it reports; return the updates that it missed."""
         target = self._targets.get(name)
         if target is None or target.connection != connection:
-            self._keep_missed(now, name, target)
+            self._add_hints_for_unconfirmed(now, name, target)
             target = self._targets[name] = _Target(connection, now)
-        target.spoke = now
-        target.held.update(told)
-        target.told.update(told)
-        return self._hand_over(now, name, target)
+        target.last_received_at = now
+        target.sent_or_reported.update(reported)
+        target.reported.update(reported)
+        return self._deliver_hinted(now, name, target)
 
     def subscribe(self, now: float, topic: str, name: str) -> None:
-        """This target follows a topic from here on, for a while."""
-        self._subscribed.setdefault(topic, {})[name] = now + SUBSCRIPTION_S
+        """Add or renew a subscription of this target."""
+        self._subscriptions.setdefault(topic, {})[name] = now + SUBSCRIPTION_S
 
     def subscribers(self, topic: str) -> list[str]:
-        """Who follows a topic."""
-        return list(self._subscribed.get(topic, {}))
+        """Return the names of a topic's subscribers."""
+        return list(self._subscriptions.get(topic, {}))
 
     def publish(self, now: float, topic: str, names: Iterable[str]) -> list[SendMessage]:
-        """Send the value of a topic to these targets, or keep a hint."""
+        """Return the updates of a topic for these targets; add a hint for each one without a connection."""
         sends: list[SendMessage] = []
         for name in names:
             target = self._targets.get(name)
             if target is None or target.connection is None:
-                self._hints.put(name, topic, now)
+                self._hints.add(name, topic, now)
                 continue
-            sends += self._send(now, topic, target)
+            sends += self._update(now, topic, target)
         return sends
 
     def connection_closed(self, now: float, connection: Connection) -> None:
-        """A connection ended: what was sent on it and not told back may be lost."""
+        """Add hints for the updates that were sent on this connection and not confirmed: they may be lost."""
         for name, target in self._targets.items():
             if target.connection == connection:
-                self._keep_missed(now, name, target)
+                self._add_hints_for_unconfirmed(now, name, target)
                 target.connection = None
 
     def connections(self) -> list[Connection]:
-        """The connections on which targets are reached."""
+        """Return the open connections to targets."""
         return [target.connection for target in self._targets.values() if target.connection is not None]
 
     def expire(self, now: float) -> None:
-        """End subscriptions that were not renewed, forget old hints and silent targets."""
-        for topic, names in list(self._subscribed.items()):
-            for name in [name for name, until in names.items() if until <= now]:
-                del names[name]
-            if not names:
-                del self._subscribed[topic]
-        for name in [name for name, target in self._targets.items() if target.spoke + SUBSCRIPTION_S <= now]:
-            self._keep_missed(now, name, self._targets.pop(name))
+        """Remove subscriptions that were not renewed, silent targets and old hints."""
+        self._expire_subscriptions(now)
+        silent = [name for name, each in self._targets.items() if each.last_received_at + SUBSCRIPTION_S <= now]
+        for name in silent:
+            self._add_hints_for_unconfirmed(now, name, self._targets.pop(name))
         self._hints.expire(now)
 
     def clear(self) -> None:
-        """Forget everything about the targets."""
+        """Remove all targets, subscriptions and hints."""
         self._targets.clear()
-        self._subscribed.clear()
+        self._subscriptions.clear()
         self._hints.clear()
 
-    def _keep_missed(self, now: float, name: str, target: _Target | None) -> None:
+    def _expire_subscriptions(self, now: float) -> None:
+        for topic, names in list(self._subscriptions.items()):
+            for name in [name for name, expires_at in names.items() if expires_at <= now]:
+                del names[name]
+            if not names:
+                del self._subscriptions[topic]
+
+    def _add_hints_for_unconfirmed(self, now: float, name: str, target: _Target | None) -> None:
         if target is None or target.connection is None:
             return
-        for topic, position in target.held.items():
-            if position > target.told.get(topic, NO_POSITION):
-                self._hints.put(name, topic, now)
+        for topic, position in target.sent_or_reported.items():
+            if position > target.reported.get(topic, NO_POSITION):
+                self._hints.add(name, topic, now)
 
-    def _hand_over(self, now: float, name: str, target: _Target) -> list[SendMessage]:
+    def _deliver_hinted(self, now: float, name: str, target: _Target) -> list[SendMessage]:
         sends: list[SendMessage] = []
-        for topic in self._hints.take(name):
-            sends += self._send(now, topic, target)
+        for topic in self._hints.pop(name):
+            sends += self._update(now, topic, target)
         return sends
 
-    def _send(self, now: float, topic: str, target: _Target) -> list[SendMessage]:
+    def _update(self, now: float, topic: str, target: _Target) -> list[SendMessage]:
         value = self._store.get(topic)
-        held = target.held.get(topic, NO_POSITION)
+        held = target.sent_or_reported.get(topic, NO_POSITION)
         if value is None or held >= value.position or target.connection is None:
             return []
-        target.held[topic] = value.position
+        target.sent_or_reported[topic] = value.position
         return [SendMessage(target.connection, value.update_message(held, now))]
--- a/rosechute/distribution/hints.py
+++ b/rosechute/distribution/hints.py
@@ -1,35 +1,36 @@
-"""Hinted hand-over: who missed news of which topic, kept until they can be reached.
+"""Hinted handoff: the topics that a target missed, kept until it can be reached.
 
-A hint names the target and the topic; the newest value is handed over, so there is one hint for each topic at most.
+A hint names the target and the topic only. The newest value is delivered, so there is at most one hint per topic.
+Source: DeCandia et al., "Dynamo: Amazon's Highly Available Key-value Store", SOSP 2007, section 4.6.
 """
 
 from __future__ import annotations
 
-HINT_LIFETIME_S = 60.0  # whoever is away for longer asks for everything itself
+HINT_LIFETIME_S = 60.0  # a target that was away for longer catches up by itself: its renewals report positions
 
 
 class Hints:
-    """By target, the topics that could not be delivered."""
+    """Missed topics by target."""
 
     def __init__(self) -> None:
-        self._missed: dict[str, dict[str, float]] = {}
+        self._missed: dict[str, dict[str, float]] = {}  # expiry by target and topic
 
-    def put(self, target: str, topic: str, now: float) -> None:
-        """News of this topic could not be sent to this target."""
+    def add(self, target: str, topic: str, now: float) -> None:
+        """Record that an update of this topic could not be sent to this target."""
         self._missed.setdefault(target, {})[topic] = now + HINT_LIFETIME_S
 
-    def take(self, target: str) -> list[str]:
-        """The topics that the target missed; they are forgotten here."""
+    def pop(self, target: str) -> list[str]:
+        """Remove and return the topics that the target missed."""
         return list(self._missed.pop(target, {}))
 
     def expire(self, now: float) -> None:
-        """Forget hints that are too old."""
+        """Remove the hints whose lifetime has ended."""
         for target, topics in list(self._missed.items()):
-            for topic in [topic for topic, until in topics.items() if until <= now]:
+            for topic in [topic for topic, expires_at in topics.items() if expires_at <= now]:
                 del topics[topic]
             if not topics:
                 del self._missed[target]
 
     def clear(self) -> None:
-        """Forget all hints."""
+        """Remove all hints."""
         self._missed.clear()
--- a/rosechute/distribution/home_subscriptions.py
+++ b/rosechute/distribution/home_subscriptions.py
@@ -1,9 +1,4 @@
-"""Which home edge an edge follows for each topic, and what it does when that home fails.
-
-States of a topic: OWN (this edge is the home, or none is known: the leader sends by itself), ASKING (subscribed at
-the home, the answer is due), FOLLOWING (the home answered), DIRECT (the home failed: subscribed at the leader for a
-while).
-"""
+"""The subscription of an edge to each topic, at the home edge of its zone, or at the leader while that home fails."""
 
 from __future__ import annotations
 
@@ -15,18 +10,18 @@
 from rosechute.distribution.home_edges import home_edge
 from rosechute.distribution.membership import EdgeIdentity
 
-RESUBSCRIBE_S = 2.0  # well below SUBSCRIPTION_S of the other side
-HOME_SILENCE_S = 0.5
-SUSPICION_S = 2.0  # a home that failed is left alone for so long
+RESUBSCRIBE_S = 2.0  # renewal of a subscription; well below the lifetime SUBSCRIPTION_S at the home
+HOME_TIMEOUT_S = 0.5  # for the answer to a subscription
+SUSPICION_S = 2.0  # a failed home is not retried for so long
 
 
 class SubscriptionState(enum.Enum):
-    """How news of a topic comes to this edge."""
+    """How updates of a topic reach this edge."""
 
-    LOCAL = "local"
-    SUBSCRIBING = "subscribing"
-    SUBSCRIBED = "subscribed"
-    DIRECT = "direct"
+    LOCAL = "local"  # this edge is the home, or no home is known: the leader sends unasked
+    SUBSCRIBING = "subscribing"  # sent to the home, the answer is due
+    SUBSCRIBED = "subscribed"  # the home answered
+    DIRECT = "direct"  # the home failed: subscribed at the leader until the suspicion ends
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,122 +33,128 @@
 
 
 @dataclass(slots=True)
-class _Follow:
+class _Subscription:
     topic: str
     state: SubscriptionState = SubscriptionState.LOCAL
     home: EdgeIdentity | None = None
-    due: float = math.inf  # of the next step
-    suspect_until: float = -math.inf
-    asks: bool = False  # a subscription is to be sent
+    due_at: float = math.inf  # of the next transition
+    suspected_until: float = -math.inf
+    is_request_pending: bool = False
 
 
 class HomeSubscriptions:
-    """One state for each topic."""
+    """One subscription for each topic."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._edges: dict[str, EdgeIdentity] = {}
-        self._follows: dict[str, _Follow] = {}
+        self._subscriptions: dict[str, _Subscription] = {}
 
     def state(self, topic: str) -> SubscriptionState:
-        """How a topic is followed."""
-        return self._follows[topic].state
+        """Return the state of a topic's subscription."""
+        return self._subscriptions[topic].state
 
     def addresses(self) -> set[str]:
-        """Addresses of the homes that are followed."""
-        return {follow.home.address for follow in self._follows.values() if follow.home is not None}
+        """Return the addresses of the homes in use."""
+        return {each.home.address for each in self._subscriptions.values() if each.home is not None}
 
     def zone_size(self) -> int:
-        """Edges of the zone, as far as known."""
+        """Return the number of known edges of the zone."""
         return len(self._edges)
 
-    def add(self, now: float, topic: str) -> None:
-        """Follow a topic, if it is not followed yet."""
-        if topic not in self._follows:
-            self._follows[topic] = follow = _Follow(topic)
-            self._place(now, follow)
+    def add_topic(self, now: float, topic: str) -> None:
+        """Subscribe to a topic, unless it has a subscription already."""
+        if topic not in self._subscriptions:
+            self._subscriptions[topic] = subscription = _Subscription(topic)
+            self._assign_home(now, subscription)
 
-    def members(self, now: float, edges: Iterable[EdgeIdentity]) -> None:
-        """The edges of the zone that may be homes."""
+    def set_zone_edges(self, now: float, edges: Iterable[EdgeIdentity]) -> None:
+        """Set the edges of the zone that may be homes; topics whose home is another one now move to it."""
         self._edges = {edge.name: edge for edge in edges}
-        for follow in self._follows.values():
-            self._place(now, follow)
+        for subscription in self._subscriptions.values():
+            self._assign_home(now, subscription)
 
-    def answered(self, now: float, topic: str, address: str) -> None:
-        """The home answered a subscription, or sent news."""
-        follow = self._follows.get(topic)
-        if follow is None or follow.home is None or follow.home.address != address:
+    def on_home_message(self, now: float, topic: str, address: str) -> None:
+        """Process an answer to a subscription, or an update, from the home at this address."""
+        subscription = self._subscriptions.get(topic)
+        if subscription is None or subscription.home is None or subscription.home.address != address:
             return
-        if follow.state is SubscriptionState.SUBSCRIBING:
-            self._to_following(now, follow)
-
-    def failed(self, now: float, address: str) -> None:
-        """The home at this address is silent, or its link ended."""
-        for follow in self._follows.values():
-            followed = follow.state in (SubscriptionState.SUBSCRIBING, SubscriptionState.SUBSCRIBED)
-            if followed and follow.home is not None and follow.home.address == address:
-                self._to_direct(now, follow)
-
-    def leader_found(self, now: float) -> None:
-        """There is another leader: subscriptions at the former one are void."""
-        for follow in self._follows.values():
-            if follow.state is SubscriptionState.DIRECT:
-                follow.asks = True
+        if subscription.state is SubscriptionState.SUBSCRIBING:
+            self._to_subscribed(now, subscription)
+
+    def on_home_failure(self, now: float, address: str) -> None:
+        """Move the topics of the home at this address to the leader: it timed out, or its link ended."""
+        for subscription in self._subscriptions.values():
+            is_at_home = subscription.state in (SubscriptionState.SUBSCRIBING, SubscriptionState.SUBSCRIBED)
+            if is_at_home and subscription.home is not None and subscription.home.address == address:
+                self._to_direct(now, subscription)
+
+    def on_leader_changed(self) -> None:
+        """Renew the subscriptions at the leader: a new one does not know them."""
+        for subscription in self._subscriptions.values():
+            if subscription.state is SubscriptionState.DIRECT:
+                subscription.is_request_pending = True
 
     def due(self, now: float) -> list[SubscriptionRequest]:
-        """Subscriptions to be sent now."""
-        for follow in self._follows.values():
-            if follow.due <= now:
-                self._step(now, follow)
-        asks = []
-        for follow in self._follows.values():
-            if follow.asks:
-                follow.asks = False
-                direct = follow.state is SubscriptionState.DIRECT or follow.home is None
-                asks.append(
-                    SubscriptionRequest(follow.topic, None if direct or follow.home is None else follow.home.address)
-                )
-        return asks
+        """Make the transitions that are due, and return the requests to send now."""
+        for subscription in self._subscriptions.values():
+            if subscription.due_at <= now:
+                self._on_due(now, subscription)
+        requests = []
+        for subscription in self._subscriptions.values():
+            if subscription.is_request_pending:
+                subscription.is_request_pending = False
+                requests.append(_request(subscription))
+        return requests
 
     def next_due(self) -> float:
-        """When `due` has something next."""
-        return min((-math.inf if follow.asks else follow.due for follow in self._follows.values()), default=math.inf)
-
-    def _step(self, now: float, follow: _Follow) -> None:
-        match follow.state:
-            case SubscriptionState.SUBSCRIBING if follow.home is not None:
-                self.failed(now, follow.home.address)
-            case SubscriptionState.SUBSCRIBED if follow.home is not None:
-                self._to_asking(now, follow, follow.home)
-            case SubscriptionState.DIRECT if follow.home is not None and now >= follow.suspect_until:
-                self._to_asking(now, follow, follow.home)
+        """Return when `due` is to be called next; infinity for never."""
+        subscriptions = self._subscriptions.values()
+        return min(
+            (-math.inf if each.is_request_pending else each.due_at for each in subscriptions), default=math.inf
+        )
+
+    def _on_due(self, now: float, subscription: _Subscription) -> None:
+        match subscription.state:
+            case SubscriptionState.SUBSCRIBING if subscription.home is not None:
+                self.on_home_failure(now, subscription.home.address)
+            case SubscriptionState.SUBSCRIBED if subscription.home is not None:
+                self._to_subscribing(now, subscription, subscription.home)
+            case SubscriptionState.DIRECT if subscription.home is not None and now >= subscription.suspected_until:
+                self._to_subscribing(now, subscription, subscription.home)
             case _:
-                self._to_own(follow)
+                self._to_local(subscription)
 
-    def _place(self, now: float, follow: _Follow) -> None:
-        name = home_edge(follow.topic, self._edges)
+    def _assign_home(self, now: float, subscription: _Subscription) -> None:
+        name = home_edge(subscription.topic, self._edges)
         if name is None or name == self._name:
-            self._to_own(follow)
-        elif follow.home != self._edges[name]:
-            self._to_asking(now, follow, self._edges[name])
-
-    def _to_own(self, follow: _Follow) -> None:
-        follow.state = SubscriptionState.LOCAL
-        follow.home = None
-        follow.due = math.inf
-        follow.asks = False
-
-    def _to_asking(self, now: float, follow: _Follow, home_edge: EdgeIdentity) -> None:
-        follow.state = SubscriptionState.SUBSCRIBING
-        follow.home = home_edge
-        follow.due = now + HOME_SILENCE_S
-        follow.asks = True
-
-    def _to_following(self, now: float, follow: _Follow) -> None:
-        follow.state = SubscriptionState.SUBSCRIBED
-        follow.due = now + RESUBSCRIBE_S
-
-    def _to_direct(self, now: float, follow: _Follow) -> None:
-        follow.state = SubscriptionState.DIRECT
-        follow.due = follow.suspect_until = now + SUSPICION_S
-        follow.asks = True
+            self._to_local(subscription)
+        elif subscription.home != self._edges[name]:
+            self._to_subscribing(now, subscription, self._edges[name])
+
+    def _to_local(self, subscription: _Subscription) -> None:
+        subscription.state = SubscriptionState.LOCAL
+        subscription.home = None
+        subscription.due_at = math.inf
+        subscription.is_request_pending = False
+
+    def _to_subscribing(self, now: float, subscription: _Subscription, home: EdgeIdentity) -> None:
+        subscription.state = SubscriptionState.SUBSCRIBING
+        subscription.home = home
+        subscription.due_at = now + HOME_TIMEOUT_S
+        subscription.is_request_pending = True
+
+    def _to_subscribed(self, now: float, subscription: _Subscription) -> None:
+        subscription.state = SubscriptionState.SUBSCRIBED
+        subscription.due_at = now + RESUBSCRIBE_S
+
+    def _to_direct(self, now: float, subscription: _Subscription) -> None:
+        subscription.state = SubscriptionState.DIRECT
+        subscription.due_at = subscription.suspected_until = now + SUSPICION_S
+        subscription.is_request_pending = True
+
+
+def _request(subscription: _Subscription) -> SubscriptionRequest:
+    if subscription.state is SubscriptionState.DIRECT or subscription.home is None:
+        return SubscriptionRequest(subscription.topic, None)
+    return SubscriptionRequest(subscription.topic, subscription.home.address)
--- a/rosechute/distribution/membership.py
+++ b/rosechute/distribution/membership.py
@@ -1,17 +1,17 @@
-"""Leases of the edges at the leader: who lives, in which zone, since which start."""
+"""Membership leases of the edges at the leader: which edges are alive, in which zone, and as which incarnation."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MEMBERSHIP_LEASE_S = 2.0
+MEMBERSHIP_LEASE_S = 2.0  # five renewals: an edge outlives a few lost messages
 RENEW_INTERVAL_S = 0.4
-MEMBERSHIP_GRACE_S = 1.0  # a new leader does not know yet who lives
+MEMBERSHIP_GRACE_S = 1.0  # after an election, until every living edge has had the time to find the leader and renew
 
 
 @dataclass(frozen=True, slots=True)
 class EdgeIdentity:
-    """One edge as others know it."""
+    """One edge as other processes know it."""
 
     name: str
     zone: str
@@ -20,71 +20,72 @@
 
 @dataclass(slots=True)
 class Member:
-    """An edge under lease."""
+    """An edge with a membership lease."""
 
     edge: EdgeIdentity
-    boot: int
-    leaving: bool
-    until: float
+    incarnation: int  # drawn at the start of the process
+    is_leaving: bool  # shutting down: still counted, but no home any more
+    expires_at: float
 
 
 class Membership:
-    """The edges under lease at one leader, for one term."""
+    """The edges with a lease at one leader, for one term."""
 
     def __init__(self, now: float) -> None:
         self._members: dict[str, Member] = {}
         self._revisions: dict[str, int] = {}  # by zone
-        self._settled_at = now + MEMBERSHIP_GRACE_S
+        self._complete_at = now + MEMBERSHIP_GRACE_S
 
-    def settled(self, now: float) -> bool:
-        """Whether every living edge has had the time to renew."""
-        return now >= self._settled_at
+    def is_complete(self, now: float) -> bool:
+        """Return whether every living edge has had the time to renew since the election."""
+        return now >= self._complete_at
 
-    def renew(self, now: float, edge: EdgeIdentity, boot: int, leaving: bool) -> bool:
-        """Take or renew a lease; True where the edge started anew, or is new here."""
+    def renew(self, now: float, edge: EdgeIdentity, incarnation: int, *, is_leaving: bool) -> bool:
+        """Grant or renew a lease; return whether the edge is new here or was restarted."""
         old = self._members.get(edge.name)
-        self._members[edge.name] = Member(edge, boot, leaving, now + MEMBERSHIP_LEASE_S)
-        if old is None or old.edge != edge or old.leaving != leaving:
-            self._changed(edge.zone)
+        self._members[edge.name] = Member(edge, incarnation, is_leaving, now + MEMBERSHIP_LEASE_S)
+        if old is None or old.edge != edge or old.is_leaving != is_leaving:
+            self._increment_revision(edge.zone)
             if old is not None and old.edge.zone != edge.zone:
-                self._changed(old.edge.zone)
-        return old is None or old.boot != boot
+                self._increment_revision(old.edge.zone)
+        return old is None or old.incarnation != incarnation
 
     def expire(self, now: float) -> list[str]:
-        """End the leases that were not renewed; the names of those edges."""
-        gone = [member for member in self._members.values() if member.until <= now]
-        for member in gone:
+        """Remove the edges whose lease has ended; return their names."""
+        expired = [member for member in self._members.values() if member.expires_at <= now]
+        for member in expired:
             del self._members[member.edge.name]
-            self._changed(member.edge.zone)
-        return [member.edge.name for member in gone]
+            self._increment_revision(member.edge.zone)
+        return [member.edge.name for member in expired]
 
     def next_expiry(self) -> float | None:
-        """When the next lease ends."""
-        return min((member.until for member in self._members.values()), default=None)
+        """Return when the next lease ends, or None."""
+        return min((member.expires_at for member in self._members.values()), default=None)
 
     def total(self, now: float) -> int:
-        """Living edges; 0 while that is not known."""
-        return len(self._members) if self.settled(now) else 0
+        """Return the number of living edges; 0 while it is not known."""
+        return len(self._members) if self.is_complete(now) else 0
 
     def names(self) -> list[str]:
-        """Every living edge."""
+        """Return the names of all living edges."""
         return list(self._members)
 
-    def zones(self) -> dict[str, list[str]]:
-        """By zone, the edges that may be homes."""
+    def home_candidates(self) -> dict[str, list[str]]:
+        """Return the names of the edges that may be homes, by zone."""
         zones: dict[str, list[str]] = {}
         for member in self._members.values():
-            if not member.leaving:
+            if not member.is_leaving:
                 zones.setdefault(member.edge.zone, []).append(member.edge.name)
         return zones
 
     def revision(self, zone: str) -> int:
-        """Grows with each change of a zone's edges."""
+        """Return the revision of a zone's edges; it grows with each change."""
         return self._revisions.get(zone, 0)
 
     def zone_edges(self, zone: str) -> list[EdgeIdentity]:
-        """The edges of a zone that may be homes."""
-        return [member.edge for member in self._members.values() if member.edge.zone == zone and not member.leaving]
+        """Return the edges of a zone that may be homes."""
+        members = self._members.values()
+        return [member.edge for member in members if member.edge.zone == zone and not member.is_leaving]
 
-    def _changed(self, zone: str) -> None:
+    def _increment_revision(self, zone: str) -> None:
         self._revisions[zone] = self._revisions.get(zone, 0) + 1
--- a/rosechute/distribution/publisher.py
+++ b/rosechute/distribution/publisher.py
@@ -1,53 +1,39 @@
-"""Distribution in a core process: membership of the edges, and the news pushed to them by the leader.
+"""The core machine's side of the distribution: membership of the edges, and the updates pushed by the leader.
 
-A core machine that is not the leader names the leader, tells how fresh its knowledge of the configuration is, and
+A core machine that is not the leader names the leader, reports how fresh its knowledge of the configuration is, and
 serves the configuration that it holds.
 """
 
 from __future__ import annotations
 
 import enum
-import math
-import zlib
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
 
 from rosechute.distribution.actions import Connection, SendMessage
+from rosechute.distribution.core_directory import CoreAddress, CoreDirectory
+from rosechute.distribution.endpoint_lists import EndpointLists
 from rosechute.distribution.fan_out import FanOut
+from rosechute.distribution.freshness import ConfigurationFreshness
 from rosechute.distribution.home_edges import home_edge
 from rosechute.distribution.membership import MEMBERSHIP_LEASE_S, EdgeIdentity, Membership
-from rosechute.distribution.store import TopicStore, UpdateResult
-from rosechute.distribution.values import (
+from rosechute.distribution.recent_fetches import RecentFetches
+from rosechute.distribution.store import TopicStore
+from rosechute.distribution.topics import (
     CONFIG_TOPIC,
     NO_POSITION,
-    Configuration,
-    ListedServer,
-    Position,
-    Value,
-    is_unchanged,
+    configuration_position,
     list_position,
-    list_topic,
-    next_service_list,
     reported_positions,
     topic_position,
 )
+from rosechute.distribution.values import Configuration, ListedServer
 from rosechute.messages import distribution_pb2 as pb
 
-FETCH_AGAIN_S = 2.0
-ASKED_S = 1.0  # an edge that asked so lately still searches, and is told of the leader at once
+SEARCHING_EDGE_S = 1.0  # an edge that renewed so recently at a follower still searches: a new leader contacts it
 
 QuotaHandler = Callable[[float, pb.QuotaRequest], "pb.QuotaIssue | None"]
 
 
-@dataclass(frozen=True, slots=True)
-class CoreAddress:
-    """A core machine of the current view."""
-
-    id: str
-    address: str  # of its link, host:port
-    control: str  # of the operator's API, host:port
-
-
 class PublisherState(enum.Enum):
     """Whether this machine holds the leader lease."""
 
@@ -64,15 +50,13 @@
         self._term = 0
         self._leader_address: str | None = None
         self._store = TopicStore()
+        self._lists = EndpointLists(self._store)
         self._fan_out = FanOut(self._store)
         self._membership = Membership(0.0)
-        self._list_known = False  # whether the list was read in this term
-        self._fresh_sequence = 0
-        self._fresh_at = -math.inf
-        self._core: tuple[pb.CoreMachine, ...] = ()
-        self._core_digest = 0
-        self._asked: dict[Connection, float] = {}  # while this is not the leader: who asked for it, and when
-        self._fetched: dict[tuple[Connection, str], tuple[Position, float]] = {}
+        self._freshness = ConfigurationFreshness()
+        self._core = CoreDirectory()
+        self._searching: dict[Connection, float] = {}  # last renewal of edges that asked this follower for the leader
+        self._recent_fetches = RecentFetches()
 
     @property
     def state(self) -> PublisherState:
@@ -81,126 +65,118 @@
 
     @property
     def term(self) -> int:
-        """Of the leader lease that was gained last; 0 for none."""
+        """The term of the leader lease that was gained last; 0 for none."""
         return self._term
 
     def edges_total(self, now: float) -> int:
-        """Living edges; 0 where it is not known, or this is not the leader."""
-        return self._membership.total(now) if self._state is PublisherState.LEADER else 0
+        """Return the number of living edges; 0 where it is not known, or this is not the leader."""
+        return self._membership.total(now) if self._is_leader else 0
+
+    # --- events of the core machine
 
     def leadership_gained(self, now: float, term: int) -> list[SendMessage]:
-        """This machine holds the leader lease from now on, for a term that is higher than every one before."""
-        if self._state is PublisherState.LEADER and self._term == term:
+        """Start to lead, for a term that is higher than every one before; announce it to the searching edges."""
+        if self._is_leader and self._term == term:
             return []
         self._state = PublisherState.LEADER
         self._term = term
         self._membership = Membership(now)
         self._fan_out.clear()
-        self._list_known = False
-        searching = [connection for connection, at in self._asked.items() if now - at < ASKED_S]
-        self._asked.clear()
-        return self._tell(searching, pb.Renewed(is_leader=True, members_term=term))
+        self._lists.begin_term(term)
+        searching = [connection for connection, at in self._searching.items() if now - at < SEARCHING_EDGE_S]
+        self._searching.clear()
+        return _announce(searching, pb.Renewed(is_leader=True, members_term=term))
 
     def leadership_lost(self, now: float) -> list[SendMessage]:
-        """This machine does not hold the leader lease any more."""
-        if self._state is PublisherState.FOLLOWER:
+        """Stop to lead; announce it to the attached edges."""
+        if not self._is_leader:
             return []
         self._state = PublisherState.FOLLOWER
-        followers = self._fan_out.connections()
+        attached = self._fan_out.connections()
         self._fan_out.clear()
         self._leader_address = None
-        return self._tell(followers, pb.Renewed())
+        return _announce(attached, pb.Renewed())
 
     def set_leader_address(self, address: str | None) -> None:
-        """The address of the leader's link, where it is another machine and known."""
+        """Set the address of the leader's link, where it is another machine and known."""
         self._leader_address = address
 
     def set_core_machines(self, machines: Sequence[CoreAddress]) -> None:
-        """The core machines of the current view."""
-        self._core = tuple(pb.CoreMachine(id=one.id, address=one.address, control=one.control) for one in machines)
-        told = "\n".join(f"{one.id} {one.address} {one.control}" for one in machines)
-        self._core_digest = zlib.crc32(told.encode()) or 1
+        """Set the core machines of the current view."""
+        self._core.set_machines(machines)
 
     def configuration_committed(self, now: float, sequence: int, version: int, body: bytes) -> list[SendMessage]:
-        """A configuration is committed; called on every core machine."""
-        if (0, sequence) <= self._store.position(CONFIG_TOPIC):
+        """Store a committed configuration and push it; called on every core machine."""
+        if configuration_position(sequence) <= self._store.position(CONFIG_TOPIC):
             return []
         self._store.put(Configuration.from_body(sequence, version, body))
         return self._publish(now, CONFIG_TOPIC)
 
     def update_freshness(self, now: float, sequence: int, age_s: float) -> None:
-        """So long ago, the newest acknowledged configuration was at most the one of this sequence."""
-        as_of = now - age_s
-        if as_of >= self._fresh_at:
-            self._fresh_at = as_of
-            self._fresh_sequence = sequence
+        """Record that `age_s` ago the newest acknowledged configuration had at most this sequence."""
+        self._freshness.update(now, sequence, age_s)
 
     def endpoint_list_read(self, now: float, entries: Iterable[ListedServer]) -> list[SendMessage]:
-        """A whole reading of the platform's list, made under the lease."""
-        if self._state is not PublisherState.LEADER:
+        """Store a complete reading of the platform's list, made under the lease, and push what changed."""
+        if not self._is_leader:
             return []
-        by_service: dict[str, list[ListedServer]] = {}
-        for entry in entries:
-            by_service.setdefault(entry.service, []).append(entry)
-        known = {value.service for value in self._store.lists()}
-        self._list_known = True
         sends: list[SendMessage] = []
-        for service in sorted(known | by_service.keys()):
-            sends += self._take_reading(now, service, by_service.get(service, []))
+        for topic in self._lists.apply_reading(now, entries):
+            sends += self._publish(now, topic)
         return sends
 
+    def tick(self, now: float) -> list[SendMessage]:
+        """Expire leases, subscriptions and hints; to be called a few times a second."""
+        if self._is_leader:
+            self._membership.expire(now)
+            self._fan_out.expire(now)
+        self._recent_fetches.expire(now)
+        return []
+
+    # --- events of the links
+
     def receive(self, now: float, connection: Connection, message: pb.Distribution) -> list[SendMessage]:
-        """A message of an edge, which came on this connection."""
+        """Process a message of an edge that arrived on this connection."""
         match message.WhichOneof("body"):
             case "renew":
-                return self._renew(now, connection, message.renew)
+                return self._on_renew(now, connection, message.renew)
             case "subscribe":
-                return self._subscribe(now, connection, message.subscribe)
+                return self._on_subscribe(now, connection, message.subscribe)
             case "fetch":
-                return self._fetch(now, connection, message.fetch.topic)
+                return self._on_fetch(now, connection, message.fetch.topic)
             case "quota_request":
-                return self._quota(now, connection, message.quota_request)
+                return self._on_quota_request(now, connection, message.quota_request)
         return []
 
     def connection_closed(self, now: float, connection: Connection) -> None:
-        """A connection of an edge has ended."""
+        """Process the end of an edge's connection."""
         self._fan_out.connection_closed(now, connection)
-        self._asked.pop(connection, None)
-        for key in [key for key in self._fetched if key[0] == connection]:
-            del self._fetched[key]
+        self._searching.pop(connection, None)
+        self._recent_fetches.connection_closed(connection)
 
-    def tick(self, now: float) -> list[SendMessage]:
-        """End what has run out; a few times a second is enough."""
-        if self._state is PublisherState.LEADER:
-            self._membership.expire(now)
-            self._fan_out.expire(now)
-        for key in [key for key, (_, sent) in self._fetched.items() if now - sent >= FETCH_AGAIN_S]:
-            del self._fetched[key]
-        return []
+    # --- renewals
 
-    def _renew(self, now: float, connection: Connection, renew: pb.Renew) -> list[SendMessage]:
-        if self._state is not PublisherState.LEADER:
-            self._asked[connection] = now
+    def _on_renew(self, now: float, connection: Connection, renew: pb.Renew) -> list[SendMessage]:
+        if not self._is_leader:
+            self._searching[connection] = now
             return [SendMessage(connection, pb.Distribution(renewed=self._answer(now, renew)))]
         edge = EdgeIdentity(renew.edge.name, renew.edge.zone, renew.edge.address)
-        self._membership.renew(now, edge, renew.boot, renew.leaving)
-        self._learn_services(now, renew)
-        sends = self._fan_out.spoke(now, edge.name, connection, reported_positions(renew))
+        self._membership.renew(now, edge, renew.boot, is_leaving=renew.leaving)
+        self._empty_unlisted_services(now, renew)
+        sends = self._fan_out.on_report(now, edge.name, connection, reported_positions(renew))
         return [SendMessage(connection, pb.Distribution(renewed=self._leader_answer(now, renew))), *sends]
 
-    def _tell(self, connections: Iterable[Connection], answer: pb.Renewed) -> list[SendMessage]:
-        """Tell edges unasked whether this machine leads; they ask again at once."""
-        return [SendMessage(connection, pb.Distribution(renewed=answer)) for connection in connections]
+    def _empty_unlisted_services(self, now: float, renew: pb.Renew) -> None:
+        for topic in self._lists.empty_unlisted(now, [entry.service for entry in renew.lists]):
+            # Not sent from here: the fan-out records the update as sent, and the edges, which the answers to their
+            # renewals show to be behind, fetch it.
+            self._publish(now, topic)
 
     def _answer(self, now: float, renew: pb.Renew) -> pb.Renewed:
-        """What every core machine can tell: the freshness of the configuration, the core, who leads."""
-        answer = pb.Renewed(request=renew.request, leader=self._leader_address or "", core_digest=self._core_digest)
-        answer.config_sequence = max(self._fresh_sequence, self._store.position(CONFIG_TOPIC)[1])
-        if math.isfinite(self._fresh_at):
-            answer.config_known = True
-            answer.config_age_ms = min(math.ceil(max(0.0, now - self._fresh_at) * 1000.0), 2**32 - 1)
-        if renew.core_digest != self._core_digest:
-            answer.core.extend(self._core)
+        """Return what every core machine reports: freshness of the configuration, core machines, the leader."""
+        answer = pb.Renewed(request=renew.request, leader=self._leader_address or "", core_digest=self._core.digest)
+        self._freshness.report(now, self._store.position(CONFIG_TOPIC).revision, answer)
+        answer.core.extend(self._core.unknown_to(renew.core_digest))
         return answer
 
     def _leader_answer(self, now: float, renew: pb.Renew) -> pb.Renewed:
@@ -210,81 +186,66 @@
         answer.lease_ms = int(MEMBERSHIP_LEASE_S * 1000.0)
         answer.members_term = self._term
         answer.edges_total = self._membership.total(now)
-        for value in self._store.lists():
-            if self._current(value.topic) is not None:
-                answer.lists.append(list_position(value.service, value.position))
-        if self._membership.settled(now):
-            revision = self._membership.revision(renew.edge.zone)
-            answer.members_revision = revision
-            if (renew.members_term, renew.members_revision) != (self._term, revision):
-                for edge in self._membership.zone_edges(renew.edge.zone):
-                    answer.zone_edges.append(pb.Edge(name=edge.name, zone=edge.zone, address=edge.address))
+        answer.lists.extend(list_position(value.service, value.position) for value in self._lists.of_this_term())
+        if self._membership.is_complete(now):
+            self._report_zone_edges(renew, answer)
         return answer
 
-    def _learn_services(self, now: float, renew: pb.Renew) -> None:
-        """A service that an edge has a list of, but that the platform does not name any more, has no servers."""
-        if not self._list_known:
-            return
-        for told in renew.lists:
-            if self._store.position(list_topic(told.service))[0] != self._term:
-                self._take_reading(now, told.service, [])
-
-    def _subscribe(self, now: float, connection: Connection, subscribe: pb.Subscribe) -> list[SendMessage]:
-        """From an edge whose home for this topic fails."""
-        if self._state is not PublisherState.LEADER:
+    def _report_zone_edges(self, renew: pb.Renew, answer: pb.Renewed) -> None:
+        """Write the revision of the zone's edges into an answer, and the edges themselves where it is new."""
+        revision = self._membership.revision(renew.edge.zone)
+        answer.members_revision = revision
+        if (renew.members_term, renew.members_revision) != (self._term, revision):
+            for edge in self._membership.zone_edges(renew.edge.zone):
+                answer.zone_edges.append(pb.Edge(name=edge.name, zone=edge.zone, address=edge.address))
+
+    # --- other messages of edges
+
+    def _on_subscribe(self, now: float, connection: Connection, subscribe: pb.Subscribe) -> list[SendMessage]:
+        """Serve an edge whose home for this topic failed."""
+        if not self._is_leader:
             return []
-        topic, held = subscribe.topic, topic_position(subscribe)
-        self._fan_out.subscribe(now, topic, subscribe.edge.name)
-        sends = self._fan_out.spoke(now, subscribe.edge.name, connection, {topic: held})
-        if self._current(topic) is None:
+        topic, name = subscribe.topic, subscribe.edge.name
+        self._fan_out.subscribe(now, topic, name)
+        sends = self._fan_out.on_report(now, name, connection, {topic: topic_position(subscribe)})
+        if self._lists.sendable(topic, is_leader=True) is None:
             return sends
-        return sends + self._fan_out.publish(now, topic, [subscribe.edge.name])
+        return sends + self._fan_out.publish(now, topic, [name])
 
-    def _fetch(self, now: float, connection: Connection, topic: str) -> list[SendMessage]:
-        value = self._current(topic)
-        if value is None:
+    def _on_fetch(self, now: float, connection: Connection, topic: str) -> list[SendMessage]:
+        value = self._lists.sendable(topic, is_leader=self._is_leader)
+        if value is None or self._recent_fetches.is_in_flight(now, connection, topic, value.position):
             return []
-        sent = self._fetched.get((connection, topic))
-        if sent is not None and sent[0] == value.position and now - sent[1] < FETCH_AGAIN_S:
-            return []  # it is on its way on this very connection, which may be slow
-        self._fetched[connection, topic] = (value.position, now)
+        self._recent_fetches.record(now, connection, topic, value.position)
         return [SendMessage(connection, value.update_message(NO_POSITION, now))]
 
-    def _current(self, topic: str) -> Value | None:
-        """What this machine may tell of a topic: lists only under the lease, and only those read in its term."""
-        value = self._store.get(topic)
-        if value is None or topic == CONFIG_TOPIC:
-            return value
-        leads = self._state is PublisherState.LEADER
-        return value if leads and value.position[0] == self._term else None
-
-    def _quota(self, now: float, connection: Connection, request: pb.QuotaRequest) -> list[SendMessage]:
-        if self._state is not PublisherState.LEADER:
-            answer = pb.Renewed(leader=self._leader_address or "", core_digest=self._core_digest)
+    def _on_quota_request(self, now: float, connection: Connection, request: pb.QuotaRequest) -> list[SendMessage]:
+        if not self._is_leader:
+            answer = pb.Renewed(leader=self._leader_address or "", core_digest=self._core.digest)
             return [SendMessage(connection, pb.Distribution(renewed=answer))]
         issue = self._on_quota(now, request)
         return [SendMessage(connection, pb.Distribution(quota_issue=issue))] if issue is not None else []
 
-    def _take_reading(self, now: float, service: str, servers: list[ListedServer]) -> list[SendMessage]:
-        old = self._store.service_list(service)
-        same_term = old is not None and old.position[0] == self._term
-        revision = old.position[1] + 1 if old is not None and same_term else 1
-        value = next_service_list(old, service, (self._term, revision), servers, now)
-        if same_term and is_unchanged(value):
-            return []
-        if self._store.put(value) is not UpdateResult.APPLIED:
-            return []
-        return self._publish(now, value.topic)
+    # --- pushing
+
+    @property
+    def _is_leader(self) -> bool:
+        return self._state is PublisherState.LEADER
 
     def _publish(self, now: float, topic: str) -> list[SendMessage]:
-        """News of a topic: to its home in each zone, and to those who follow it here."""
-        if self._state is not PublisherState.LEADER:
+        """Return the updates of a topic for its home in each zone and for its subscribers here."""
+        if not self._is_leader:
             return []
         return self._fan_out.publish(now, topic, self._targets(now, topic))
 
     def _targets(self, now: float, topic: str) -> list[str]:
-        if not self._membership.settled(now):
+        if not self._membership.is_complete(now):
             return self._membership.names()
-        homes = [home_edge(topic, names) for names in self._membership.zones().values()]
+        homes = [home_edge(topic, names) for names in self._membership.home_candidates().values()]
         targets = {name for name in homes if name is not None}
         return sorted(targets | set(self._fan_out.subscribers(topic)))
+
+
+def _announce(connections: Iterable[Connection], answer: pb.Renewed) -> list[SendMessage]:
+    """Return an unasked answer for each connection, by which edges learn that the leadership changed."""
+    return [SendMessage(connection, pb.Distribution(renewed=answer)) for connection in connections]
--- a/rosechute/distribution/store.py
+++ b/rosechute/distribution/store.py
@@ -1,31 +1,29 @@
-"""The newest value of each topic that a process holds. Nothing in it ever goes back."""
+"""The newest value of each topic that a process holds. A topic's position never goes back."""
 
 from __future__ import annotations
 
 import enum
 
+from rosechute.distribution.topics import CONFIG_TOPIC, NO_POSITION, Position, configuration_position, list_topic
 from rosechute.distribution.values import (
-    CONFIG_TOPIC,
-    NO_POSITION,
     Configuration,
-    Position,
+    ListedServer,
     ServiceList,
     Value,
     decode_configuration,
     decode_servers,
-    list_topic,
     next_service_list,
 )
 from rosechute.messages import distribution_pb2 as pb
 
 
 class UpdateResult(enum.Enum):
-    """What became of an update."""
+    """The result of applying an update."""
 
-    APPLIED = "applied"  # it is held now
-    STALE = "stale"  # it was held already, or a newer one is
-    GAP = "gap"  # it tells changes against something that is not held
-    INVALID = "invalid"  # it can't be read
+    APPLIED = "applied"
+    STALE = "stale"  # this position, or a newer one, was held already
+    GAP = "gap"  # a delta against a position that is not held
+    INVALID = "invalid"  # can't be decoded, or names no service
 
 
 class TopicStore:
@@ -35,50 +33,50 @@
         self._values: dict[str, Value] = {}
 
     def topics(self) -> list[str]:
-        """The topics that have a value."""
+        """Return the topics that have a value."""
         return list(self._values)
 
     def get(self, topic: str) -> Value | None:
-        """The value of a topic, where there is one."""
+        """Return the value of a topic, or None."""
         return self._values.get(topic)
 
     def configuration(self) -> Configuration | None:
-        """The newest configuration, where there is one."""
+        """Return the newest configuration, or None."""
         value = self._values.get(CONFIG_TOPIC)
         return value if isinstance(value, Configuration) else None
 
     def service_list(self, service: str) -> ServiceList | None:
-        """The newest list of a service, where there is one."""
+        """Return the newest endpoint list of a service, or None."""
         value = self._values.get(list_topic(service))
         return value if isinstance(value, ServiceList) else None
 
     def lists(self) -> list[ServiceList]:
-        """The lists of all services."""
+        """Return the newest endpoint list of every service."""
         return [value for value in self._values.values() if isinstance(value, ServiceList)]
 
     def position(self, topic: str) -> Position:
-        """Where a topic stands here."""
+        """Return the position of a topic's value; NO_POSITION where there is none."""
         value = self._values.get(topic)
         return value.position if value is not None else NO_POSITION
 
     def put(self, value: Value) -> UpdateResult:
-        """Hold a value unless it is no newer than the one held."""
+        """Store a value if its position is newer than the one held."""
         if value.position <= self.position(value.topic):
             return UpdateResult.STALE
         self._values[value.topic] = value
         return UpdateResult.APPLIED
 
     def apply_configuration(self, update: pb.ConfigUpdate) -> UpdateResult:
-        """Hold the configuration of an update, if it is newer."""
-        if (0, update.sequence) <= self.position(CONFIG_TOPIC):
+        """Store the configuration of an update if it is newer."""
+        if configuration_position(update.sequence) <= self.position(CONFIG_TOPIC):
             return UpdateResult.STALE
         configuration = decode_configuration(update)
         return self.put(configuration) if configuration is not None else UpdateResult.INVALID
 
     def apply_list(self, update: pb.ListUpdate, now: float) -> UpdateResult:
-        """Hold the list of an update, if it is newer and, where it tells changes, they are to what is held."""
+        """Store the endpoint list of a snapshot, or apply a delta to the one held, if the result is newer."""
         service = update.position.service
-        position = (update.position.term, update.position.revision)
+        position = Position(update.position.term, update.position.revision)
         old = self.service_list(service)
         if not service:
             return UpdateResult.INVALID
@@ -86,10 +84,13 @@
             return UpdateResult.STALE
         servers = decode_servers(update, now)
         if not update.whole:
-            if old is None or old.position != (position[0], update.base_revision):
+            if old is None or old.position != Position(position.term, update.base_revision):
                 return UpdateResult.GAP
-            removed = set(update.removed)
-            changed = {server.id: server for server in servers}
-            kept = [server for server in old.servers.values() if server.id not in removed | changed.keys()]
-            servers = kept + servers
+            servers = _with_delta(old, servers, update)
         return self.put(next_service_list(old, service, position, servers, now))
+
+
+def _with_delta(old: ServiceList, changed: list[ListedServer], update: pb.ListUpdate) -> list[ListedServer]:
+    """Return the servers of `old` that a delta leaves as they are, then those that it changes or adds."""
+    replaced = set(update.removed) | {server.id for server in changed}
+    return [server for server in old.servers.values() if server.id not in replaced] + changed
--- a/rosechute/distribution/values.py
+++ b/rosechute/distribution/values.py
@@ -1,6 +1,6 @@
-"""What is distributed: the configuration and the list of each service, each under a topic and at a position.
+"""The distributed values: the configuration and the endpoint list of each service, and their updates as messages.
 
-A position is a pair that only grows: (0, sequence) of the configuration, (term, revision) of a list.
+An update is a snapshot, or, for an endpoint list, a delta against the revision before.
 """
 
 from __future__ import annotations
@@ -9,34 +9,25 @@
 import zlib
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Final
 
+from rosechute.distribution.topics import (
+    CONFIG_TOPIC,
+    NO_POSITION,
+    Position,
+    configuration_position,
+    list_position,
+    list_topic,
+)
 from rosechute.messages import distribution_pb2 as pb
 
-Position = tuple[int, int]
-NO_POSITION: Final[Position] = (0, 0)
-
-CONFIG_TOPIC: Final = "config"
-LIST_PREFIX: Final = "list/"
-
-COLD_TOLERANCE_S = 0.5  # a cold time that differs by less between two readings is the same
-BODY_LIMIT_BYTES = 32 * 1024 * 1024
-COMPRESSION_LEVEL = 6
-
-
-def list_topic(service: str) -> str:
-    """The topic of a service's list."""
-    return LIST_PREFIX + service
-
-
-def service_of(topic: str) -> str:
-    """The service of a list's topic."""
-    return topic.removeprefix(LIST_PREFIX)
+COLD_TOLERANCE_S = 0.5  # warm-up ends that differ by less between two readings count as equal: readings jitter
+BODY_LIMIT_BYTES = 32 * 1024 * 1024  # of a decompressed configuration; bounds the memory a broken update can take
+COMPRESSION_LEVEL = 6  # zlib's default
 
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """One server as the platform's list shows it."""
+    """One model server as the platform's endpoint list shows it."""
 
     id: str
     service: str
@@ -44,15 +35,16 @@
     zone: str
     slots: int
     ready: bool  # False while it drains
-    cold_until: float = 0.0  # steady time of this process until which it is slow from its start
+    cold_until: float = 0.0  # end of its warm-up, in steady time of this process
 
-    def same_as(self, other: ListedServer, now: float) -> bool:
-        """Whether nothing of note differs."""
-        mine, theirs = max(self.cold_until, now), max(other.cold_until, now)
-        return abs(mine - theirs) < COLD_TOLERANCE_S and self._told() == other._told()
+    def is_equivalent_to(self, other: ListedServer, now: float) -> bool:
+        """Return whether both differ in nothing but a tolerated difference of their warm-up ends."""
+        own_end, other_end = max(self.cold_until, now), max(other.cold_until, now)
+        is_same_warm_up = abs(own_end - other_end) < COLD_TOLERANCE_S
+        return is_same_warm_up and self._compared_fields() == other._compared_fields()
 
-    def _told(self) -> tuple[str, str, str, str, int, bool]:
-        """All but the cold time. Every entry of every reading is compared: copies of the entries would cost more."""
+    def _compared_fields(self) -> tuple[str, str, str, str, int, bool]:
+        # A tuple, and no copy with an equal warm-up end: this runs for every entry of every reading.
         return (self.id, self.service, self.address, self.zone, self.slots, self.ready)
 
 
@@ -67,56 +59,69 @@
 
     @property
     def topic(self) -> str:
+        """The topic of every configuration."""
         return CONFIG_TOPIC
 
     @property
     def position(self) -> Position:
-        return (0, self.sequence)
+        """The position by its committed sequence."""
+        return configuration_position(self.sequence)
 
     @staticmethod
     def from_body(sequence: int, version: int, body: bytes) -> Configuration:
-        """From the body as the operator sent it; it is compressed here, once."""
+        """Create a configuration from the operator's JSON; this compresses the body, once for all updates."""
         return Configuration(sequence, version, body, zlib.compress(body, COMPRESSION_LEVEL))
 
     def update_message(self, held: Position, now: float) -> pb.Distribution:
-        """The update for somebody at the position `held`: always whole."""
+        """Return the update for a receiver at the position `held`: always a snapshot."""
         update = pb.ConfigUpdate(sequence=self.sequence, version=self.version, body=self.compressed)
         return pb.Distribution(config=update)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceList:
-    """The list of one service, and how it came from the position `base` of the same term."""
+    """The endpoint list of one service, and its delta against the position `base` of the same term."""
 
     service: str
     position: Position
     servers: dict[str, ListedServer]
-    base: Position = NO_POSITION
+    base: Position = NO_POSITION  # NO_POSITION: there is no delta
     changed: tuple[ListedServer, ...] = ()
     removed: tuple[str, ...] = ()
     _encoded: dict[bool, tuple[float, pb.Distribution]] = field(default_factory=dict, compare=False)
 
     @property
     def topic(self) -> str:
+        """The topic of the service's list."""
         return list_topic(self.service)
 
+    @property
+    def is_unchanged(self) -> bool:
+        """Whether the delta is empty."""
+        return not self.changed and not self.removed
+
     def update_message(self, held: Position, now: float) -> pb.Distribution:
-        """The update for somebody at the position `held`: the changes where that is the base, else whole."""
-        delta = self.base != NO_POSITION and held == self.base and held[0] == self.position[0]
-        known = self._encoded.get(delta)
-        if known is not None and known[0] == now:
-            return known[1]
-        servers = self.changed if delta else self.servers.values()
-        update = pb.ListUpdate(
+        """Return the update for a receiver at the position `held`: a delta where that is the base, else a snapshot.
+
+        Updates of one moment are encoded once: remaining warm-up times depend on `now`.
+        """
+        is_delta = self.base != NO_POSITION and held == self.base and held.term == self.position.term
+        encoded = self._encoded.get(is_delta)
+        if encoded is not None and encoded[0] == now:
+            return encoded[1]
+        message = pb.Distribution(list=self._encode(is_delta=is_delta, now=now))
+        self._encoded[is_delta] = (now, message)
+        return message
+
+    def _encode(self, *, is_delta: bool, now: float) -> pb.ListUpdate:
+        servers = self.changed if is_delta else self.servers.values()
+        return pb.ListUpdate(
             position=list_position(self.service, self.position),
-            whole=not delta,
-            base_revision=self.base[1] if delta else 0,
-            servers=[_encode(server, now) for server in servers],
-            removed=self.removed if delta else (),
+            whole=not is_delta,
+            base_revision=self.base.revision if is_delta else 0,
+            servers=[_encode_server(server, now) for server in servers],
+            removed=self.removed if is_delta else (),
         )
-        message = pb.Distribution(list=update)
-        self._encoded[delta] = (now, message)
-        return message
 
 
 Value = Configuration | ServiceList
@@ -125,48 +130,24 @@
 def next_service_list(
     old: ServiceList | None, service: str, position: Position, servers: Iterable[ListedServer], now: float
 ) -> ServiceList:
-    """The list at `position`, with its changes against `old`; servers that are the same keep their old entry."""
+    """Return the list at `position` with its delta against `old`; equivalent servers keep their old entry."""
     before = old.servers if old is not None else {}
     after: dict[str, ListedServer] = {}
     changed: list[ListedServer] = []
     for server in servers:
         known = before.get(server.id)
-        if known is not None and known.same_as(server, now):
+        if known is not None and known.is_equivalent_to(server, now):
             after[server.id] = known
             continue
         after[server.id] = server
         changed.append(server)
     removed = tuple(id for id in before if id not in after)
-    base = old.position if old is not None and old.position[0] == position[0] else NO_POSITION
+    base = old.position if old is not None and old.position.term == position.term else NO_POSITION
     return ServiceList(service, position, after, base, tuple(changed), removed)
 
 
-def is_unchanged(new: ServiceList) -> bool:
-    """Whether a list that `advance` made differs in nothing from the one before."""
-    return not new.changed and not new.removed
-
-
-def list_position(service: str, position: Position) -> pb.ListPosition:
-    """A list's position as a message."""
-    return pb.ListPosition(service=service, term=position[0], revision=position[1])
-
-
-def reported_positions(message: pb.Renew | pb.Renewed) -> dict[str, Position]:
-    """By topic, the positions that a renewal or its answer tells."""
-    positions = {list_topic(told.service): (told.term, told.revision) for told in message.lists}
-    positions[CONFIG_TOPIC] = (0, message.config_sequence)
-    return positions
-
-
-def topic_position(message: pb.Subscribe | pb.Subscribed) -> Position:
-    """The position that a subscription or its answer tells for its topic."""
-    if message.topic == CONFIG_TOPIC:
-        return (0, message.config_sequence)
-    return (message.list.term, message.list.revision)
-
-
 def decode_configuration(update: pb.ConfigUpdate) -> Configuration | None:
-    """The configuration in an update; None where its body can't be decompressed."""
+    """Return the configuration in an update; None where its body can't be decompressed."""
     inflater = zlib.decompressobj()
     try:
         body = inflater.decompress(update.body, BODY_LIMIT_BYTES)
@@ -178,11 +159,11 @@
 
 
 def decode_servers(update: pb.ListUpdate, now: float) -> list[ListedServer]:
-    """The servers in an update; remaining cold times are counted from `now`."""
-    return [_decode(server, update.position.service, now) for server in update.servers]
+    """Return the servers in an update; remaining warm-up times count from `now`."""
+    return [_decode_server(server, update.position.service, now) for server in update.servers]
 
 
-def _encode(server: ListedServer, now: float) -> pb.Server:
+def _encode_server(server: ListedServer, now: float) -> pb.Server:
     return pb.Server(
         id=server.id,
         address=server.address,
@@ -193,6 +174,6 @@
     )
 
 
-def _decode(server: pb.Server, service: str, now: float) -> ListedServer:
+def _decode_server(server: pb.Server, service: str, now: float) -> ListedServer:
     cold_until = now + server.cold_remaining_ms / 1000.0 if server.cold_remaining_ms else 0.0
     return ListedServer(server.id, service, server.address, server.zone, server.slots, server.ready, cold_until)
--- a/tests/fleet/distribution_checkers.py
+++ b/tests/fleet/distribution_checkers.py
@@ -9,7 +9,7 @@
 from rosechute.data_plane.plane import LEASE_MARGIN_S
 from rosechute.distribution.actions import ConfigurationChanged, ServersChanged
 from rosechute.distribution.membership import MEMBERSHIP_LEASE_S
-from rosechute.distribution.values import CONFIG_TOPIC
+from rosechute.distribution.topics import CONFIG_TOPIC
 
 from .distribution_machines import Process
 from .distribution_timeline import RuleBroken
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -22,7 +22,7 @@
 from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
 from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.distribution.values import Position
+from rosechute.distribution.topics import Position
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind
 from rosechute.processes.quota_client import QuotaClient
--- a/tests/fleet/distribution_world.py
+++ b/tests/fleet/distribution_world.py
@@ -28,7 +28,7 @@
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.publisher import PublisherState
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.distribution.values import Position, list_topic
+from rosechute.distribution.topics import Position, list_topic
 from rosechute.messages.distribution_pb2 import Distribution
 from rosechute.processes.quota_client import QuotaClient
 
--- a/tests/fleet/test_distribution_clusters.py
+++ b/tests/fleet/test_distribution_clusters.py
@@ -6,7 +6,7 @@
 
 from rosechute.distribution.home_edges import home_edge
 from rosechute.distribution.home_subscriptions import SubscriptionState
-from rosechute.distribution.values import CONFIG_TOPIC, list_topic
+from rosechute.distribution.topics import CONFIG_TOPIC, list_topic
 from tests.fleet.distribution_machines import Machine
 from tests.fleet.distribution_world import World, setUpModule, tearDownModule  # noqa: F401
 
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -22,6 +22,7 @@
 from rosechute.data_plane.plane import DataPlane
 from rosechute.distribution import confirmation, publisher, store
 from rosechute.distribution.catch_up import CatchUp
+from rosechute.distribution.endpoint_lists import EndpointLists
 from rosechute.distribution.leader_search import LeaderSearch
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.store import TopicStore, UpdateResult
@@ -82,7 +83,7 @@
 
 
 def lists_of_earlier_terms_are_told() -> AbstractContextManager[Any]:
-    return mock.patch.object(Publisher, "_current", lambda self, topic: self._store.get(topic))
+    return mock.patch.object(EndpointLists, "sendable", lambda self, topic, is_leader: self._store.get(topic))
 
 
 def a_follower_gives_tokens() -> AbstractContextManager[Any]:
@@ -90,7 +91,7 @@
         issue = self._on_quota(now, request)
         return [publisher.SendMessage(connection, publisher.pb.Distribution(quota_issue=issue))] if issue else []
 
-    return mock.patch.object(Publisher, "_quota", answer)
+    return mock.patch.object(Publisher, "_on_quota_request", answer)
 
 
 def members_of_an_earlier_term_are_kept() -> AbstractContextManager[Any]:
@@ -106,36 +107,36 @@
 
 
 def answers_of_older_terms_are_followed() -> AbstractContextManager[Any]:
-    def is_leader(self: LeaderSearch, now: float, address: str, term: int) -> bool:
+    def accept_leader(self: LeaderSearch, now: float, address: str, term: int) -> bool:
         self._to_attached(now, address, term)
         return True
 
-    return mock.patch.object(LeaderSearch, "is_leader", is_leader)
+    return mock.patch.object(LeaderSearch, "accept_leader", accept_leader)
 
 
 def news_of_older_leaders_are_asked() -> AbstractContextManager[Any]:
-    def leads_now(self: LeaderSearch, now: float, address: str, term: int) -> None:
-        self._named, self._next_at = address, now
+    def on_leadership_announced(self: LeaderSearch, now: float, address: str, term: int) -> None:
+        self._candidate, self._next_at = address, now
 
-    return mock.patch.object(LeaderSearch, "leads_now", leads_now)
+    return mock.patch.object(LeaderSearch, "on_leadership_announced", on_leadership_announced)
 
 
 def unasked_answers_confirm() -> AbstractContextManager[Any]:
-    return mock.patch.object(LeaderSearch, "answered", lambda self, now, address, request: now)
+    return mock.patch.object(LeaderSearch, "on_answer", lambda self, now, address, request: now)
 
 
 def confirmed_when_the_answer_came() -> AbstractContextManager[Any]:
-    def told(self: Any, sent_at: float, sequence: int, age_s: float) -> None:
+    def on_answer(self: Any, sent_at: float, sequence: int, age_s: float) -> None:
         self.confirmed_at = max(self.confirmed_at, sent_at)
 
-    return mock.patch.object(confirmation.Confirmation, "told", told)
+    return mock.patch.object(confirmation.Confirmation, "on_answer", on_answer)
 
 
 def confirmed_whatever_is_held() -> AbstractContextManager[Any]:
-    def told(self: Any, sent_at: float, sequence: int, age_s: float) -> None:
+    def on_answer(self: Any, sent_at: float, sequence: int, age_s: float) -> None:
         self.confirmed_at = max(self.confirmed_at, sent_at - age_s)
 
-    return mock.patch.object(confirmation.Confirmation, "told", told)
+    return mock.patch.object(confirmation.Confirmation, "on_answer", on_answer)
 
 
 def a_core_machine_tells_no_age() -> AbstractContextManager[Any]:
@@ -258,7 +259,7 @@
 
 
 def what_is_behind_is_not_fetched() -> AbstractContextManager[Any]:
-    return mock.patch.object(CatchUp, "told", lambda self, *told: None)
+    return mock.patch.object(CatchUp, "on_newer_position", lambda self, *reported: None)
 
 
 def edges_of_the_zone_are_not_asked() -> AbstractContextManager[Any]:
--- a/tests/fleet/test_distribution_orders.py
+++ b/tests/fleet/test_distribution_orders.py
@@ -13,8 +13,9 @@
     SendMessage,
     ServersChanged,
 )
+from rosechute.distribution.core_directory import CoreAddress
 from rosechute.distribution.membership import EdgeIdentity
-from rosechute.distribution.publisher import CoreAddress, Publisher
+from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -9,7 +9,8 @@
 from unittest import mock
 
 from rosechute.control_plane import endpoint_list_reader, quota_allocator, quota_policy, token_bucket
-from rosechute.distribution import catch_up, confirmation, home_subscriptions, membership, publisher, store, values
+from rosechute.distribution import catch_up, confirmation, home_subscriptions, membership, store, values
+from rosechute.distribution.endpoint_lists import EndpointLists
 from rosechute.distribution.store import UpdateResult
 from tests.fleet.distribution_checkers import Checkers
 from tests.fleet.distribution_days import play as play_day
@@ -44,17 +45,17 @@
         self.fail(f"no day shows {what!r}; shown: {found}")
 
     def test_confirmed_as_of_when_the_answer_came(self) -> None:
-        def told(self: confirmation.Confirmation, sent_at: float, sequence: int, age_s: float) -> None:
+        def on_answer(self: confirmation.Confirmation, sent_at: float, sequence: int, age_s: float) -> None:
             self.confirmed_at = max(self.confirmed_at, sent_at)
 
-        with mock.patch.object(confirmation.Confirmation, "told", told):
+        with mock.patch.object(confirmation.Confirmation, "on_answer", on_answer):
             self.found_on_some_day("confirmed after a newer acknowledgement")
 
     def test_confirmed_whatever_is_held(self) -> None:
-        def told(self: confirmation.Confirmation, sent_at: float, sequence: int, age_s: float) -> None:
+        def on_answer(self: confirmation.Confirmation, sent_at: float, sequence: int, age_s: float) -> None:
             self.confirmed_at = max(self.confirmed_at, sent_at - age_s)
 
-        with mock.patch.object(confirmation.Confirmation, "told", told):
+        with mock.patch.object(confirmation.Confirmation, "on_answer", on_answer):
             self.found_on_some_day("confirmed after a newer acknowledgement")
 
     def test_an_older_configuration_is_taken(self) -> None:
@@ -84,7 +85,7 @@
         def apply_list(self: store.TopicStore, update: object, now: float) -> UpdateResult:
             old = self.service_list(update.position.service)  # type: ignore[attr-defined]
             if old is not None and not update.whole:  # type: ignore[attr-defined]
-                update.base_revision = old.position[1]  # type: ignore[attr-defined]
+                update.base_revision = old.position.revision  # type: ignore[attr-defined]
             return original(self, update, now)  # type: ignore[arg-type]
 
         def play() -> None:
@@ -107,13 +108,13 @@
             world.run(8.0)
 
         def wait_for_ever(
-            self: home_subscriptions.HomeSubscriptions, now: float, follow: home_subscriptions._Follow
+            self: home_subscriptions.HomeSubscriptions, now: float, subscription: home_subscriptions._Subscription
         ) -> None:
-            follow.due = math.inf
+            subscription.due_at = math.inf
 
         play()
         with (
-            mock.patch.object(catch_up.CatchUp, "told", lambda self, *told: None),
+            mock.patch.object(catch_up.CatchUp, "on_newer_position", lambda self, *told: None),
             mock.patch.object(home_subscriptions.HomeSubscriptions, "_to_direct", wait_for_ever),
             mock.patch.object(Checkers, "_check_fresh", lambda self, process: None),  # it would find it first
         ):
@@ -127,12 +128,12 @@
             self.found(play, "confirmed long ago|in force")
 
     def test_the_list_is_pushed_only_once(self) -> None:
-        original = publisher.Publisher._take_reading
+        original = EndpointLists._apply_service
 
-        def take_reading(self: publisher.Publisher, now: float, service: str, servers: list[object]) -> list[object]:
+        def apply_service(self: EndpointLists, now: float, service: str, servers: list[object]) -> str | None:
             if self._store.service_list(service) is not None:
-                return []
-            return original(self, now, service, servers)  # type: ignore[arg-type,return-value]
+                return None
+            return original(self, now, service, servers)  # type: ignore[arg-type]
 
         def play() -> None:
             world = calm(World(seed=1))
@@ -140,7 +141,7 @@
             world.run(3.0)
 
         play()
-        with mock.patch.object(publisher.Publisher, "_take_reading", take_reading):
+        with mock.patch.object(EndpointLists, "_apply_service", apply_service):
             self.found(play, "is behind")
 
     def test_a_reading_counts_for_a_later_term(self) -> None:
--- a/tests/fleet/test_distribution_values.py
+++ b/tests/fleet/test_distribution_values.py
@@ -20,16 +20,16 @@
         self.assertEqual(sorted(told), sorted(OTHER), "a field was added: it has to be compared")
         for name in told:
             with self.subTest(field=name):
-                self.assertFalse(SERVER.same_as(replace(SERVER, **{name: OTHER[name]}), NOW))
+                self.assertFalse(SERVER.is_equivalent_to(replace(SERVER, **{name: OTHER[name]}), NOW))
 
     def test_an_equal_entry_is_the_same(self) -> None:
-        self.assertTrue(SERVER.same_as(replace(SERVER), NOW))
+        self.assertTrue(SERVER.is_equivalent_to(replace(SERVER), NOW))
 
     def test_cold_times_that_are_over_are_the_same(self) -> None:
-        self.assertTrue(replace(SERVER, cold_until=NOW - 3.0).same_as(replace(SERVER, cold_until=NOW), NOW))
+        self.assertTrue(replace(SERVER, cold_until=NOW - 3.0).is_equivalent_to(replace(SERVER, cold_until=NOW), NOW))
 
     def test_cold_times_count_from_the_tolerance_on(self) -> None:
         cold = replace(SERVER, cold_until=NOW + 2.0)
-        self.assertTrue(cold.same_as(replace(cold, cold_until=NOW + 2.0 + COLD_TOLERANCE_S / 2), NOW))
-        self.assertFalse(cold.same_as(replace(cold, cold_until=NOW + 2.0 + COLD_TOLERANCE_S), NOW))
-        self.assertFalse(cold.same_as(SERVER, NOW))
+        self.assertTrue(cold.is_equivalent_to(replace(cold, cold_until=NOW + 2.0 + COLD_TOLERANCE_S / 2), NOW))
+        self.assertFalse(cold.is_equivalent_to(replace(cold, cold_until=NOW + 2.0 + COLD_TOLERANCE_S), NOW))
+        self.assertFalse(cold.is_equivalent_to(SERVER, NOW))
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -28,7 +28,8 @@
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER
 from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, OutcomeUnknown, ReplicaConfig
 from rosechute.distribution.actions import DialedLink, SendMessage
-from rosechute.distribution.publisher import CoreAddress, PublisherState
+from rosechute.distribution.core_directory import CoreAddress
+from rosechute.distribution.publisher import PublisherState
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.messages.framing import MessageKind
