--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -1,5 +1,4 @@
-"""Names of the edges that may hold rate leases: when they are noted, who may be granted, and what a new term makes of
-them."""
+"""Edges that may hold rate leases: when they are persisted, who may be granted, what a new term makes of them."""
 
 from __future__ import annotations
 
@@ -34,46 +33,46 @@
 
 
 class UnknownNamesTest(unittest.TestCase):
-    """Earlier leases may run anywhere: all are granted until the first note, which names everybody granted."""
+    """Earlier leases may run anywhere: every edge is granted until the first set, which has all that were granted."""
 
     def setUp(self) -> None:
         self.owners = RateLeaseOwnerTracker(GAIN, None)
 
-    def test_everybody_is_granted_and_nothing_noted(self) -> None:
+    def test_every_edge_is_granted_and_nothing_persisted(self) -> None:
         self.assertTrue(self.owners.try_grant(GAIN, A))
         self.assertIsNone(self.owners.to_persist(GAIN))
         self.assertFalse(self.owners.has_all_reported)
 
-    def test_the_first_note_names_who_was_granted(self) -> None:
+    def test_the_first_set_has_the_edges_that_were_granted(self) -> None:
         self.owners.try_grant(GAIN, A)
         self.owners.on_earlier_leases_known()
         self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S), names(A))
 
-    def test_a_lease_that_has_run_out_is_not_named(self) -> None:
+    def test_an_edge_whose_lease_has_expired_is_left_out(self) -> None:
         self.owners.try_grant(GAIN, A)
         self.owners.try_grant(GAIN + 1.0, B)
         self.owners.on_earlier_leases_known()
         self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S + 0.5), names(B))
 
 
-class NotedNamesTest(unittest.TestCase):
-    """From the first note on, nobody is granted anything who is not in every note that may be on the disk."""
+class PersistedNamesTest(unittest.TestCase):
+    """From the first set on, no edge is granted anything that is not in every set that may be on the disk."""
 
     def setUp(self) -> None:
         self.owners = RateLeaseOwnerTracker(GAIN, names(A))
 
-    def test_earlier_edges_may_be_granted_before_the_first_note(self) -> None:
+    def test_earlier_edges_may_be_granted_before_the_first_set(self) -> None:
         self.assertTrue(self.owners.try_grant(GAIN, A))
         self.assertFalse(self.owners.try_grant(GAIN, B))
 
-    def test_a_new_edge_is_granted_once_it_is_noted(self) -> None:
+    def test_a_new_edge_is_granted_once_it_is_persisted(self) -> None:
         first = self.owners.to_persist(GAIN)
         self.assertEqual(first, names(A))
         self.assertFalse(self.owners.try_grant(GAIN, B))
-        self.assertIsNone(self.owners.to_persist(GAIN), "one note at a time")
+        self.assertIsNone(self.owners.to_persist(GAIN), "one set at a time")
         self.owners.on_persisted(names(A))
         self.assertEqual(self.owners.to_persist(GAIN), names(A, B))
-        self.assertFalse(self.owners.try_grant(GAIN, B), "its note is on its way only")
+        self.assertFalse(self.owners.try_grant(GAIN, B), "its set is being written only")
         self.assertTrue(self.owners.try_grant(GAIN, A))
         self.owners.on_persisted(names(A, B))
         self.assertTrue(self.owners.try_grant(GAIN, B))
@@ -87,14 +86,14 @@
         self.assertTrue(self.owners.try_grant(GAIN, B))
         self.assertTrue(self.owners.try_grant(GAIN, C))
 
-    def test_who_leaves_the_next_note_is_not_granted(self) -> None:
+    def test_an_edge_that_leaves_the_next_set_is_not_granted(self) -> None:
         self.owners.on_report(A)
         self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
         self.owners.try_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
         self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S + 1.0), names(B))
         self.assertFalse(self.owners.try_grant(GAIN + LEASE_EXPIRY_S + 1.0, A))
 
-    def test_an_edge_that_was_not_heard_stays_named(self) -> None:
+    def test_an_edge_without_a_report_stays_in_the_set(self) -> None:
         self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
         self.owners.try_grant(GAIN + LEASE_EXPIRY_S + 1.0, B)
         self.assertEqual(self.owners.to_persist(GAIN + LEASE_EXPIRY_S + 1.0), names(A, B))
@@ -105,7 +104,7 @@
         self.assertIsNone(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S))
         self.assertEqual(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S + 0.1), names())
 
-    def test_all_are_heard_once_each_has_reported(self) -> None:
+    def test_all_have_reported_once_each_has(self) -> None:
         owners = RateLeaseOwnerTracker(GAIN, names(A, B))
         owners.on_report(A)
         self.assertFalse(owners.has_all_reported)
@@ -114,10 +113,10 @@
         owners.on_report(B)
         self.assertTrue(owners.has_all_reported)
 
-    def test_nothing_to_be_heard_is_known_at_once(self) -> None:
+    def test_without_earlier_edges_all_have_reported_at_once(self) -> None:
         self.assertTrue(RateLeaseOwnerTracker(GAIN, names()).has_all_reported)
 
-    def test_a_report_that_is_not_taken_in_leaves_it_unknown(self) -> None:
+    def test_an_unusable_report_leaves_it_unknown(self) -> None:
         owners = RateLeaseOwnerTracker(GAIN, names(A))
         owners.on_unusable_report()
         owners.on_report(A)
@@ -125,15 +124,15 @@
 
 
 class NewTermTest(unittest.TestCase):
-    """The allocator of a leader that was told who may hold leases of earlier terms."""
+    """The allocator of a leader that knows who may hold leases of earlier terms."""
 
     def setUp(self) -> None:
         self.allocator = QuotaAllocator(QuotaBounds(8.0, 0.1, 110_000.0))
         self.allocator.configure(GAIN, {"t": LIMIT, "free": None})
         self.number = 0
 
-    def gain(self, holders: frozenset[str] | None) -> None:
-        self.allocator.leadership_gained(GAIN, GAIN + FULL_RATE_EXPIRY_S, GAIN + LEASE_EXPIRY_S, holders)
+    def gain(self, rate_lease_owners: frozenset[str] | None) -> None:
+        self.allocator.leadership_gained(GAIN, GAIN + FULL_RATE_EXPIRY_S, GAIN + LEASE_EXPIRY_S, rate_lease_owners)
         self.allocator.rate_lease_owners_to_persist(GAIN)
 
     def renew(self, now: float, edge: str, *reports: LeaseReport) -> float:
@@ -171,7 +170,7 @@
         self.renew(GAIN + 0.2, B)
         self.assertGreater(self.renew(GAIN + 0.6, A, report()), 0.0)
 
-    def test_nothing_is_leased_while_an_earlier_word_runs(self) -> None:
+    def test_nothing_is_leased_while_an_earlier_promise_holds(self) -> None:
         self.gain(names(A))
         self.renew(GAIN + 0.1, A, report(no_lease_s=3.0))
         self.assertEqual(self.renew(GAIN + 2.0, A, report()), 0.0)
@@ -184,34 +183,34 @@
         self.gain(None)
         self.assertEqual(first, self.issued_by(GAIN + 1.0))
 
-    def test_an_edge_that_is_not_noted_is_granted_nothing(self) -> None:
+    def test_an_edge_that_is_not_persisted_is_granted_nothing(self) -> None:
         self.gain(names(A))
         self.renew(GAIN + 0.1, A, report())
         self.assertEqual(self.renew(GAIN + 0.2, B, report()), 0.0)
         self.allocator.rate_lease_owners_persisted(names(A))
-        noted = self.allocator.rate_lease_owners_to_persist(GAIN + 0.3)
-        self.assertEqual(noted, names(A, B))
-        self.allocator.rate_lease_owners_persisted(noted or names())
+        persisted = self.allocator.rate_lease_owners_to_persist(GAIN + 0.3)
+        self.assertEqual(persisted, names(A, B))
+        self.allocator.rate_lease_owners_persisted(persisted or names())
         self.assertGreater(self.renew(GAIN + 0.7, B, report()), 0.0)
 
-    def test_names_are_noted_when_earlier_leases_have_run_out(self) -> None:
+    def test_names_are_persisted_when_earlier_leases_have_expired(self) -> None:
         self.gain(None)
         self.renew(GAIN + 1.0, A, report())
         self.assertIsNone(self.allocator.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S - 0.1))
         self.assertEqual(self.allocator.rate_lease_owners_to_persist(GAIN + LEASE_EXPIRY_S), names(A))
 
 
-class DiskTest(unittest.TestCase):
-    """The newest note of a disk counts; one of an earlier term changes nothing."""
+class PersistedRecordTest(unittest.TestCase):
+    """The newest set of a disk counts; one of an earlier term changes nothing."""
 
     def note(self, term: int, *edges: str) -> pb.Record:
         return pb.Record(rate_lease_holders=pb.RateLeaseHoldersRecord(term=term, edges=edges))
 
-    def test_a_later_note_replaces(self) -> None:
+    def test_a_later_set_replaces(self) -> None:
         records = [self.note(3, A).SerializeToString(), self.note(3, A, B).SerializeToString()]
         self.assertEqual(load_replica_state(records).rate_lease_owners, RateLeaseOwners(3, names(A, B)))
 
-    def test_a_note_of_an_earlier_term_is_passed_over(self) -> None:
+    def test_a_set_of_an_earlier_term_is_ignored(self) -> None:
         replica_state = ReplicaState()
         replica_state.apply(self.note(4, A))
         replica_state.apply(self.note(3, B))
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -301,12 +301,15 @@
     (the_edge_forgets_its_lease, f"{TERMS}.Keys.test_a_request_that_waited_is_not_sent_once_the_lease_has_ended"),
     (
         tokens_live_from_when_they_came,
-        "tests.fleet.test_distribution_token_cache.WalletTest.test_tokens_are_void_a_lifetime_after_the_ask",
+        "tests.fleet.test_distribution_token_cache.TokenCacheTest.test_tokens_expire_a_lifetime_after_the_request",
     ),
     (any_answer_grants, f"{LEASES}.ReportTest.test_only_the_answer_to_the_newest_report_counts"),
-    (reports_of_any_term_are_taken, f"{LEASES}.ReportTest.test_a_report_of_another_term_is_told_the_term_only"),
-    (overtaken_reports_are_taken, f"{LEASES}.NewLeaderTest.test_a_report_that_was_overtaken_tells_nothing"),
-    (a_restarted_edge_is_the_same_owner, f"{LEASES}.LeaderLeasesTest.test_a_restarted_edge_is_another_owner"),
+    (
+        reports_of_any_term_are_taken,
+        f"{LEASES}.ReportTest.test_a_report_of_another_term_is_answered_with_the_term_only",
+    ),
+    (overtaken_reports_are_taken, f"{LEASES}.NewLeaderTest.test_an_overtaken_report_is_ignored"),
+    (a_restarted_edge_is_the_same_owner, f"{LEASES}.RateLeasesTest.test_a_restarted_edge_is_another_owner"),
     (
         a_new_leader_takes_it_that_nothing_is_leased,
         f"{LEASES}.NewLeaderTest.test_until_leases_are_known_only_the_part_that_is_never_leased",
@@ -315,7 +318,7 @@
         a_new_leader_starts_with_full_buckets,
         f"{LEASES}.NewLeaderTest.test_until_leases_are_known_only_the_part_that_is_never_leased",
     ),
-    (a_rate_lease_never_ends, f"{LEASES}.EdgeLeaseTest.test_the_end_takes_the_store_too"),
+    (a_rate_lease_never_ends, f"{LEASES}.RateLeaseTest.test_the_end_empties_the_bucket"),
     (
         core_machines_at_new_addresses_are_not_learnt,
         f"{DAYS}.ReplacedTest.test_every_core_machine_is_replaced_and_edges_follow",
--- a/tests/fleet/test_distribution_token_cache.py
+++ b/tests/fleet/test_distribution_token_cache.py
@@ -33,7 +33,7 @@
             decision.on_decision(decision.allowed, decision.retry_after_s)
 
 
-class WalletTest(unittest.TestCase):
+class TokenCacheTest(unittest.TestCase):
     def setUp(self) -> None:
         self.cache = TokenCache()
         self.told = Told()
@@ -46,7 +46,7 @@
         self.assertEqual(self.told.decisions, [("a", True, 0.0)])
         self.assertEqual(self.cache.available_tokens(0.02, "t"), 0)
 
-    def test_what_comes_meanwhile_goes_into_the_next_ask(self) -> None:
+    def test_requests_that_arrive_meanwhile_share_the_next_token_request(self) -> None:
         for name, at in (("a", 0.0), ("b", 0.001), ("c", 0.002)):
             self.told.tell(self.cache.acquire(at, "t", 10, self.told.as_(name)))
             self.cache.next_token_requests(at, next(ASKS) + 100)
@@ -55,7 +55,7 @@
         self.told.tell(self.cache.on_tokens_issued(0.004, request, [TokenIssue("t", 10, 1.0, 0.0)]))
         self.assertEqual(self.cache.next_token_requests(0.004, 6), [TokenRequest("t", 20, 10)])
 
-    def test_tokens_are_void_a_lifetime_after_the_ask(self) -> None:
+    def test_tokens_expire_a_lifetime_after_the_request(self) -> None:
         self.cache.acquire(0.0, "t", 10, self.told.as_("a"))
         self.cache.next_token_requests(0.0, 1)
         self.told.tell(self.cache.on_tokens_issued(0.1, 1, [TokenIssue("t", 30, 1.0, 0.0)]))
@@ -69,7 +69,7 @@
         self.told.tell(self.cache.on_tokens_issued(1.5, 1, [TokenIssue("t", 10, 1.0, 0.0)]))
         self.assertEqual(self.told.decisions, [])
 
-    def test_a_dry_bucket_refuses_at_once_what_would_come_too_late(self) -> None:
+    def test_an_empty_bucket_rejects_at_once_what_would_come_too_late(self) -> None:
         self.cache.acquire(0.0, "t", 50, self.told.as_("a"))
         self.cache.next_token_requests(0.0, 1)
         self.told.tell(self.cache.on_tokens_issued(0.01, 1, [TokenIssue("t", 0, 1.0, 0.9)]))
@@ -79,7 +79,7 @@
         self.assertEqual(self.cache.acquire(0.11, "t", 5, self.told.as_("smaller")), [])
         self.assertEqual(self.cache.next_token_requests(0.11, 2), [TokenRequest("t", 5, 5)])
 
-    def test_a_dry_bucket_is_asked_again_within_the_wait(self) -> None:
+    def test_an_empty_bucket_is_asked_again_within_the_wait(self) -> None:
         self.cache.acquire(0.0, "t", 50, self.told.as_("a"))
         self.cache.next_token_requests(0.0, 1)
         self.told.tell(self.cache.on_tokens_issued(0.01, 1, [TokenIssue("t", 0, 1.0, 0.05)]))
@@ -87,7 +87,7 @@
         self.assertEqual(self.cache.next_token_requests(0.05, 2), [])
         self.assertEqual(self.cache.next_token_requests(0.061, 3), [TokenRequest("t", 50, 50)])
 
-    def test_silence_is_asked_again_and_then_refused(self) -> None:
+    def test_a_silent_leader_is_asked_again_and_then_the_request_rejected(self) -> None:
         self.cache.acquire(0.0, "t", 50, self.told.as_("a"))
         self.cache.next_token_requests(0.0, 1)
         self.assertEqual(len(self.cache.next_token_requests(0.081, 2)), 1)
@@ -127,7 +127,7 @@
         self.told.tell(self.cache.tick(5.04, 5.0))
         self.assertEqual(self.told.decisions, [("a", False, 1.5), ("b", False, 0.3)])
 
-    def test_a_dense_demand_is_asked_for_ahead(self) -> None:
+    def test_a_dense_demand_is_prefetched(self) -> None:
         for number in range(200):
             now = number * 0.005
             self.told.tell(self.cache.acquire(now, "t", 10, self.told.as_("a")))
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -63,7 +63,7 @@
 
 
 class Constants(unittest.TestCase):
-    """Times and shares that others are reckoned from."""
+    """Times and shares that others derive from."""
 
     def test_what_the_rules_allow_is_shared_out_once(self) -> None:
         self.assertLessEqual(quota_policy.EMERGENCY_SHARE + quota_policy.RETAINED_SHARE, 1.0)
@@ -90,7 +90,7 @@
         self.assertGreater(operator_api.RETRY_AFTER_S, 0.05)
 
 
-class IssuerTest(unittest.TestCase):
+class QuotaAllocatorTest(unittest.TestCase):
     """The bucket: it begins empty, never holds more than its capacity, and counts what is outstanding."""
 
     def setUp(self) -> None:
@@ -138,7 +138,7 @@
         bucket = self.allocator._bucket(100.0, "t", TenantLimit(100.0, 100.0))
         self.assertLess(bucket.level, 200.0)
 
-    def test_a_limit_that_goes_and_comes_back_is_kept(self) -> None:
+    def test_a_limit_that_goes_and_comes_back_finds_its_bucket(self) -> None:
         self.bucket(0.5)
         self.configure(0.5, None)
         self.configure(0.6, TenantLimit(1000.0, 1000.0))
@@ -170,18 +170,18 @@
         self.issue(0.5, 100)
         self.assertAlmostEqual(bucket.level, 400.0, delta=1.0)
 
-    def test_a_demand_that_could_not_be_met_is_kept_for_a_moment(self) -> None:
+    def test_a_demand_that_could_not_be_met_is_reserved(self) -> None:
         self.assertEqual(self.issue(0.1, 300, edge="large").tokens, 0)
         self.assertEqual(self.issue(0.25, 10, edge="small").tokens, 0, "the bucket's tokens are the other's")
         self.assertEqual(self.issue(0.35, 300, edge="large").tokens, 300)
         self.assertEqual(self.issue(0.36, 10, edge="small").tokens, 10)
 
-    def test_a_kept_demand_ends(self) -> None:
+    def test_a_reservation_expires(self) -> None:
         self.issue(0.1, 400, edge="large")
         self.assertEqual(len(self.bucket(0.59).reservations), 1)
         self.assertEqual(self.bucket(0.61).reservations, {})
 
-    def test_a_demand_beyond_the_capacity_is_not_kept(self) -> None:
+    def test_a_demand_beyond_the_capacity_is_not_reserved(self) -> None:
         self.issue(0.1, 10**6, edge="large")
         self.assertEqual(self.issue(0.1, 10, edge="small").tokens, 10)
 
@@ -216,13 +216,13 @@
         self.configure(0.0, TenantLimit(1000.0, 1000.0, has_slack=False))
         self.assertLess(self.bucket(0.0).size.lease_depth, counted - 1000.0)
 
-    def test_a_demand_that_is_repeated_is_kept_no_longer(self) -> None:
+    def test_a_repeated_demand_is_reserved_no_longer(self) -> None:
         self.issue(0.1, 450, edge="large")
         self.assertEqual(self.issue(0.4, 450, edge="large").tokens, 0)
         self.assertEqual(len(self.bucket(0.59).reservations), 1)
         self.assertEqual(self.bucket(0.61).reservations, {})
 
-    def test_a_demand_that_was_met_in_part_stays_kept(self) -> None:
+    def test_a_demand_that_was_met_in_part_stays_reserved(self) -> None:
         self.assertEqual(self.issue(0.1, 300, edge="large").tokens, 0)
         self.assertEqual(self.issue(0.2, 10, edge="large").tokens, 10)
         self.assertEqual(self.issue(0.25, 10, edge="small").tokens, 0)
@@ -246,7 +246,7 @@
         self.configure(0.0, limit)
         return self.allocator._bucket(0.0, "t", limit)
 
-    def test_the_outstanding_tokens_take_their_share_of_what_is_kept(self) -> None:
+    def test_outstanding_tokens_have_their_share_of_what_is_retained(self) -> None:
         bucket = self.limited(1.0, 100.0, 100.0)
         self.assertAlmostEqual(bucket.size.max_outstanding, 0.35 * 0.9 * 900.0)
 
@@ -301,7 +301,7 @@
         self.assertAlmostEqual(self.bucket(0.1).level - level, 0.1 * (1000.0 - grant.rate), delta=1.0)
         self.assertAlmostEqual(self.bucket(0.1).fill_rate(), 1000.0 - grant.rate, delta=1.0)
 
-    def test_the_bucket_and_the_stores_together_hold_no_more_than_the_reserve_allows(self) -> None:
+    def test_the_buckets_of_leader_and_edges_together_are_bounded(self) -> None:
         bare = self.bucket(0.0).capacity
         (grant,) = self.allocator.renew(0.0, A, 1, [report(2000.0)])
         self.assertAlmostEqual(self.bucket(0.0).capacity, max(1000.0, bare - grant.depth), delta=1.0)
@@ -321,7 +321,7 @@
         self.assertLessEqual(bucket.level, before - grant.deposit)
         self.assertEqual(grant.deposit_lifetime_s, bucket.size.token_lifetime_s)
 
-    def test_no_deposit_while_a_demand_waits_or_into_a_full_store(self) -> None:
+    def test_no_deposit_while_a_demand_waits_or_into_a_full_bucket(self) -> None:
         (full,) = self.allocator.renew(10.0, A, 1, [report(2000.0, level=1e6)])
         self.assertEqual(full.deposit, 0)
         self.setUp()
@@ -330,7 +330,7 @@
         (grant,) = self.allocator.renew(10.0, A, 1, [report(2000.0)])
         self.assertEqual(grant.deposit, 0)
 
-    def test_reports_that_were_overtaken_tell_nothing(self) -> None:
+    def test_overtaken_reports_are_ignored(self) -> None:
         self.assertEqual(len(self.allocator.renew(0.0, A, 5, [report()])), 1)
         self.assertEqual(self.allocator.renew(0.1, A, 5, [report()]), [])
         self.assertEqual(len(self.allocator.renew(0.1, B, 2, [report()])), 1, "of each owner by itself")
@@ -384,7 +384,7 @@
         (grant,) = self.allocator.renew(2.0, A, 1, [report(900.0, held)])
         self.assertEqual(grant.deposit, 0)
 
-    def test_the_word_that_nothing_is_leased_opens_the_bucket(self) -> None:
+    def test_a_no_lease_promise_opens_the_bucket(self) -> None:
         for no_lease_s, rate in ((0.05, 350.0), (2.0, 1000.0)):
             self.lead(0.0, 3.0, 5.0)
             self.allocator.renew(0.0, A, 1, [report(0.0, no_lease_s=no_lease_s)])
@@ -392,7 +392,7 @@
 
 
 class RateLeasesTest(unittest.TestCase):
-    """Leases are reckoned from above until they have run out or a newer report tells less."""
+    """Leases are bounded from above until they have expired or a newer report lowers the bound."""
 
     def setUp(self) -> None:
         self.leases = RateLeases(TOTALS, leases_known_at=0.0)
@@ -405,7 +405,7 @@
             (FULL_RATE_S, LATE_RATE_SHARE, LEASE_DURATION_S),
         )
 
-    def test_reckoned_until_it_has_run_out_by_the_leaders_clock(self) -> None:
+    def test_counted_until_expired_by_the_leaders_clock(self) -> None:
         self.leases.renew(0.0, A, report(600.0))
         expected = (
             (FULL_RATE_EXPIRY_S - 0.01, 900.0),
@@ -418,7 +418,7 @@
             self.assertEqual(self.leases.rate, rate, now)
         self.assertEqual(self.leases.depth, 0.0)
 
-    def test_a_newer_report_tells_what_is_held(self) -> None:
+    def test_a_newer_report_lowers_the_bound(self) -> None:
         grant = self.leases.renew(0.0, A, report(600.0))
         half = LeaseGrant("t", grant.rate / 2, grant.depth / 2, 3.0, 0.5, 5.0)
         self.leases.renew(0.5, A, report(100.0, half))
@@ -478,11 +478,11 @@
         self.leases._apply(FULL_RATE_EXPIRY_S + 0.2, A, report(0.0, grant, 0.0))
         self.assertEqual(self.leases.rate, 0.0, "it says that it holds nothing more")
 
-    def test_claims_of_a_holder_that_nobody_knows(self) -> None:
+    def test_claims_of_an_unknown_owner(self) -> None:
         self.leases.renew(0.0, A, report(0.0, LeaseGrant("t", 300.0, 500.0, 3.0, 0.5, 5.0)))
         self.assertEqual(self.leases.unreported_rate(late=False), 900.0, "leases of earlier leaders have run out")
 
-    def test_no_rate_without_a_store(self) -> None:
+    def test_no_rate_without_depth(self) -> None:
         self.leases.renew(0.0, A, report(100.0))
         grant = self.leases.renew(0.1, B, report(100.0))
         self.assertEqual((grant.rate, grant.depth), (0.0, 0.0))
@@ -493,7 +493,7 @@
         self.assertTrue(self.leases._is_useful(ACTIVE_EDGE_S))
         self.assertEqual(self.leases._fair_rate(ACTIVE_EDGE_S, B, 900.0), 150.0)
 
-    def test_no_word_that_nothing_is_leased_while_something_is(self) -> None:
+    def test_no_promise_while_something_is_leased(self) -> None:
         grant = self.leases.renew(0.0, A, report(600.0))
         late = LeaseReport("t", grant.rate, grant.depth, 2.4, 0.0, 0.0, 1500.0)
         self.assertEqual(self.leases.renew(2.5, A, late).no_lease_s, 0.0)
@@ -505,7 +505,7 @@
         self.leases.expire(LEASE_EXPIRY_S + 0.1)
         self.assertEqual(self.leases._bounds, {})
 
-    def test_holders_are_kept_while_their_lease_runs(self) -> None:
+    def test_owners_are_kept_while_their_lease_runs(self) -> None:
         self.leases.renew(0.0, A, report(600.0))
         self.leases.expire(LEASE_EXPIRY_S - 0.1)
         self.assertIn(A, self.leases._bounds)
@@ -516,24 +516,24 @@
         grant = self.leases.renew(0.1, A, report(600.0, LeaseGrant("t", 900.0, 3000.0, 3.0, 0.5, 5.0)))
         self.assertLessEqual((grant.rate, grant.depth), (90.0, 300.0))
 
-    def test_nothing_is_leased_where_stores_are_too_small(self) -> None:
+    def test_nothing_is_leased_where_buckets_are_too_small(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
         grant = self.leases.renew(0.0, A, large)
         self.assertEqual((grant.rate, grant.depth, grant.no_lease_s), (0.0, 0.0, NO_LEASE_S))
 
-    def test_no_word_that_nothing_is_leased_while_it_was_of_use_lately(self) -> None:
+    def test_no_promise_while_leases_were_useful_lately(self) -> None:
         self.leases.renew(0.0, A, report(0.0))
         self.leases._bounds[A].rate = 0.0
         grant = self.leases.renew(0.1, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 0.0, 1500.0))
         self.assertEqual(grant.no_lease_s, 0.0)
 
-    def test_a_word_is_kept_until_its_end(self) -> None:
+    def test_a_promise_holds_until_its_end(self) -> None:
         self.leases.renew(0.0, A, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0))
         for now in (0.5, NO_LEASE_S - 0.01):
             self.assertEqual(self.leases.renew(now, A, report(900.0)).rate, 0.0)
         self.assertGreater(self.leases.renew(NO_LEASE_S, A, report(900.0)).rate, 0.0)
 
-    def test_a_new_leader_gives_no_word_before_it_knows(self) -> None:
+    def test_a_new_leader_promises_nothing_before_it_knows(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
         new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
         self.assertEqual(new.renew(0.0, A, large).no_lease_s, 0.0)
@@ -790,13 +790,13 @@
         configuration = core.CommittedConfiguration(1, 2, b"", b"")
         message = CoreMessage(boot=3)
         gained = core.LeadershipGained(7, frozenset("a"))
-        noted = core.RateLeaseOwnersPersisted(7, frozenset("b"))
+        persisted = core.RateLeaseOwnersPersisted(7, frozenset("b"))
         self.act(
             core.SendMessage("a:1", message),
             gained,
             core.ConfigurationCommitted(configuration),
             core.LeadershipLost(),
-            noted,
+            persisted,
         )
         self.assertEqual(self.sent, [("a:1", message)])
         told = [(7, frozenset("a")), configuration, "lost", ("noted", 7, frozenset("b"))]
--- a/tests/fleet/test_planted_token_cache.py
+++ b/tests/fleet/test_planted_token_cache.py
@@ -49,7 +49,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """A lease fills its store from the moment when its report was sent, and ends with the store."""
+    """A lease fills its bucket from the moment when its report was sent; both end together."""
 
     def setUp(self) -> None:
         self.lease = RateLease()
@@ -73,7 +73,7 @@
         self.lease.advance(1.5)
         self.assertEqual(self.lease.available(2.0), 100)
 
-    def test_ends_with_its_store(self) -> None:
+    def test_the_bucket_ends_with_the_lease(self) -> None:
         self.lease.on_grant(0.0, 0.0, grant())
         self.assertGreater(self.lease.available(4.99), 0)
         self.assertEqual(self.lease.available(5.0), 0)
@@ -91,7 +91,7 @@
         self.lease.on_grant(0.8, 0.7, grant(depth=150.0, deposit=70, deposit_lifetime_s=0.4))
         self.assertEqual(self.lease.available(0.8), 150, "no more than the depth")
 
-    def test_a_word_is_not_shortened(self) -> None:
+    def test_a_no_lease_promise_is_not_shortened(self) -> None:
         self.lease.on_grant(0.0, 0.0, grant(0.0, 0.0, no_lease_s=5.0))
         self.lease.on_grant(1.0, 1.0, grant(0.0, 0.0, no_lease_s=0.0))
         self.assertEqual(self.lease.report(1.0, "t", 0.0, 0.0).no_lease_s, 4.0)
@@ -118,8 +118,8 @@
         self.assertEqual(RateLease().covers_at(0), -math.inf)
 
 
-class WalletTest(unittest.TestCase):
-    """Requests take tokens in their order; those that can't have them in time are told so."""
+class TokenCacheTest(unittest.TestCase):
+    """Requests get tokens in their order; those that can't have them in time are rejected."""
 
     def setUp(self) -> None:
         self.cache = TokenCache()
@@ -173,7 +173,7 @@
         self.spend(0.03, "c", 5)
         self.assertEqual(self.names(), ["a", "b"])
 
-    def test_tokens_are_void_a_lifetime_after_the_ask(self) -> None:
+    def test_tokens_expire_a_lifetime_after_the_request(self) -> None:
         self.spend(0.0, "a", 5)
         self.request_tokens(0.0)
         self.issue(0.2, 10)
@@ -204,7 +204,7 @@
         self.spend(0.02, "late", 1)
         self.assertEqual(self.names(), [], "nobody overtakes")
 
-    def test_one_ask_at_a_time(self) -> None:
+    def test_one_token_request_at_a_time(self) -> None:
         self.spend(0.0, "a", 5)
         self.request_tokens(0.0)
         self.spend(0.01, "b", 5)
@@ -212,7 +212,7 @@
         (again,) = self.request_tokens(RESPONSE_TIMEOUT_S)
         self.assertEqual((again.tokens >= 10, again.minimum), (True, 5))
 
-    def test_a_new_ask_after_an_answer(self) -> None:
+    def test_a_new_token_request_after_an_answer(self) -> None:
         self.spend(0.0, "a", 5)
         self.request_tokens(0.0)
         self.spend(0.01, "b", 5)
@@ -220,7 +220,7 @@
         (ask,) = self.request_tokens(0.02)
         self.assertEqual(ask.minimum, 5)
 
-    def test_held_tokens_are_not_asked_for_again(self) -> None:
+    def test_available_tokens_are_not_requested_again(self) -> None:
         self.spend(0.0, "a", 5)
         self.request_tokens(0.0)
         self.spend(0.01, "b", 50)
@@ -228,7 +228,7 @@
         (ask,) = self.request_tokens(0.02)
         self.assertEqual(ask.minimum, 40)
 
-    def test_nothing_is_asked_where_nobody_waits_or_the_leader_is_dry(self) -> None:
+    def test_nothing_is_requested_where_nobody_waits_or_the_bucket_is_empty(self) -> None:
         self.assertEqual(self.request_tokens(0.0), [])
         self.spend(0.0, "a", 5)
         self.request_tokens(0.0)
@@ -236,7 +236,7 @@
         self.assertEqual(self.request_tokens(0.1), [])
         self.assertEqual(len(self.request_tokens(0.12)), 1)
 
-    def test_asks_ahead_where_that_is_several_requests(self) -> None:
+    def test_prefetches_where_that_is_several_requests(self) -> None:
         for step in range(200):
             self.spend(step / 100, f"r{step}", 1)
         self.cache.tick(2.0, None)
@@ -495,6 +495,22 @@
         self.cache.on_leases_granted(0.2, 8, 4, [])
         self.assertEqual(self.cache.next_report_at(0.2), 0.1 + REPORT_INTERVAL_S)
 
+    def test_a_leader_of_a_new_term_gets_a_report_at_once_even_an_empty_one(self) -> None:
+        self.cache.on_leader_known(1.0, 3)
+        self.assertEqual((self.cache.term, self.cache.next_report_at(1.0)), (3, 1.0))
+        self.assertEqual(self.cache.next_lease_reports(1.0, 7), [])
+        self.assertTrue(self.cache.is_newest_report(7))
+        self.assertEqual(self.cache.next_report_at(1.0), 1.0 + REPORT_TIMEOUT_S)
+        self.cache.on_leases_granted(1.1, 7, 3, [])
+        self.assertEqual(self.cache.next_report_at(1.1), math.inf)
+
+    def test_a_term_that_is_not_newer_makes_no_report_due(self) -> None:
+        self.cache.on_leader_known(1.0, 3)
+        self.cache.next_lease_reports(1.0, 7)
+        for term in (3, 2):
+            self.cache.on_leader_known(1.2, term)
+            self.assertEqual((self.cache.term, self.cache.next_report_at(1.2)), (3, 1.0 + REPORT_TIMEOUT_S))
+
     def test_grants_for_tenants_that_are_not_known_here(self) -> None:
         self.spend(0.0, "a", 8)
         self.cache.next_lease_reports(0.0, 7)
--- a/tests/fleet/test_quota_priority.py
+++ b/tests/fleet/test_quota_priority.py
@@ -13,7 +13,7 @@
 URGENT, USUAL, LAST = 0, 1, 2
 
 
-class WalletTest(unittest.TestCase):
+class TokenCacheTest(unittest.TestCase):
     """One edge; the leader's answers are given by hand."""
 
     def setUp(self) -> None:
--- a/tests/fleet/test_quota_rate_leases.py
+++ b/tests/fleet/test_quota_rate_leases.py
@@ -1,4 +1,4 @@
-"""Rate leases one by one: what an edge's lease brings, what the leader reckons, reports, words and terms."""
+"""Rate leases: what an edge's lease brings, the bounds of the leader, reports, no-lease promises and terms."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 class ExchangeTest(unittest.TestCase):
     def test_on_the_link_neither_side_believes_in_more_than_the_other(self) -> None:
-        """What the edge still holds is rounded up, what is granted, and a word that is relied on, down."""
+        """What the edge still holds is rounded up, what is granted, and a no-lease promise, down."""
         told = LeaseReport("t", 1.5, 2.5, 3.0004, 0.5, 10.0, 2.0, no_lease_s=1.0009)
         self.assertEqual(
             LeaseReport.from_message(told.to_message()), LeaseReport("t", 1.5, 2.5, 3.001, 0.5, 10.0, 2.0, 1.0)
@@ -53,11 +53,11 @@
         )
 
 
-class EdgeLeaseTest(unittest.TestCase):
+class RateLeaseTest(unittest.TestCase):
     def setUp(self) -> None:
         self.lease = RateLease()
 
-    def test_the_store_fills_to_its_depth(self) -> None:
+    def test_the_bucket_fills_to_its_depth(self) -> None:
         self.lease.on_grant(0.0, 0.0, granted(100.0, 150.0))
         self.assertEqual(self.lease.available(1.0), 100)
         self.assertEqual(self.lease.available(2.0), 150)
@@ -68,7 +68,7 @@
         self.lease.on_grant(0.0, 0.0, granted(100.0, 1000.0))
         self.assertEqual(self.lease.available(4.0), 350)
 
-    def test_the_end_takes_the_store_too(self) -> None:
+    def test_the_end_empties_the_bucket(self) -> None:
         self.lease.on_grant(0.1, 0.0, granted(100.0, 1000.0))
         self.assertGreater(self.lease.available(4.99), 300)
         self.assertEqual(self.lease.available(5.0), 0)
@@ -101,7 +101,7 @@
         self.assertEqual(RateLease().covers_at(1), math.inf)
 
 
-class LeaderLeasesTest(unittest.TestCase):
+class RateLeasesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.leases = RateLeases(TOTALS, leases_known_at=0.0)
         self.a, self.b = LeaseOwner("a", 1), LeaseOwner("b", 1)
@@ -117,7 +117,7 @@
         self.leases.renew(0.4, self.a, report(0.0, lowered))
         self.assertGreater(self.leases.renew(0.5, self.b, report(900.0)).rate, 400.0)
 
-    def test_a_silent_edge_is_reckoned_until_its_lease_has_run_out(self) -> None:
+    def test_a_silent_edge_is_counted_until_its_lease_has_expired(self) -> None:
         self.leases.renew(0.0, self.a, report(900.0))
         for step in range(1, 12):
             grant = self.leases.renew(step * 0.45, self.b, report(900.0))
@@ -161,19 +161,19 @@
         again = new.renew(0.3, self.a, report(900.0, renewed))
         self.assertLessEqual(again.rate + new.renew(0.4, self.b, report(900.0)).rate, old.rate + 1e-6)
 
-    def test_nothing_is_leased_where_a_store_is_too_small(self) -> None:
+    def test_nothing_is_leased_where_a_bucket_is_too_small(self) -> None:
         huge = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0)
         grant = self.leases.renew(0.0, self.a, huge)
         self.assertEqual((grant.rate, grant.no_lease_s), (0.0, NO_LEASE_S))
 
-    def test_a_word_that_nothing_is_leased_is_kept(self) -> None:
+    def test_a_no_lease_promise_is_kept(self) -> None:
         self.leases.renew(0.0, self.a, LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 2000.0))
         for step in range(1, 11):
             grant = self.leases.renew(step * 0.45, self.a, report(900.0))
             self.assertEqual((grant.rate, grant.no_lease_s), (0.0, 0.0))
         self.assertGreater(self.leases.renew(NO_LEASE_S, self.a, report(900.0)).rate, 0.0)
 
-    def test_no_word_while_leases_may_run(self) -> None:
+    def test_no_promise_while_leases_may_run(self) -> None:
         self.assertEqual(RateLeases(TOTALS, 5.0).renew(0.0, self.a, report(0.0)).no_lease_s, 0.0)
 
     def test_the_level_of_equal_parts(self) -> None:
@@ -194,12 +194,12 @@
         self.assertLessEqual(self.issued(1.0), CAUTIOUS_TOKENS + 10)
         self.assertLessEqual(self.issued(3.0), 2 * CAUTIOUS_TOKENS + 10)
 
-    def test_a_word_of_the_leader_before_opens_the_bucket(self) -> None:
+    def test_a_no_lease_promise_of_the_former_leader_opens_the_bucket(self) -> None:
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=2.0)
         self.allocator.renew(0.0, LeaseOwner("e", 1), 1, [told])
         self.assertGreater(self.issued(0.5), 300)
 
-    def test_the_word_is_passed_on_through_changes_of_leader(self) -> None:
+    def test_a_no_lease_promise_outlives_changes_of_leader(self) -> None:
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=2.0)
         grant = self.allocator.renew(0.0, LeaseOwner("e", 1), 1, [told])[0]
         self.assertEqual((grant.rate, grant.no_lease_s), (0.0, NO_LEASE_S))
@@ -208,12 +208,12 @@
         self.allocator.renew(2.0, LeaseOwner("e", 1), 2, [told])
         self.assertGreater(self.issued(2.5), 300)
 
-    def test_a_word_that_has_run_out_does_not(self) -> None:
+    def test_an_expired_no_lease_promise_does_not(self) -> None:
         told = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 100.0, 500.0, no_lease_s=0.05)
         self.allocator.renew(0.0, LeaseOwner("e", 1), 1, [told])
         self.assertLessEqual(self.issued(1.0), CAUTIOUS_TOKENS + 10)
 
-    def test_a_report_that_was_overtaken_tells_nothing(self) -> None:
+    def test_an_overtaken_report_is_ignored(self) -> None:
         self.assertEqual(len(self.allocator.renew(0.1, LeaseOwner("e", 1), 8, [report(10.0)])), 1)
         self.assertEqual(self.allocator.renew(0.2, LeaseOwner("e", 1), 7, [report(10.0)]), [])
 
@@ -221,7 +221,7 @@
 class ReportTest(unittest.TestCase):
     """Reports over the messages: of which term, and which answer counts."""
 
-    def test_a_report_of_another_term_is_told_the_term_only(self) -> None:
+    def test_a_report_of_another_term_is_answered_with_the_term_only(self) -> None:
         service = QuotaService(Bounds(quota_overshoot=0.1, quota_slack=10_000.0))
         tenant = {"name": "t", "api_keys": ["k"], "rate_per_s": 1000, "burst": 1000}
         body = {"config_version": 1, "routes": [], "services": [], "tenants": [tenant]}
@@ -286,7 +286,7 @@
         for decision in self.cache.tick(now, 1.0):
             decision.on_decision(decision.allowed, decision.retry_after_s)
 
-    def test_what_the_store_holds_is_spent_at_once(self) -> None:
+    def test_what_the_bucket_holds_is_used_at_once(self) -> None:
         self.spend(1.0, "a", 700)
         self.assertEqual(self.told, [("a", True)])
 
--- a/tests/fleet/test_quota_sum.py
+++ b/tests/fleet/test_quota_sum.py
@@ -162,7 +162,7 @@
         self.assert_kept(world)
         return world.counted.share_served(13.6, 17.0)
 
-    def test_the_check_finds_a_note_that_lacks_edges(self) -> None:
+    def test_the_check_finds_a_persisted_set_that_lacks_edges(self) -> None:
         bounds, limit, sizes = CASES[5]
         world = CarelessWorld(5, bounds, limit, sizes=sizes)
         cut_and_press(world)
