--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -21,6 +21,8 @@
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
 GLOSSARY = ROOT / "docs" / "glossary.md"
 CONTRIBUTING = ROOT / "CONTRIBUTING.md"
+CHANGELOG = ROOT / "CHANGELOG.md"
+METRICS = ROOT / "docs" / "fleet" / "metrics.md"
 README = ROOT / "README.md"
 RUN = ROOT / "docs" / "fleet" / "run.md"
 DATA_PLANE = ROOT / "docs" / "fleet" / "data-plane.md"
@@ -206,6 +208,32 @@
         self.assertEqual(sorted(set(words)), sorted(words))
 
 
+class Changelog(unittest.TestCase):
+    """The tables of names, before and now."""
+
+    def test_the_names_of_today_exist(self) -> None:
+        section = (
+            read(CHANGELOG).partition("### The fleet's code in the terms of the field")[2].partition("\n### ")[0]
+        )
+        modules, types, metrics = (list(table_rows(part)) for part in section.split("\n| ---")[1:])
+        for row in modules:
+            for name in NAME.findall(row[1]):
+                with self.subTest(name=name):
+                    resolve(name)
+        defined = set().union(*(_top_level_names(path) for path in (ROOT / "rosechute").rglob("*.py")))
+        for row in types:
+            self.assertEqual(set(NAME.findall(row[1])) - defined, set())
+        page = read(METRICS)
+        for row in metrics:
+            for name in NAME.findall(row[1]):
+                with self.subTest(name=name):
+                    self.assertIn(f"`{name}`", page)
+
+
+def _top_level_names(path: Path) -> set[str]:
+    return {node.name for node in ast.parse(read(path)).body if isinstance(node, ast.ClassDef | ast.FunctionDef)}
+
+
 class Links(unittest.TestCase):
     """Relative links and their anchors."""
 
