--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -200,7 +200,7 @@
 
     def read() -> None:
         for instance in decode_endpoint_list_page(raw, "platform").unwrap().instances:
-            instance.listed(NOW)
+            instance.to_listed_server(NOW)
 
     page.points[PAGE] = microseconds(read)
     calls = Slope("calls of a reading", "calls", "servers")
--- /dev/null
+++ b/rosechute/control_plane/core_links.py
@@ -0,0 +1,62 @@
+"""The links of a core machine: frames in by their kind, messages out by their connection."""
+
+from collections.abc import Callable, Sequence
+
+from rosechute.distribution.actions import DialedLink, SendMessage
+from rosechute.messages.coordination_pb2 import CoreMessage
+from rosechute.messages.framing import MessageKind
+from rosechute.messages.link_connection import LinkConnection
+from rosechute.messages.link_pool import LinkPool
+from rosechute.messages.link_server import LinkServer
+
+
+class CoreLinks:
+    """One server that edges and other core machines connect to, and one pool of links that this machine dials."""
+
+    def __init__(
+        self,
+        address: str,
+        on_coordination: Callable[[bytes], None],
+        on_distribution: Callable[[LinkConnection, bytes], None],
+        on_closed: Callable[[LinkConnection], None],
+    ) -> None:
+        """Prepare the links; `start` opens the server.
+
+        Args:
+            address: Link address of this machine, host:port.
+            on_coordination: Called with each encoded message of another core machine.
+            on_distribution: Called with each encoded message of an edge, and the connection that it came on.
+            on_closed: Called when a connection that was accepted here has closed.
+        """
+        self._on_coordination = on_coordination
+        self._on_distribution = on_distribution
+        self._pool = LinkPool(self._on_frame)
+        self._server = LinkServer(address, self._on_frame, on_closed)
+
+    async def start(self) -> None:
+        """Listen for links. Raises OSError where the address is taken."""
+        await self._server.start()
+
+    def close(self) -> None:
+        """Close the server and all links."""
+        self._server.close()
+        self._pool.close()
+
+    def send_to_core(self, address: str, message: CoreMessage) -> None:
+        """Send a message of the replica to the core machine at a link address."""
+        self._pool.send(address, MessageKind.COORDINATION, message.SerializeToString())
+
+    def send_to_edges(self, messages: Sequence[SendMessage]) -> None:
+        """Send messages of the distribution, in order, each on the connection that it names."""
+        for send in messages:
+            data = send.message.SerializeToString()
+            if isinstance(send.connection, LinkConnection):
+                send.connection.send(MessageKind.DISTRIBUTION, data)
+            elif isinstance(send.connection, DialedLink):
+                self._pool.send(send.connection.address, MessageKind.DISTRIBUTION, data)
+
+    def _on_frame(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
+        if kind == MessageKind.COORDINATION:
+            self._on_coordination(data)
+        else:
+            self._on_distribution(connection, data)
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -1,6 +1,11 @@
-"""A core machine: puts together replica, records, links, distribution, operator's API, list reader and quotas.
+"""A core machine: wires replica, records, links, distribution, operator's API, endpoint list reader and quotas.
 
-It listens at once and answers `unsure` until its records are loaded; a disk that can't be read is tried again.
+The machine listens from its start. Until its records are loaded it answers every write and read with "outcome
+unknown" (HTTP 503). Everything runs on one event loop; only the disk is read and written in threads.
+
+Who calls whom: the runtime drives the replica and reports to this machine (`ReplicaObserver`); the operator's API
+proposes writes to it (`ConfigurationStore`); the links bring messages of core machines and edges; the endpoint list
+reader delivers the platform's list while this machine leads. docs/architecture.md draws it.
 """
 
 import asyncio
@@ -10,38 +15,31 @@
 
 from aiohttp import web
 from loguru import logger
-from returns.result import Failure
 
 from rosechute.configuration.process import ProcessSettings
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, Outcome, OutcomeUnknown, ReplicaConfig
-from rosechute.distribution.actions import DialedLink, SendMessage
+from rosechute.coordination.types import CommittedConfiguration, Outcome, OutcomeUnknown
+from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.core_directory import CoreAddress
 from rosechute.distribution.publisher import Publisher, PublisherState
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
-from rosechute.messages.framing import MessageKind
 from rosechute.messages.link_connection import LinkConnection
-from rosechute.messages.link_pool import LinkPool
-from rosechute.messages.link_server import LinkServer
-from rosechute.storage.files import DiskDirectory
-from rosechute.storage.loading import load_records
-from rosechute.storage.record_store import RecordStore
 from rosechute.storage.writer import StoreWriter
 
+from .core_links import CoreLinks
 from .core_report import CoreReport, build_core_report
 from .endpoint_list_client import EndpointListClient
 from .endpoint_list_reader import EndpointListReader
+from .handover import hand_over
 from .operator_api import OperatorApi
 from .quota_service import QUOTA_TOKENS, QuotaService
+from .record_loading import load_records_until_readable
 from .replica_runtime import TICK_S, ReplicaRuntime
+from .replica_settings import replica_config, seed_addresses
 
-LOAD_RETRY_S = 0.2
-HAND_OVER_WITHIN_S = 1.0  # for the others to go on without a machine that is about to end
-HAND_OVER_POLL_S = 0.02
-FAREWELL_S = 0.05  # for the last messages to leave before their links are closed
-LATE_TICK_S = 0.5  # a tick so late is worth a line in the log
+STALL_LOG_THRESHOLD_S = 0.5  # a tick that is later by more is logged; far above the jitter of a loaded machine
 
 
 class CoreMachine:
@@ -50,6 +48,12 @@
     def __init__(
         self, settings: ProcessSettings, extend_api: Callable[[web.Application], None] | None = None
     ) -> None:
+        """Build the parts without starting any.
+
+        Args:
+            settings: Settings of the process.
+            extend_api: Adds routes to the operator's API, as the state page; called once at the start.
+        """
         self._settings = settings
         self._clock = time.monotonic
         self._draw = random.SystemRandom().random
@@ -57,9 +61,10 @@
         self._writer: StoreWriter | None = None
         self._quota = QuotaService(settings.bounds)
         self._publisher = Publisher(self._quota.answer)
-        self._core: tuple[CoreAddress, ...] = ()
-        self._pool = LinkPool(self._received)
-        self._server = LinkServer(settings.core_link_address, self._received, self._closed)
+        self._core_addresses: tuple[CoreAddress, ...] = ()
+        self._links = CoreLinks(
+            settings.core_link_address, self._on_coordination, self._on_distribution, self._on_link_closed
+        )
         self._api = OperatorApi(self, settings.listen.control, extend_api)
         self._endpoint_list_client = EndpointListClient(settings.cloud_api.address)
         self._endpoint_list_reader = EndpointListReader(
@@ -73,218 +78,198 @@
         self._task: asyncio.Task[None] | None = None
         self._next_tick: asyncio.TimerHandle | None = None
 
+    # Start and stop
+
     async def start(self) -> None:
-        """Listen, and begin with everything else in the background."""
-        await self._server.start()
+        """Listen, and start everything else in the background. Raises OSError where an address is taken."""
+        await self._links.start()
         await self._api.start()
         self._task = asyncio.create_task(self._run(), name="core machine")
 
     async def stop(self) -> None:
-        """End: hand over to the other machines, then close. Records that are under way may be lost."""
+        """Hand over to the other machines, then close everything. Writes in flight may be lost."""
         if self._task is not None:
             self._task.cancel()
         if self._runtime is not None:
-            await self._hand_over(self._runtime)
+            await hand_over(self._runtime, self._clock)
         if self._next_tick is not None:
             self._next_tick.cancel()
         if self._writer is not None:
             self._writer.stop()
         await self._api.stop()
         await self._endpoint_list_client.close()
-        self._server.close()
-        self._pool.close()
+        self._links.close()
+
+    async def _run(self) -> None:
+        """Load the records, start the replica, then read the endpoint list until cancelled."""
+        store, records = await load_records_until_readable(self._settings.data_dir)
+        loop = asyncio.get_running_loop()
+        self._writer = StoreWriter(store, loop.call_soon_threadsafe, self._clock)
+        self._writer.start()
+        replica = Replica(replica_config(self._settings), records, self._clock(), self._draw)
+        self._runtime = ReplicaRuntime(
+            replica,
+            self._writer,
+            self._links.send_to_core,
+            self,
+            self._clock,
+            snapshot_first=not store.can_append,
+        )
+        self._runtime.start()
+        logger.info("records loaded replica={} records={}", replica.identity.id, len(records))
+        self._tick(self._runtime, self._clock())
+        await self._endpoint_list_reader.run()
+
+    def _tick(self, runtime: ReplicaRuntime, due_at: float) -> None:
+        """Advance replica and publisher; scheduled every `TICK_S`, also after a tick that raised."""
+        now = self._clock()
+        self._next_tick = asyncio.get_running_loop().call_later(TICK_S, self._tick, runtime, now + TICK_S)
+        if now - due_at > STALL_LOG_THRESHOLD_S:
+            logger.warning("event loop stalled seconds={:.1f}", now - due_at)
+        runtime.tick()
+        self._persist_rate_lease_owners(now, runtime)
+        self._send_to_edges(self._publisher.tick(now))
+
+    # Settings and reports
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """The settings file has changed. Addresses of this machine hold until the next start."""
+        """Apply a changed settings file. The addresses of this machine take effect at its next start."""
         self._settings = settings
         self._quota.change_bounds(self._clock(), settings.bounds)
         self._endpoint_list_client.address = settings.cloud_api.address
         if self._runtime is not None:
-            self._runtime.replica.update_seeds(_seeds(settings))
+            self._runtime.replica.update_seeds(seed_addresses(settings))
 
     def report(self) -> CoreReport | None:
-        """What an operator may want to know; None until the records are loaded."""
+        """Return the state of this machine for operators; None until its records are loaded."""
         if self._runtime is None or self._writer is None:
             return None
         now = self._clock()
-        pending = self._writer.oldest_pending_since()
-        waits_s = 0.0 if pending is None else now - pending
-        return build_core_report(self._runtime.replica, now, waits_s, self._publisher.edges_total(now))
+        pending_since = self._writer.oldest_pending_since()
+        write_age_s = 0.0 if pending_since is None else now - pending_since
+        return build_core_report(self._runtime.replica, now, write_age_s, self._publisher.edges_total(now))
 
     def quota_counts(self) -> dict[str, float]:
-        """Tokens of quotas that were asked for and issued here, by kind."""
+        """Return the quota tokens requested and issued here since the start, by kind."""
         return self._quota.counts.of(QUOTA_TOKENS)
 
     def rate_leases_known(self) -> bool:
-        """Whether, as the leader, it knows of all rate leases that may run."""
+        """Return whether this machine, as the leader, knows every rate lease that may be in force."""
         return self._quota.all_leases_known(self._clock())
 
-    # What the operator's API asks
+    # ConfigurationStore, for the operator's API
 
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
-        """Order a configuration."""
+        """Propose a configuration to the replica; the outcome is unknown until the records are loaded."""
         if self._runtime is None:
-            return _unsure()
+            return _outcome_unknown()
         return self._runtime.propose_write(base_version, version, body, digest)
 
     def read(self) -> asyncio.Future[Outcome]:
-        """The newest acknowledged configuration."""
-        return _unsure() if self._runtime is None else self._runtime.read()
+        """Read the newest acknowledged configuration; the outcome is unknown until the records are loaded."""
+        return _outcome_unknown() if self._runtime is None else self._runtime.read()
 
-    # What the replica has come to
+    # ReplicaObserver, called by the runtime
 
     def committed(self, configuration: CommittedConfiguration) -> None:
-        """A newer configuration is known to stay."""
+        """Publish a newly committed configuration and apply its quotas."""
         now = self._clock()
         self._quota.configuration_committed(now, configuration.body)
         sequence, version, body = configuration.sequence, configuration.version, configuration.body
-        self._send_all(self._publisher.configuration_committed(now, sequence, version, body))
+        self._send_to_edges(self._publisher.configuration_committed(now, sequence, version, body))
 
     def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None = None) -> None:
-        """This machine leads from here on. Only `rate_lease_owners` may hold earlier rate leases."""
+        """Act as the leader from now on.
+
+        Args:
+            term: Term of the leader lease, above every earlier one.
+            rate_lease_owners: Names of the only edges that may own rate leases of earlier terms; None: unknown.
+        """
         now = self._clock()
-        told = "not known" if rate_lease_owners is None else f"{len(rate_lease_owners)} at most"
-        logger.info("leads with term {}, edges with rate leases: {}", term, told)
+        owners = "unknown" if rate_lease_owners is None else len(rate_lease_owners)
+        logger.info("became leader term={} rate_lease_owners={}", term, owners)
         self._quota.leadership_gained(now, term, rate_lease_owners)
-        self._send_all(self._publisher.leadership_gained(now, term))
+        self._send_to_edges(self._publisher.leadership_gained(now, term))
         self._endpoint_list_reader.leadership_gained()
 
     def leadership_lost(self) -> None:
-        """This machine leads no more."""
+        """Stop acting as the leader; nothing happens where this machine doesn't."""
         if self._publisher.state is not PublisherState.LEADER:
             return
-        logger.info("leads no more")
-        self._send_all(self._publisher.leadership_lost(self._clock()))
+        logger.info("lost leadership term={}", self._publisher.term)
+        self._send_to_edges(self._publisher.leadership_lost(self._clock()))
 
     def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
-        """The names of the edges that may hold rate leases are synced."""
+        """Allow rate leases for these edges: their names are synced to the disk."""
         self._quota.rate_lease_owners_persisted(term, edges)
 
     def _persist_rate_lease_owners(self, now: float, runtime: ReplicaRuntime) -> None:
-        """Have the edges noted that may hold rate leases, where they have changed."""
+        """Persist the names of the edges that may own rate leases, where they have changed and this machine leads."""
         if self._publisher.state is not PublisherState.LEADER or not runtime.replica.is_leader(now):
             return
         edges = self._quota.rate_lease_owners_to_persist(now)
         if edges is not None:
             runtime.persist_rate_lease_owners(self._publisher.term, edges)
 
-    # Running
-
-    async def _run(self) -> None:
-        store, saved = await self._load()
-        loop = asyncio.get_running_loop()
-        self._writer = StoreWriter(store, loop.call_soon_threadsafe, self._clock)
-        self._writer.start()
-        replica = Replica(_replica_config(self._settings), saved, self._clock(), self._draw)
-        snapshot_first = not store.can_append
-        self._runtime = ReplicaRuntime(replica, self._writer, self._send_core, self, self._clock, snapshot_first)
-        self._runtime.start()
-        logger.info("replica {} of {} records", replica.identity.id, len(saved))
-        self._tick(self._runtime, self._clock())
-        await self._endpoint_list_reader.run()
-
-    async def _load(self) -> tuple[RecordStore, list[bytes]]:
-        """Load the records in a thread; a disk that hangs doesn't hold up the loop."""
-        path = self._settings.data_dir
-        while True:
-            folder = DiskDirectory(path)
-            loaded = await load_records(folder)
-            if not isinstance(loaded, Failure):
-                return loaded.unwrap()
-            folder.close()  # the next try opens its own files
-            logger.warning("records: {}", loaded.failure())
-            await asyncio.sleep(LOAD_RETRY_S)
-
-    async def _hand_over(self, runtime: ReplicaRuntime) -> None:
-        """Serve on until no other machine counts on this one; it may be that none can go on without it."""
-        runtime.resign()
-        ends = self._clock() + HAND_OVER_WITHIN_S
-        while not runtime.replica.is_handed_over and self._clock() < ends:
-            await asyncio.sleep(HAND_OVER_POLL_S)
-        await asyncio.sleep(FAREWELL_S)
+    # Endpoint list
 
     def _list_calls_per_s(self) -> float:
+        """Return the rate of calls that the platform accepts from all machines together."""
         return self._settings.cloud_api.rate_per_s
 
     def _leader_term(self) -> int | None:
-        """The term for which this machine holds the leader lease at this moment."""
-        leads = self._runtime is not None and self._runtime.replica.is_leader(self._clock())
-        return self._publisher.term if leads else None
+        """Return the term of the leader lease that this machine holds now; None where it holds none."""
+        is_leader = self._runtime is not None and self._runtime.replica.is_leader(self._clock())
+        return self._publisher.term if is_leader else None
 
     def _publish_servers(self, servers: Sequence[ListedServer]) -> None:
-        self._send_all(self._publisher.endpoint_list_read(self._clock(), servers))
+        self._send_to_edges(self._publisher.endpoint_list_read(self._clock(), servers))
 
-    def _tick(self, runtime: ReplicaRuntime, due: float) -> None:
-        """Once in `TICK_S`, also after one that failed."""
-        now = self._clock()
-        self._next_tick = asyncio.get_running_loop().call_later(TICK_S, self._tick, runtime, now + TICK_S)
-        if now - due > LATE_TICK_S:
-            logger.warning("the loop stood still for {:.1f} s", now - due)
-        runtime.tick()
-        self._persist_rate_lease_owners(now, runtime)
-        self._send_all(self._publisher.tick(now))
+    # Messages of core machines and edges
 
-    def _inform_publisher(self, now: float, replica: Replica) -> None:
-        """What the replica knows at this moment, for the answers to edges.
+    def _on_coordination(self, data: bytes) -> None:
+        """Pass a message of another core machine to the replica; dropped until the records are loaded."""
+        if self._runtime is not None:
+            self._runtime.receive(CoreMessage.FromString(data))
 
-        After a freeze a message may come before the replica has noticed that its lease has run out.
-        """
-        if self._publisher.state is PublisherState.LEADER and not replica.is_leader(now):
-            self.leadership_lost()
-        fresh = replica.freshness(now)
-        if fresh is not None:
-            self._publisher.update_freshness(now, *fresh)
-        leader = replica.leader_hint()
-        other = leader is not None and leader.id != replica.identity.id
-        self._publisher.set_leader_address(leader.peer_address if leader is not None and other else None)
-        core = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in replica.core_machines())
-        if core != self._core:
-            self._core = core
-            self._publisher.set_core_machines(core)
-
-    # Links
-
-    def _received(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
-        if kind == MessageKind.COORDINATION:
-            if self._runtime is not None:
-                self._runtime.receive(CoreMessage.FromString(data))
-            return
+    def _on_distribution(self, connection: LinkConnection, data: bytes) -> None:
+        """Answer a message of an edge by what the replica knows at this moment."""
         now = self._clock()
         if self._runtime is not None:
-            self._inform_publisher(now, self._runtime.replica)
-        self._send_all(self._publisher.receive(now, connection, pb.Distribution.FromString(data)))
+            self._refresh_publisher(now, self._runtime.replica)
+        self._send_to_edges(self._publisher.receive(now, connection, pb.Distribution.FromString(data)))
 
-    def _closed(self, connection: LinkConnection) -> None:
+    def _on_link_closed(self, connection: LinkConnection) -> None:
         self._publisher.connection_closed(self._clock(), connection)
 
-    def _send_core(self, address: str, message: CoreMessage) -> None:
-        self._pool.send(address, MessageKind.COORDINATION, message.SerializeToString())
+    def _send_to_edges(self, messages: Sequence[SendMessage]) -> None:
+        self._links.send_to_edges(messages)
 
-    def _send_all(self, sends: Sequence[SendMessage]) -> None:
-        for send in sends:
-            data = send.message.SerializeToString()
-            if isinstance(send.connection, LinkConnection):
-                send.connection.send(MessageKind.DISTRIBUTION, data)
-            elif isinstance(send.connection, DialedLink):
-                self._pool.send(send.connection.address, MessageKind.DISTRIBUTION, data)
+    def _refresh_publisher(self, now: float, replica: Replica) -> None:
+        """Update the publisher with the replica's knowledge: leadership, freshness, leader and core addresses.
 
+        After a process was frozen a message may arrive before the replica's tick has noticed that its lease expired.
+        """
+        if self._publisher.state is PublisherState.LEADER and not replica.is_leader(now):
+            self.leadership_lost()
+        freshness = replica.freshness(now)
+        if freshness is not None:
+            self._publisher.update_freshness(now, *freshness)
+        leader = replica.leader_hint()
+        is_other = leader is not None and leader.id != replica.identity.id
+        self._publisher.set_leader_address(leader.peer_address if leader is not None and is_other else None)
+        self._refresh_core_addresses(replica)
 
-def _unsure() -> asyncio.Future[Outcome]:
+    def _refresh_core_addresses(self, replica: Replica) -> None:
+        """Update the publisher with the addresses of the core machines, where they have changed."""
+        machines = replica.core_machines()
+        addresses = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in machines)
+        if addresses != self._core_addresses:
+            self._core_addresses = addresses
+            self._publisher.set_core_machines(addresses)
+
+
+def _outcome_unknown() -> asyncio.Future[Outcome]:
     answer: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
     answer.set_result(OutcomeUnknown())
     return answer
-
-
-def _seeds(settings: ProcessSettings) -> tuple[tuple[str, str], ...]:
-    return tuple(zip(settings.seeds, settings.seed_peers, strict=True))
-
-
-def _replica_config(settings: ProcessSettings) -> ReplicaConfig:
-    return ReplicaConfig(
-        name=settings.node_name,
-        zone=settings.zone,
-        control_address=settings.listen.control,
-        peer_address=settings.core_link_address,
-        bootstrap=settings.bootstrap,
-        seeds=_seeds(settings),
-    )
--- a/rosechute/control_plane/core_report.py
+++ b/rosechute/control_plane/core_report.py
@@ -1,4 +1,4 @@
-"""What a core machine tells an operator about itself."""
+"""The state of a core machine for operators: the `core` section of the state page. Pure."""
 
 import msgspec
 
@@ -7,7 +7,10 @@
 
 
 class CoreReport(msgspec.Struct, frozen=True):
-    """The state of a core machine at one moment. Machines are named as in their settings."""
+    """The state of a core machine at one moment; the field names are JSON keys of the state page.
+
+    Machines are named as in their settings. docs/fleet/state.md explains the fields to operators.
+    """
 
     id: str
     leader: bool
@@ -16,16 +19,23 @@
     epoch: int
     acceptors: list[str]
     chain: list[str]  # head first
-    config_sequence: int  # of the newest configuration that is known to stay; 0 for none
+    config_sequence: int  # of the newest configuration known to be committed; 0 for none
     config_version: int
-    config_age_ms: int | None  # age of the knowledge which configuration is the newest; None where there is none
+    config_age_ms: int | None  # since it was last confirmed to be the newest; None where it never was
     write_age_ms: int  # of the oldest write that the disk has not finished
-    edges: int  # living ones, as the leader knows them
+    edges: int  # live ones, as the leader knows them
 
 
 def build_core_report(replica: Replica, now: float, write_age_s: float, edges: int) -> CoreReport:
-    """The report of a replica and of what stands around it."""
-    view, committed, fresh = replica.view, replica.committed, replica.freshness(now)
+    """Return the report of a replica and of what runs beside it.
+
+    Args:
+        replica: The replica of this machine.
+        now: Time on the steady clock, in seconds.
+        write_age_s: Age of the oldest write that the disk has not finished.
+        edges: Number of live edges; 0 where this machine is not the leader.
+    """
+    view, committed, freshness = replica.view, replica.committed, replica.freshness(now)
     names = {each.id: each.name for each in view.acceptors}
     return CoreReport(
         id=replica.identity.id,
@@ -37,7 +47,7 @@
         chain=[names.get(member, member) for member in view.chain],
         config_sequence=committed.sequence if committed is not None else 0,
         config_version=committed.version if committed is not None else 0,
-        config_age_ms=round(fresh[1] * 1000.0) if fresh is not None else None,
+        config_age_ms=round(freshness[1] * 1000.0) if freshness is not None else None,
         write_age_ms=round(write_age_s * 1000.0),
         edges=edges,
     )
--- a/rosechute/control_plane/endpoint_list_page.py
+++ b/rosechute/control_plane/endpoint_list_page.py
@@ -1,15 +1,18 @@
-"""One page of the platform's list of servers, as it is spoken. Pure."""
+"""One page of the platform's endpoint list, as it comes over HTTP. Pure.
+
+Source: the section "Service discovery" of the operators' protocol page.
+"""
 
 import msgspec
 from returns.result import Failure, Result, Success
 
 from rosechute.distribution.values import ListedServer
 
-READY = "ready"
+READY = "ready"  # the state of an instance that takes new requests; the other one is "draining"
 
 
 class EndpointListError(msgspec.Struct, frozen=True):
-    """A reading of the list that failed: at which step, at which address, why."""
+    """Why the endpoint list could not be read: the step, the address of the peer, and the reason."""
 
     step: str
     peer: str
@@ -20,7 +23,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One entry. What isn't named here is ignored."""
+    """One entry of the list; the field names are JSON keys, and keys that aren't named here are ignored."""
 
     id: str
     service: str
@@ -30,8 +33,12 @@
     state: str = READY
     cold_remaining_ms: float = 0
 
-    def listed(self, now: float) -> ListedServer:
-        """The entry as it is told to the edges; `now` is the steady time at which it was read."""
+    def to_listed_server(self, now: float) -> ListedServer:
+        """Return the entry as it is published to the edges.
+
+        Args:
+            now: Time on the steady clock at which it was read, in seconds; the rest of its cold start counts from it.
+        """
         return ListedServer(
             id=self.id,
             service=self.service,
@@ -43,18 +50,23 @@
         )
 
 
-class Page(msgspec.Struct, frozen=True):
-    """A page and the token of the one that follows."""
+class EndpointListPage(msgspec.Struct, frozen=True):
+    """A page, and the token of the next one; None on the last."""
 
     instances: tuple[Instance, ...]
     next_token: str | None = None
 
 
-_DECODER = msgspec.json.Decoder(Page)
+_DECODER = msgspec.json.Decoder(EndpointListPage)
+
 
+def decode_endpoint_list_page(body: bytes, peer: str) -> Result[EndpointListPage, EndpointListError]:
+    """Decode a page.
 
-def decode_endpoint_list_page(body: bytes, peer: str) -> Result[Page, EndpointListError]:
-    """Read a page."""
+    Args:
+        body: The body of the response, JSON.
+        peer: Address that it came from, for the error.
+    """
     try:
         return Success(_DECODER.decode(body))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/rosechute/control_plane/endpoint_list_reader.py
+++ b/rosechute/control_plane/endpoint_list_reader.py
@@ -1,8 +1,8 @@
-"""Reads the platform's list of servers while this machine holds the leader lease.
+"""Read the platform's endpoint list while this machine holds the leader lease.
 
-A reading takes all pages. It counts only if the lease has held for one and the same term before each call and when
-the result is used: a machine that led in between may have told a newer list. The list that was read last stays where
-a reading fails.
+A reading fetches all pages. The term of the leader lease is its fencing token: the reading is delivered only if the
+lease was held for the same term before each call and is still held at the end, since another leader may have
+published a newer list in between. Where a reading fails, the last list stays in force.
 """
 
 import asyncio
@@ -13,82 +13,97 @@
 
 from rosechute.distribution.values import ListedServer
 
-from .endpoint_list_page import EndpointListError, Page
+from .endpoint_list_page import EndpointListError, EndpointListPage
 
-INTERVAL_S = 0.5
-JITTER = 0.1  # of the interval, to either side
-RETRY_S = 0.25
-RATE_SHARE = 0.4  # of the calls that the platform takes from all machines
-SLOWEST_RATE_PER_S = 0.2  # so that a platform that tells no rate is still asked
-MOST_PAGES = 10_000
+INTERVAL_S = 0.5  # from the start of a reading to that of the next
+JITTER = 0.1  # share of the interval, to either side
+RETRY_S = 0.25  # after a reading that failed
+RATE_SHARE = 0.4  # of the calls that the platform accepts from all machines; the rest is for others and retries
+MIN_RATE_PER_S = 0.2  # so that the list is read also where the settings name no rate
+MAX_PAGES = 10_000  # bounds a reading of a platform whose pages never end
 
-Fetch = Callable[[str | None], Awaitable[Result[Page, EndpointListError]]]
+FetchPage = Callable[[str | None], Awaitable[Result[EndpointListPage, EndpointListError]]]
 
 
 class EndpointListReader:
-    """One reading after the other; `step` does one and tells how long to wait before the next."""
+    """Reads the list again and again; `read_once` does one reading and returns the pause before the next."""
 
     def __init__(
         self,
-        fetch: Fetch,
+        fetch_page: FetchPage,
         rate_per_s: Callable[[], float],
-        held_term: Callable[[], int | None],
+        leader_term: Callable[[], int | None],
         deliver: Callable[[Sequence[ListedServer]], None],
         draw: Callable[[], float],
         clock: Callable[[], float],
     ) -> None:
-        self._fetch = fetch
+        """Prepare; `run` does the readings.
+
+        Args:
+            fetch_page: Fetches the page of a token; None for the first.
+            rate_per_s: Returns the rate of calls that the platform accepts from all machines together.
+            leader_term: Returns the term of the leader lease that this machine holds now; None where it holds none.
+            deliver: Takes a complete list.
+            draw: Returns a random number in [0, 1), for the jitter.
+            clock: The steady clock, in seconds.
+        """
+        self._fetch_page = fetch_page
         self._rate_per_s = rate_per_s
-        self._leader_term = held_term  # of the leader lease, while this machine holds it
+        self._leader_term = leader_term
         self._deliver = deliver
         self._draw = draw
         self._clock = clock
-        self._failing = False
-        self._lease = asyncio.Event()
+        self._is_failing = False  # the last reading failed
+        self._has_leadership = asyncio.Event()
 
     def leadership_gained(self) -> None:
-        """This machine holds the lease from here on."""
-        self._lease.set()
+        """Start reading: this machine holds the leader lease from now on."""
+        self._has_leadership.set()
 
     async def run(self) -> None:
-        """Read until cancelled, whenever this machine holds the lease."""
+        """Read whenever this machine holds the leader lease, until cancelled."""
         while True:
             if self._leader_term() is None:
-                self._lease.clear()
-                await self._lease.wait()
+                self._has_leadership.clear()
+                await self._has_leadership.wait()
             try:
-                wait = await self.step()
-            except Exception:  # a fault in one reading must not end all later ones
-                logger.exception("list of servers")
+                wait = await self.read_once()
+            except Exception:  # any fault in one reading: it must not end all later ones
+                logger.exception("endpoint list reader fault")
                 wait = RETRY_S
             await asyncio.sleep(wait)
 
-    async def step(self) -> float:
-        """One reading, if this machine holds the lease. Returns the seconds until the next may begin."""
+    async def read_once(self) -> float:
+        """Read and deliver the list, if this machine holds the leader lease.
+
+        Returns:
+            The seconds until the next reading may start.
+        """
         term = self._leader_term()
         if term is None:
             return 0.0
-        began = self._clock()
+        started_at = self._clock()
         calls, read = await self._read_pages(term)
         if isinstance(read, Failure):
-            self._tell(read.failure())
-            return max(RETRY_S * self._jitter(), self._time_of(calls))
+            self._log_failure(read.failure())
+            return max(RETRY_S * self._jitter(), self._rate_limit_pause_s(calls))
         if self._leader_term() != term:
             return 0.0
-        self._failing = False
+        self._is_failing = False
         self._deliver(read.unwrap())
-        wait = max(INTERVAL_S * self._jitter(), self._time_of(calls))
-        return max(0.0, wait - (self._clock() - began))
+        interval = max(INTERVAL_S * self._jitter(), self._rate_limit_pause_s(calls))
+        return max(0.0, interval - (self._clock() - started_at))
 
     async def _read_pages(self, term: int) -> tuple[int, Result[list[ListedServer], EndpointListError]]:
+        """Fetch all pages; return the number of calls made, and the servers or the error."""
         servers: list[ListedServer] = []
         token: str | None = None
-        for calls in range(1, MOST_PAGES):
-            fetched = await self._fetch(token)
+        for calls in range(1, MAX_PAGES):
+            fetched = await self._fetch_page(token)
             if isinstance(fetched, Failure):
                 return calls, Failure(fetched.failure())
             page, now = fetched.unwrap(), self._clock()
-            servers += [instance.listed(now) for instance in page.instances]
+            servers += [instance.to_listed_server(now) for instance in page.instances]
             token = page.next_token
             if not token:
                 return calls, Success(servers)
@@ -96,17 +111,17 @@
                 return calls, Failure(
                     EndpointListError("read the list", "", "the leader lease ended between two pages")
                 )
-        return MOST_PAGES, Failure(EndpointListError("read the list", "", "the pages don't end"))
+        return MAX_PAGES, Failure(EndpointListError("read the list", "", "the pages don't end"))
 
-    def _time_of(self, calls: int) -> float:
-        """Seconds over which so many calls have to be spread."""
-        return calls / max(self._rate_per_s() * RATE_SHARE, SLOWEST_RATE_PER_S)
+    def _rate_limit_pause_s(self, calls: int) -> float:
+        """Return the seconds over which so many calls have to be spread to stay within the rate."""
+        return calls / max(self._rate_per_s() * RATE_SHARE, MIN_RATE_PER_S)
 
     def _jitter(self) -> float:
         return 1.0 + JITTER * (2.0 * self._draw() - 1.0)
 
-    def _tell(self, problem: EndpointListError) -> None:
+    def _log_failure(self, error: EndpointListError) -> None:
         """Log the first of several failures only: logging costs processor time."""
-        if not self._failing:
-            logger.warning("list of servers: {}", problem)
-        self._failing = True
+        if not self._is_failing:
+            logger.warning("endpoint list read failed error={}", error)
+        self._is_failing = True
--- a/rosechute/control_plane/replica_runtime.py
+++ b/rosechute/control_plane/replica_runtime.py
@@ -1,8 +1,10 @@
-"""Runs a replica of the core: its messages over links, its records through the record writer, its clock.
+"""Run a replica: carry out its actions (messages, record writes, replies) and drive it by time, messages and writes.
 
-After a write that failed, the next one is a whole snapshot: nobody knows what of the failed one is on disk. A
-snapshot is also written when the log has grown long. A snapshot of the replica holds everything up to the
-records that it is written in place of; these are not written again behind it.
+The replica itself is pure and returns actions. This module sends its messages over links and writes its records.
+
+After a write that failed, the next write is a full snapshot: how much of the failed one reached the disk is unknown.
+A snapshot is also written once the log has grown beyond `LOG_LIMIT_BYTES`. A snapshot replaces the log and includes
+the records of the write that it stands for, so these are not appended as well.
 """
 
 import asyncio
@@ -30,96 +32,137 @@
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.writer import WriteResult
 
-TICK_S = 0.04
-LOG_LIMIT_BYTES = 512 * 1024
+TICK_S = 0.04  # how often the replica advances; well below the shortest of its time-outs
+LOG_LIMIT_BYTES = 512 * 1024  # a longer log is replaced by a snapshot, so that loading stays short
+
+WriteCallback = Callable[[WriteResult], None]
 
-Done = Callable[[WriteResult], None]
 
+class RecordLog(Protocol):
+    """Durable storage of the records, written in order; `rosechute.storage.writer.StoreWriter`.
 
-class Records(Protocol):
-    """Where the records go; `rosechute.storage.writer.StoreWriter`."""
+    Both methods return at once and call `done` on the event loop when the write is synced or has failed.
+    """
 
     @property
-    def log_size(self) -> int: ...
-    def append(self, records: Sequence[bytes], done: Done) -> None: ...
-    def write_snapshot(self, records: Sequence[bytes], done: Done) -> None: ...
+    def log_size(self) -> int:
+        """Return the size of the log behind the last snapshot, in bytes."""
+
+    def append(self, records: Sequence[bytes], done: WriteCallback) -> None:
+        """Append records to the log."""
+
+    def write_snapshot(self, records: Sequence[bytes], done: WriteCallback) -> None:
+        """Replace everything by a snapshot."""
 
 
-class Observer(Protocol):
-    """Who has to know what the replica has come to."""
+class ReplicaObserver(Protocol):
+    """Learns of what the replica has concluded."""
 
-    def committed(self, configuration: CommittedConfiguration) -> None: ...
-    def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None: ...
-    def leadership_lost(self) -> None: ...
-    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None: ...
+    def committed(self, configuration: CommittedConfiguration) -> None:
+        """A newer configuration is committed."""
+
+    def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None:
+        """This machine holds the leader lease of a term; `rate_lease_owners` as persisted, None where unknown."""
+
+    def leadership_lost(self) -> None:
+        """This machine holds the leader lease no longer."""
+
+    def rate_lease_owners_persisted(self, term: int, edges: frozenset[str]) -> None:
+        """The names of these edges are synced as owners of rate leases."""
 
 
 class ReplicaRuntime:
-    """One replica and everything that it acts on."""
+    """One replica, and the effects of its actions.
+
+    `start` is called once, then `tick` every `TICK_S`. All methods are called on the event loop.
+    """
 
     def __init__(
         self,
         replica: Replica,
-        records: Records,
+        records: RecordLog,
         send: Callable[[str, CoreMessage], None],
-        observer: Observer,
+        observer: ReplicaObserver,
         clock: Callable[[], float],
+        *,
         snapshot_first: bool,
     ) -> None:
+        """Connect a replica to its surroundings; `start` sets it going.
+
+        Args:
+            replica: The replica, not started.
+            records: Where its records are written.
+            send: Sends a message to the link address of a core machine.
+            observer: Told of commits and of leadership.
+            clock: The steady clock, in seconds.
+            snapshot_first: Whether the first write has to be a snapshot, as the log can't be appended to.
+        """
         self.replica = replica
         self._records = records
         self._send = send
         self._observer = observer
         self._clock = clock
         self._snapshot_first = snapshot_first
-        self._compacting = False
-        self._failing = False
-        self._waiting: dict[int, asyncio.Future[Outcome]] = {}
-        self._requests = 0
+        self._is_compacting = False  # a snapshot is being written
+        self._is_failing = False  # the last write failed
+        self._pending: dict[int, asyncio.Future[Outcome]] = {}  # by request number
+        self._request_count = 0
 
     def start(self) -> None:
-        """Begin; `tick` has to be called every `TICK_S` from now on."""
-        self._act(self.replica.start(self._clock()))
+        """Start the replica; `tick` has to be called every `TICK_S` from now on."""
+        self._perform(self.replica.start(self._clock()))
 
     def tick(self) -> None:
-        """Let time pass."""
-        self._act(self.replica.tick(self._clock()))
+        """Advance the replica to the present."""
+        self._perform(self.replica.tick(self._clock()))
 
     def receive(self, message: CoreMessage) -> None:
-        """A message of another core machine."""
-        self._act(self.replica.receive(self._clock(), message))
+        """Handle a message of another core machine."""
+        self._perform(self.replica.receive(self._clock(), message))
 
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
-        """Order a configuration."""
-        request, answer = self._expect()
-        self._act(
+        """Propose a configuration.
+
+        Args:
+            base_version: Version that it builds on; 0 for the first.
+            version: Its own version.
+            body: The configuration, byte for byte.
+            digest: `write_requests.write_request_digest` of base version and body.
+
+        Returns:
+            A future of the outcome, which may never come; to be cancelled by a caller that gives up.
+        """
+        request, answer = self._new_request()
+        self._perform(
             self.replica.propose_write(self._clock(), WriteRequest(request, base_version, version, body, digest))
         )
         return answer
 
     def read(self) -> asyncio.Future[Outcome]:
-        """The newest acknowledged configuration."""
-        request, answer = self._expect()
-        self._act(self.replica.read(self._clock(), request))
+        """Read the newest acknowledged configuration; returns a future of the outcome, which may never come."""
+        request, answer = self._new_request()
+        self._perform(self.replica.read(self._clock(), request))
         return answer
 
     def persist_rate_lease_owners(self, term: int, edges: frozenset[str]) -> None:
-        """Note which edges may hold rate leases; the observer is told once that is synced."""
-        self._act(self.replica.persist_rate_lease_owners(self._clock(), term, edges))
+        """Persist which edges may own rate leases in a term; the observer learns when that is synced."""
+        self._perform(self.replica.persist_rate_lease_owners(self._clock(), term, edges))
 
     def resign(self) -> None:
-        """Give the leader lease back, if this machine holds it."""
-        self._act(self.replica.resign(self._clock()))
+        """Release the leader lease, if this machine holds it, and leave the chain."""
+        self._perform(self.replica.resign(self._clock()))
 
-    def _expect(self) -> tuple[int, asyncio.Future[Outcome]]:
-        self._requests += 1
-        request = self._requests
+    def _new_request(self) -> tuple[int, asyncio.Future[Outcome]]:
+        """Return the number of a new request and the future of its outcome."""
+        self._request_count += 1
+        request = self._request_count
         answer: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self._waiting[request] = answer
-        answer.add_done_callback(lambda _: self._waiting.pop(request, None))
+        self._pending[request] = answer
+        answer.add_done_callback(lambda _: self._pending.pop(request, None))
         return request, answer
 
-    def _act(self, actions: Sequence[Action]) -> None:
+    def _perform(self, actions: Sequence[Action]) -> None:
+        """Carry out the actions of the replica, in their order."""
         for action in actions:
             match action:
                 case SendMessage(address, message):
@@ -127,48 +170,48 @@
                 case PersistRecords(token, records):
                     self._persist(token, records)
                 case Reply(request, outcome):
-                    self._answer(request, outcome)
+                    self._reply(request, outcome)
                 case ConfigurationCommitted(configuration):
                     self._observer.committed(configuration)
-                case LeadershipGained(term, holders):
-                    self._observer.leadership_gained(term, holders)
+                case LeadershipGained(term, rate_lease_owners):
+                    self._observer.leadership_gained(term, rate_lease_owners)
                 case LeadershipLost():
                     self._observer.leadership_lost()
                 case RateLeaseOwnersPersisted(term, edges):
                     self._observer.rate_lease_owners_persisted(term, edges)
 
-    def _answer(self, request: int, outcome: Outcome) -> None:
-        answer = self._waiting.get(request)
+    def _reply(self, request: int, outcome: Outcome) -> None:
+        answer = self._pending.get(request)
         if answer is not None and not answer.done():
             answer.set_result(outcome)
 
     def _persist(self, token: int, records: Sequence[bytes]) -> None:
-        long = self._records.log_size > LOG_LIMIT_BYTES and not self._compacting
-        if self._snapshot_first or long:
+        is_log_too_long = self._records.log_size > LOG_LIMIT_BYTES and not self._is_compacting
+        if self._snapshot_first or is_log_too_long:
             self._snapshot_first = False
-            self._compacting = True
-            self._records.write_snapshot(self.replica.snapshot(), partial(self._replaced, token))
+            self._is_compacting = True
+            self._records.write_snapshot(self.replica.snapshot(), partial(self._on_snapshot_written, token))
         else:
-            self._records.append(records, partial(self._written, token))
+            self._records.append(records, partial(self._on_written, token))
 
-    def _replaced(self, token: int, outcome: WriteResult) -> None:
-        self._compacting = False
-        self._written(token, outcome)
+    def _on_snapshot_written(self, token: int, outcome: WriteResult) -> None:
+        self._is_compacting = False
+        self._on_written(token, outcome)
 
-    def _written(self, token: int, outcome: WriteResult) -> None:
+    def _on_written(self, token: int, outcome: WriteResult) -> None:
         now = self._clock()
-        self._tell(outcome)
+        self._log_change(outcome)
         if isinstance(outcome, Failure):
             self._snapshot_first = True
-            self._act(self.replica.persist_failed(now, token))
+            self._perform(self.replica.persist_failed(now, token))
         else:
-            self._act(self.replica.persisted(now, token))
-
-    def _tell(self, outcome: WriteResult) -> None:
-        """Log the first of several failures, and the end of them."""
-        failing = isinstance(outcome, Failure)
-        if failing and not self._failing:
-            logger.warning("records: {}", outcome.failure())
-        elif self._failing and not failing:
-            logger.info("records are written again")
-        self._failing = failing
+            self._perform(self.replica.persisted(now, token))
+
+    def _log_change(self, outcome: WriteResult) -> None:
+        """Log the first of several failed writes, and the first success after them."""
+        is_failing = isinstance(outcome, Failure)
+        if is_failing and not self._is_failing:
+            logger.warning("record write failed error={}", outcome.failure())
+        elif self._is_failing and not is_failing:
+            logger.info("record writes recovered")
+        self._is_failing = is_failing
--- /dev/null
+++ b/rosechute/control_plane/replica_settings.py
@@ -0,0 +1,21 @@
+"""Derive the settings of a replica from those of its process. Pure."""
+
+from rosechute.configuration.process import ProcessSettings
+from rosechute.coordination.types import ReplicaConfig
+
+
+def seed_addresses(settings: ProcessSettings) -> tuple[tuple[str, str], ...]:
+    """Return the control address and the link address of each seed machine."""
+    return tuple(zip(settings.seeds, settings.seed_peers, strict=True))
+
+
+def replica_config(settings: ProcessSettings) -> ReplicaConfig:
+    """Return the settings of the replica that runs in this process."""
+    return ReplicaConfig(
+        name=settings.node_name,
+        zone=settings.zone,
+        control_address=settings.listen.control,
+        peer_address=settings.core_link_address,
+        bootstrap=settings.bootstrap,
+        seeds=seed_addresses(settings),
+    )
--- a/rosechute/control_plane/write_requests.py
+++ b/rosechute/control_plane/write_requests.py
@@ -1,4 +1,4 @@
-"""What the operator's API asks of the chain, and the answers. The answers are those of `rosechute.coordination`."""
+"""What the operator's API needs of the core: configurations are proposed and read. Outcomes are the replica's."""
 
 import hashlib
 from collections.abc import Awaitable
@@ -6,19 +6,29 @@
 
 from rosechute.coordination.types import Outcome
 
-DIGEST_BYTES = 16
+DIGEST_BYTES = 16  # 128 bits: two different write requests never share a digest by chance
 
 
 class ConfigurationStore(Protocol):
-    """Takes orders and answers reads; an answer may never come."""
+    """Proposes writes and serves reads of the replicated configuration; an outcome may never come."""
 
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> Awaitable[Outcome]:
-        """Order a configuration that builds on `base_version`."""
+        """Propose a configuration.
+
+        Args:
+            base_version: Version that the configuration builds on; 0 for the first.
+            version: Its own version.
+            body: The configuration, byte for byte as the operator sent it.
+            digest: `write_request_digest` of base version and body.
+        """
 
     def read(self) -> Awaitable[Outcome]:
-        """The newest acknowledged configuration."""
+        """Read the newest acknowledged configuration."""
 
 
 def write_request_digest(base_version: int, body: bytes) -> bytes:
-    """What makes two orders the same one: the version they build on, and every byte of the body."""
+    """Return the digest by which a repeated write request is recognised as the same one.
+
+    Two requests are the same where base version and every byte of the body are.
+    """
     return hashlib.blake2b(b"%d\n" % base_version + body, digest_size=DIGEST_BYTES).digest()
--- a/rosechute/processes/core.py
+++ b/rosechute/processes/core.py
@@ -29,77 +29,91 @@
 from rosechute.processes.settings_watch import SettingsWatch
 from rosechute.processes.state import ProcessState
 
-STOP_WITHIN_S = 1.8  # above what the machine takes to hand over
-EXIT_UNUSABLE = 2  # the settings can't be used, or an address is taken
+SHUTDOWN_TIMEOUT_S = 1.8  # above the 1.05 s that the handover may take
+EXIT_UNUSABLE = 2  # the settings are unusable, or an address is taken
 
 
 class CoreProcess:
-    """One life of the program: start, settings that change, end."""
+    """The core machine, its metrics and its settings file, from start to end of the process."""
 
     def __init__(self, settings: ProcessSettings, path: str) -> None:
+        """Build the parts without starting any.
+
+        Args:
+            settings: The settings in force at the start.
+            path: The file that they came from, which is watched for changes.
+        """
         self._settings = settings
         state = ProcessState(settings)
         self._machine = CoreMachine(settings, state.add_to)
-        self._watch = SettingsWatch(settings, path, self._machine.change_settings)
+        self._settings_watch = SettingsWatch(settings, path, self._machine.change_settings)
         state.add("core", self._machine.report)
         self._metrics = MetricsServer(settings.ip, CORE_PORT, core_families(self._machine))
-        self._ends = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Until SIGTERM or SIGINT."""
-        loop = asyncio.get_running_loop()
-        loop.set_exception_handler(_report)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._ends.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        """Serve until SIGTERM or SIGINT, then shut down.
+
+        Raises:
+            OSError: An address is taken or not of this machine.
+            TimeoutError: The shutdown took longer than `SHUTDOWN_TIMEOUT_S`.
+        """
+        self._install_handlers(asyncio.get_running_loop())
         await self._machine.start()
         await self._metrics.start()
         gc.freeze()  # what is loaded by now stays: later collections needn't look at it
         gc.enable()
-        logger.info("core machine {} listens at {}", self._settings.node_name, self._settings.listen.control)
-        watching = asyncio.create_task(self._watch.run())
-        await self._ends.wait()
+        address = self._settings.listen.control
+        logger.info("core started node={} control_address={}", self._settings.node_name, address)
+        watching = asyncio.create_task(self._settings_watch.run())
+        await self._stop_requested.wait()
         watching.cancel()
         await self._metrics.stop()
-        await asyncio.wait_for(self._machine.stop(), STOP_WITHIN_S)
+        await asyncio.wait_for(self._machine.stop(), SHUTDOWN_TIMEOUT_S)
+
+    def _install_handlers(self, loop: asyncio.AbstractEventLoop) -> None:
+        loop.set_exception_handler(_log_unhandled)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self._settings_watch.reload)
 
 
 def main() -> int:
-    """Run the program; the exit status."""
+    """Run the program; return its exit status."""
     loaded = load_settings_from_environment()
     if isinstance(loaded, Failure):
         logs.configure_logging()
-        logger.critical("settings: {}", loaded.failure())
+        logger.critical("settings unusable error={}", loaded.failure())
         return EXIT_UNUSABLE
     settings = loaded.unwrap()
     logs.configure_logging(settings.log_level)
     missing = find_missing_setting(settings, SERVES_CONTROL_PLANE, os.environ[SETTINGS_VARIABLE])
     if missing is not None:
-        logger.critical("settings: {}", missing)
+        logger.critical("settings unusable error={}", missing)
         return EXIT_UNUSABLE
     return _run(settings)
 
 
 def _run(settings: ProcessSettings) -> int:
     try:
-        asyncio.run(_life(settings, os.environ[SETTINGS_VARIABLE]))
-    except TimeoutError:
-        logger.warning("ended without having closed everything")
+        asyncio.run(_run_process(settings, os.environ[SETTINGS_VARIABLE]))
+    except TimeoutError:  # before OSError, whose subclass it is
+        logger.warning("shutdown timed out timeout_s={}", SHUTDOWN_TIMEOUT_S)
     except OSError as error:
-        logger.critical("{} cannot serve: {}", settings.node_name, error)
+        logger.critical("cannot listen node={} error={}", settings.node_name, error)
         return EXIT_UNUSABLE
     return 0
 
 
-async def _life(settings: ProcessSettings, path: str) -> None:
+async def _run_process(settings: ProcessSettings, path: str) -> None:
     await CoreProcess(settings, path).run()
 
 
-def _report(loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-    """Log what the event loop found in a callback or task that nobody awaits."""
+def _log_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
+    """Log an exception of a callback or task that nobody awaits; the event loop goes on."""
     error = context.get("exception")
-    known = error if isinstance(error, BaseException) else None
-    logger.opt(exception=known).error("loop: {}", context.get("message"))
+    exception = error if isinstance(error, BaseException) else None
+    logger.opt(exception=exception).error("unhandled error in event loop context={}", context.get("message"))
 
 
 if __name__ == "__main__":
--- a/rosechute/processes/core_metrics.py
+++ b/rosechute/processes/core_metrics.py
@@ -1,4 +1,8 @@
-"""What a core machine tells as metrics. docs/fleet/metrics.md explains the names to operators."""
+"""The metrics of a core machine. docs/fleet/metrics.md explains their names to operators.
+
+Names follow the conventions of Prometheus: base units, `_total` for counters. A metric that an edge has as well has
+the same name and meaning there.
+"""
 
 from __future__ import annotations
 
@@ -9,64 +13,67 @@
 from rosechute.control_plane.core_report import CoreReport
 from rosechute.processes.metrics import Family, by_kind, single
 
+MILLISECONDS_PER_S = 1e3
 
-def core_families(machine: CoreMachine) -> list[Family]:
-    """The figures of one core process. Until its records are loaded, only those that need none."""
+ReportValue = Callable[[CoreReport], float | None]
 
-    def figure(read: Callable[[CoreReport], float | None]) -> Callable[[], float]:
-        def value() -> float:
-            report = machine.report()
-            found = read(report) if report is not None else None
-            return math.nan if found is None else float(found)
+REPORT_METRICS: tuple[tuple[str, str, ReportValue], ...] = (
+    ("is_leader", "Whether this machine holds the leader lease: 1 or 0.", lambda report: report.leader),
+    ("leader_lease_term", "Highest term of the leader lease that is known here.", lambda report: report.term),
+    ("view_epoch", "Epoch of the agreed view.", lambda report: report.epoch),
+    ("view_acceptors", "Acceptors of the view.", lambda report: len(report.acceptors)),
+    ("chain_replicas", "Replicas of the chain.", lambda report: len(report.chain)),
+    ("config_version", "Version of the newest committed configuration.", lambda report: report.config_version),
+    ("config_sequence", "Sequence number of the newest committed write.", lambda report: report.config_sequence),
+    (
+        "config_confirmed_age_seconds",
+        "Time since the configuration was confirmed to be the newest.",
+        lambda report: _seconds(report.config_age_ms),
+    ),
+    (
+        "disk_oldest_pending_write_seconds",
+        "Age of the oldest write that the disk has not finished.",
+        lambda report: _seconds(report.write_age_ms),
+    ),
+    ("edges", "Live edges; 0 where this machine is not the leader.", lambda report: report.edges),
+)
+"""Name, help and value of each metric that the core's report gives; a value of None is left out."""
 
-        return value
 
-    return [
-        Family("leader", "Whether this machine leads.", (), single(figure(lambda report: report.leader))),
-        Family(
-            "term",
-            "Newest term of the leader lease that is known here.",
-            (),
-            single(figure(lambda report: report.term)),
-        ),
-        Family("epoch", "Number of the agreed view.", (), single(figure(lambda report: report.epoch))),
-        Family("acceptors", "Machines of the view.", (), single(figure(lambda report: len(report.acceptors)))),
-        Family("chain_length", "Machines of the chain.", (), single(figure(lambda report: len(report.chain)))),
-        Family(
-            "config_version",
-            "Version of the newest configuration that is known to stay.",
-            (),
-            single(figure(lambda report: report.config_version)),
-        ),
-        Family(
-            "config_sequence",
-            "Its place among all that were taken.",
-            (),
-            single(figure(lambda report: report.config_sequence)),
-        ),
-        Family(
-            "config_age_seconds",
-            "For how long it is not confirmed to be the newest.",
-            (),
-            single(figure(lambda report: None if report.config_age_ms is None else report.config_age_ms / 1e3)),
-        ),
-        Family(
-            "disk_write_age_seconds",
-            "Age of the oldest write that the disk has not finished.",
-            (),
-            single(figure(lambda report: report.write_age_ms / 1e3)),
-        ),
-        Family("edges", "Living edges; of use at the leader.", (), single(figure(lambda report: report.edges))),
+def core_families(machine: CoreMachine) -> list[Family]:
+    """Return the metrics of a core machine; those of its report are left out until its records are loaded."""
+    families = [
+        Family(name, help_text, (), single(_reported(machine, value))) for name, help_text, value in REPORT_METRICS
+    ]
+    families.append(
         Family(
             "quota_tokens_total",
-            "Tokens of quotas: asked for, issued, and put into stores of leases.",
+            "Tokens of quotas: requested, issued, and deposited with rate leases.",
             ("state",),
             by_kind(machine.quota_counts),
-        ),
+        )
+    )
+    families.append(
         Family(
-            "rate_leases_known",
-            "Whether all rate leases that may run are known; of use at the leader.",
+            "all_rate_leases_known",
+            "Whether the leader knows every rate lease that may be in force: 1 or 0.",
             (),
             single(lambda: float(machine.rate_leases_known())),
-        ),
-    ]
+        )
+    )
+    return families
+
+
+def _reported(machine: CoreMachine, value: ReportValue) -> Callable[[], float]:
+    """Return a function that reads one value of the machine's report; NaN where it is unknown."""
+
+    def read() -> float:
+        report = machine.report()
+        found = value(report) if report is not None else None
+        return math.nan if found is None else float(found)
+
+    return read
+
+
+def _seconds(milliseconds: int | None) -> float | None:
+    return None if milliseconds is None else milliseconds / MILLISECONDS_PER_S
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -17,14 +17,13 @@
 
 from rosechute.configuration.process import Bounds, CloudApi, Listen, ProcessSettings
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.control_plane.endpoint_list_page import EndpointListError, Instance, Page
+from rosechute.control_plane.endpoint_list_page import EndpointListError, EndpointListPage, Instance
 from rosechute.control_plane.endpoint_list_reader import EndpointListReader
 from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
 from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.topics import Position
 from rosechute.messages import distribution_pb2 as pb
-from rosechute.messages.framing import MessageKind
 from rosechute.processes.quota_client import QuotaClient
 
 from .distribution_timeline import Call, Clock, Timeline
@@ -158,9 +157,11 @@
     """A call to the platform that is under way."""
 
     def __init__(self) -> None:
-        self.result: Result[Page, EndpointListError] = Failure(EndpointListError("fetch", "", "no answer"))
+        self.result: Result[EndpointListPage, EndpointListError] = Failure(
+            EndpointListError("fetch", "", "no answer")
+        )
 
-    def __await__(self) -> Generator[_Reply, None, Result[Page, EndpointListError]]:
+    def __await__(self) -> Generator[_Reply, None, Result[EndpointListPage, EndpointListError]]:
         yield self
         return self.result
 
@@ -211,11 +212,11 @@
 
     def receive(self, connection: Any, data: bytes) -> None:
         """A message of an edge."""
-        self._received(connection, MessageKind.DISTRIBUTION, data)
+        self._on_distribution(connection, data)
 
     def closed(self, connection: Any) -> None:
         """A link of an edge ended."""
-        self._closed(connection)
+        self._on_link_closed(connection)
 
     def commit(self, sequence: int, version: int, body: bytes) -> None:
         """The replica knows that this configuration stays."""
@@ -229,12 +230,12 @@
     def turn(self) -> None:
         """What a tick of the machine does."""
         self.notice_lease()
-        self._send_all(self._publisher.tick(self._clock()))
+        self._send_to_edges(self._publisher.tick(self._clock()))
 
     def read_list(self) -> None:
         """Begin a reading, unless one is under way."""
         if self._reading is None and self._leader_term() is not None:
-            self._reading = self._endpoint_list_reader.step()
+            self._reading = self._endpoint_list_reader.read_once()
             self._step(None)
 
     def _step(self, reply: _Reply | None) -> None:
@@ -252,16 +253,16 @@
         def answered(instances: Sequence[Instance] | None) -> None:
             if instances is not None:
                 following = str(number + 1) if number + 1 < self._pages else None
-                waits.result = Success(Page(tuple(instances), following))
+                waits.result = Success(EndpointListPage(tuple(instances), following))
             self._step(waits)
 
         self._platform(self._process, number, answered)
 
-    async def _fetch(self, token: str | None) -> Result[Page, EndpointListError]:
+    async def _fetch(self, token: str | None) -> Result[EndpointListPage, EndpointListError]:
         self._calls = int(token or 0)
         return await _Reply()
 
-    def _send_all(self, sends: Sequence[SendMessage]) -> None:
+    def _send_to_edges(self, sends: Sequence[SendMessage]) -> None:
         self._send(self._process, sends)
 
 
--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from rosechute.control_plane.replica_runtime import Done, ReplicaRuntime
+from rosechute.control_plane.replica_runtime import ReplicaRuntime, WriteCallback
 from rosechute.control_plane.write_requests import write_request_digest
 from rosechute.coordination.replica import Replica
 from rosechute.coordination.types import CommittedConfiguration, Outcome, ReadResult, Redirect, ReplicaConfig
@@ -29,17 +29,17 @@
     def __init__(self, machine: "SimulatedMachine", store: RecordStore) -> None:
         self._machine = machine
         self._store = store
-        self._waiting: deque[tuple[bool, Sequence[bytes], Done]] = deque()
+        self._waiting: deque[tuple[bool, Sequence[bytes], WriteCallback]] = deque()
         self._busy_until = 0.0
 
     @property
     def log_size(self) -> int:
         return self._store.log_size
 
-    def append(self, records: Sequence[bytes], done: Done) -> None:
+    def append(self, records: Sequence[bytes], done: WriteCallback) -> None:
         self._waiting.append((False, records, done))
 
-    def write_snapshot(self, records: Sequence[bytes], done: Done) -> None:
+    def write_snapshot(self, records: Sequence[bytes], done: WriteCallback) -> None:
         self._waiting.append((True, records, done))
 
     def advance(self, now: float) -> None:
@@ -53,7 +53,7 @@
         for _, _, done in group:
             self._machine.cluster.after(self._machine.sync_s, self._machine, done, written)
 
-    def _write(self, group: list[tuple[bool, Sequence[bytes], Done]]) -> Any:
+    def _write(self, group: list[tuple[bool, Sequence[bytes], WriteCallback]]) -> Any:
         self._machine.folder.refused = range(NEVER) if self._machine.disk_full else range(0)
         if group[0][0]:
             return self._store.write_snapshot(group[0][1])
@@ -85,7 +85,7 @@
         replica = Replica(config, saved, self.cluster.now, self.cluster.draw.random)
         self.committed_sequences = []
         self.runtime = ReplicaRuntime(
-            replica, self.records, self.send, self, lambda: self.cluster.now, not store.can_append
+            replica, self.records, self.send, self, lambda: self.cluster.now, snapshot_first=not store.can_append
         )
         self.runtime.start()
 
--- a/tests/fleet/simulation/losses.py
+++ b/tests/fleet/simulation/losses.py
@@ -10,14 +10,14 @@
 from functools import partial
 from random import Random
 
-from rosechute.control_plane.core_machine import FAREWELL_S, HAND_OVER_POLL_S, HAND_OVER_WITHIN_S
+from rosechute.control_plane.handover import HANDOVER_POLL_S, HANDOVER_TIMEOUT_S, LINK_FLUSH_S
 from tests.fleet.simulation.faults import CATCH_UP_S
 from tests.fleet.simulation.machine import Machine
 from tests.fleet.simulation.storage import SYNC_S
 from tests.fleet.simulation.world import World
 
 SPREAD_S = 1.0  # the next loss comes so long after the earliest moment, at the most
-LEFT_S = HAND_OVER_WITHIN_S + FAREWELL_S  # a process that got SIGTERM has ended by then
+LEFT_S = HANDOVER_TIMEOUT_S + LINK_FLUSH_S  # a process that got SIGTERM has ended by then
 LONG_CUT_S = (20.0, 25.0)
 BACK_S = (0.05, 3.0)
 WRITING_WITHIN_S = 1.0
@@ -191,16 +191,16 @@
         """SIGTERM: the process resigns and waits until nobody counts on it; one in four is killed before."""
         machine.run(lambda replica: replica.resign(machine.now()))
         if self.random.random() < 0.25:
-            self._at(FAREWELL_S, end)
+            self._at(LINK_FLUSH_S, end)
         else:
-            self._hand_over(machine, machine.boots, self.world.now + HAND_OVER_WITHIN_S, end)
+            self._hand_over(machine, machine.boots, self.world.now + HANDOVER_TIMEOUT_S, end)
 
     def _hand_over(self, machine: Machine, boot: int, until: float, end: Callable[[], None]) -> None:
         waits = machine.boots == boot and machine.replica is not None and not machine.replica.is_handed_over
         if waits and self.world.now < until:
-            self._at(HAND_OVER_POLL_S, self._hand_over, machine, boot, until, end)
+            self._at(HANDOVER_POLL_S, self._hand_over, machine, boot, until, end)
         else:
-            self._at(FAREWELL_S, end)
+            self._at(LINK_FLUSH_S, end)
 
     def _remove(self, machine: Machine) -> None:
         machine.kill()
--- a/tests/fleet/simulation/machine.py
+++ b/tests/fleet/simulation/machine.py
@@ -47,11 +47,11 @@
     """The product's runtime; answers go to the world in place of futures."""
 
     def __init__(self, machine: Machine, replica: Replica, snapshot_first: bool) -> None:
-        super().__init__(replica, machine.disk, machine.send, machine, machine.now, snapshot_first)
+        super().__init__(replica, machine.disk, machine.send, machine, machine.now, snapshot_first=snapshot_first)
         self._machine = machine
 
     def act(self, actions: Sequence[Action]) -> None:
-        self._act(actions)
+        self._perform(actions)
 
     def _answer(self, request: int, outcome: Outcome) -> None:
         self._machine.world.on_answer(self._machine, request, outcome)
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -93,7 +93,7 @@
 
     def tell(self, **message: Any) -> None:
         data = pb.Distribution(**message).SerializeToString()
-        self.machine._received(self.connection, MessageKind.DISTRIBUTION, data)
+        self.machine._links._on_frame(self.connection, MessageKind.DISTRIBUTION, data)
 
     def told(self, kind: str) -> list[Any]:
         return [getattr(each, kind) for each in self.connection.sent if each.WhichOneof("body") == kind]
--- a/tests/fleet/test_control_endpoint_list_reader.py
+++ b/tests/fleet/test_control_endpoint_list_reader.py
@@ -9,7 +9,12 @@
 from returns.result import Failure, Result, Success
 
 from rosechute.control_plane import endpoint_list_reader
-from rosechute.control_plane.endpoint_list_page import EndpointListError, Instance, Page, decode_endpoint_list_page
+from rosechute.control_plane.endpoint_list_page import (
+    EndpointListError,
+    EndpointListPage,
+    Instance,
+    decode_endpoint_list_page,
+)
 from rosechute.control_plane.endpoint_list_reader import INTERVAL_S, RETRY_S, EndpointListReader
 from rosechute.distribution.values import ListedServer
 
@@ -37,7 +42,7 @@
         self.call_s = 0.0
         self.now = 100.0
 
-    async def fetch(self, token: str | None) -> Result[Page, EndpointListError]:
+    async def fetch(self, token: str | None) -> Result[EndpointListPage, EndpointListError]:
         self.calls += 1
         self.now += self.call_s
         if self.broken:
@@ -46,7 +51,9 @@
             return Failure(EndpointListError("fetch", "10.0.0.1:1", "status 429"))
         number = int(token or 0)
         following = str(number + 1) if number + 1 < self.pages else None
-        return Success(Page((Instance(f"i-{number}", "s", f"10.0.0.{number}:1", cold_remaining_ms=500),), following))
+        return Success(
+            EndpointListPage((Instance(f"i-{number}", "s", f"10.0.0.{number}:1", cold_remaining_ms=500),), following)
+        )
 
     def held_term(self) -> int | None:
         if self.calls >= self.lease_ends_after_calls:
@@ -68,13 +75,13 @@
 
     async def test_all_pages_are_one_list(self) -> None:
         platform = FakePlatform(3)
-        await self.reader(platform).step()
+        await self.reader(platform).read_once()
         self.assertEqual([[server.id for server in each] for each in self.delivered], [["i-0", "i-1", "i-2"]])
 
     async def test_nothing_is_asked_without_the_lease(self) -> None:
         platform = FakePlatform()
         platform.lease_ends_after_calls = 0
-        self.assertEqual(await self.reader(platform).step(), 0.0)
+        self.assertEqual(await self.reader(platform).read_once(), 0.0)
         self.assertEqual((platform.calls, self.delivered), (0, []))
 
     async def test_it_waits_for_the_lease_and_reads_on_after_a_fault(self) -> None:
@@ -99,7 +106,7 @@
         for pages in (1, 2, 4):
             platform = FakePlatform(pages)
             platform.lease_ends_after_calls = 1
-            await self.reader(platform).step()
+            await self.reader(platform).read_once()
             self.assertEqual((platform.calls, self.delivered), (1, []))
 
     async def test_a_reading_that_began_in_an_earlier_term_does_not_count(self) -> None:
@@ -108,15 +115,15 @@
             platform = FakePlatform(pages)
             platform.next_term_after_calls = 1
             reader = self.reader(platform)
-            await reader.step()
+            await reader.read_once()
             self.assertEqual((platform.calls, self.delivered), (1, []))
-            await reader.step()
+            await reader.read_once()
             self.assertEqual(len(self.delivered.pop()), pages)
 
     async def test_a_failure_keeps_the_last_list_and_is_tried_again_soon(self) -> None:
         platform = FakePlatform()
         platform.failing = True
-        self.assertEqual(await self.reader(platform).step(), RETRY_S)
+        self.assertEqual(await self.reader(platform).read_once(), RETRY_S)
         self.assertEqual(self.delivered, [])
 
     async def test_calls_stay_within_the_share_of_the_rate(self) -> None:
@@ -126,22 +133,22 @@
             reader = self.reader(platform, rate)
             waited = 0.0
             for _ in range(50):
-                waited += await reader.step()
+                waited += await reader.read_once()
             self.assertLessEqual(platform.calls, 0.4 * rate * waited * 1.001, (pages, rate))
 
     async def test_the_interval_counts_from_the_start_of_a_reading(self) -> None:
         platform = FakePlatform(2)
         platform.call_s = 0.1
-        self.assertAlmostEqual(await self.reader(platform).step(), INTERVAL_S - 0.2)
+        self.assertAlmostEqual(await self.reader(platform).read_once(), INTERVAL_S - 0.2)
 
     async def test_a_reading_that_took_longer_than_the_interval_is_followed_at_once(self) -> None:
         platform = FakePlatform()
         platform.call_s = 2 * INTERVAL_S
-        self.assertEqual(await self.reader(platform).step(), 0.0)
+        self.assertEqual(await self.reader(platform).read_once(), 0.0)
 
     async def test_a_platform_that_tells_no_rate_is_asked_seldom(self) -> None:
-        wait = await self.reader(FakePlatform(), 0.0).step()
-        self.assertAlmostEqual(wait, 1 / endpoint_list_reader.SLOWEST_RATE_PER_S)
+        wait = await self.reader(FakePlatform(), 0.0).read_once()
+        self.assertAlmostEqual(wait, 1 / endpoint_list_reader.MIN_RATE_PER_S)
 
     async def test_it_waits_for_each_lease_anew(self) -> None:
         """After a lease that was lost it does not look again and again for the next one."""
@@ -161,7 +168,7 @@
 
     async def test_the_rest_of_a_cold_start_is_kept_as_a_time(self) -> None:
         platform = FakePlatform()
-        await self.reader(platform).step()
+        await self.reader(platform).read_once()
         self.assertAlmostEqual(self.delivered[0][0].cold_until, platform.now + 0.5)
 
 
@@ -173,11 +180,13 @@
             json.dumps({"instances": [entry], "next_token": "p-50"}).encode(), "peer"
         ).unwrap()
         self.assertEqual(page.next_token, "p-50")
-        listed = page.instances[0].listed(5.0)
+        listed = page.instances[0].to_listed_server(5.0)
         self.assertEqual(listed, ListedServer("i-7", "s", "10.128.0.9:8080", "z", 64, False, 5.0))
 
     def test_a_rest_of_a_cold_start_below_zero_is_none(self) -> None:
-        self.assertEqual(Instance("i", "s", "10.0.0.1:1", cold_remaining_ms=-700).listed(5.0).cold_until, 5.0)
+        self.assertEqual(
+            Instance("i", "s", "10.0.0.1:1", cold_remaining_ms=-700).to_listed_server(5.0).cold_until, 5.0
+        )
 
     def test_what_is_no_page(self) -> None:
         for data in (b"", b"{", b"[]", b'{"instances": [{}]}', b'{"instances": 3}', b"\xff"):
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -130,7 +130,7 @@
         self.assertEqual((await self.read())[0], 503)
 
     async def test_an_answer_comes_where_the_chain_gives_none(self) -> None:
-        with mock.patch.multiple(operator_api, ANSWER_WITHIN_S=0.01, SHORTEST_WAIT_S=0.0):
+        with mock.patch.multiple(operator_api, RESPONSE_TIMEOUT_S=0.01, MIN_OUTCOME_TIMEOUT_S=0.0):
             self.assertEqual((await self.replace(body(7)))[0], 503)
             self.assertEqual((await self.read())[0], 503)
 
--- a/tests/fleet/test_control_worst_days.py
+++ b/tests/fleet/test_control_worst_days.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control_plane import core_machine
+from rosechute.control_plane import handover, record_loading
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.operator_api import BODY_LIMIT_BYTES
 from rosechute.coordination.types import MachineIdentity
@@ -76,7 +76,6 @@
         with tempfile.TemporaryDirectory() as path:
             store, _ = RecordStore.open(DiskDirectory(path)).unwrap()
             store.write_snapshot([b"record"]).unwrap()
-            machine: Any = CoreMachine(settings(path))
             tries = 0
             before = len(os.listdir("/proc/self/fd"))
 
@@ -87,10 +86,10 @@
                     raise OSError(errno.EIO, "Input/output error")
 
             with (
-                mock.patch.object(core_machine, "LOAD_RETRY_S", 0.0),
+                mock.patch.object(record_loading, "LOAD_RETRY_S", 0.0),
                 mock.patch("rosechute.storage.files.os.fdatasync", refuse),
             ):
-                _, saved = await machine._load()
+                _, saved = await record_loading.load_records_until_readable(path)
             self.assertEqual(saved, [b"record"])
             self.assertLess(len(os.listdir("/proc/self/fd")) - before, FAILED_LOADS // 2)
 
@@ -118,18 +117,18 @@
         machine._clock = clock
         runtime = SimpleNamespace(replica=Replica(), resign=mock.Mock())
         with (
-            mock.patch.object(core_machine, "FAREWELL_S", 0.0),
-            mock.patch.object(core_machine, "HAND_OVER_POLL_S", 0.0),
+            mock.patch.object(handover, "LINK_FLUSH_S", 0.0),
+            mock.patch.object(handover, "HANDOVER_POLL_S", 0.0),
         ):
-            await machine._hand_over(runtime)
+            await handover.hand_over(runtime, machine._clock)
         runtime.resign.assert_called_once_with()
         return looks * LOOK_S, asked
 
     async def test_it_ends_once_it_has_handed_over(self) -> None:
         took_s, asked = await self.leave(3)
         self.assertEqual(asked, 4)
-        self.assertLess(took_s, core_machine.HAND_OVER_WITHIN_S)
+        self.assertLess(took_s, handover.HANDOVER_TIMEOUT_S)
 
     async def test_it_ends_in_time_where_the_others_cannot_go_on(self) -> None:
         took_s, _ = await self.leave(10**6)
-        self.assertLess(took_s, core_machine.HAND_OVER_WITHIN_S + 0.1)
+        self.assertLess(took_s, handover.HANDOVER_TIMEOUT_S + 0.1)
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -55,13 +55,13 @@
 
 
 def lease_is_not_asked_before_an_answer() -> AbstractContextManager[Any]:
-    original = CoreMachine._inform_publisher
+    original = CoreMachine._refresh_publisher
 
     def inform(self: CoreMachine, now: float, replica: Any) -> None:
         with mock.patch.object(replica, "is_leader", lambda at: True):
             original(self, now, replica)
 
-    return mock.patch.object(CoreMachine, "_inform_publisher", inform)
+    return mock.patch.object(CoreMachine, "_refresh_publisher", inform)
 
 
 def reading_of_another_term_counts() -> AbstractContextManager[Any]:
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -21,7 +21,7 @@
 from msgspec import structs
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control_plane import core_machine, endpoint_list_client
+from rosechute.control_plane import core_machine, endpoint_list_client, handover, record_loading, replica_settings
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.core_report import CoreReport, build_core_report
 from rosechute.control_plane.endpoint_list_client import EndpointListClient
@@ -207,7 +207,7 @@
             (port,) = free_ports(1)
             other = LinkServer(f"127.0.0.1:{port}", lambda *message: received.append(message), closed.append)
             await other.start()
-            machine._send_core(f"127.0.0.1:{port}", CoreMessage(boot=3))
+            machine._links.send_to_core(f"127.0.0.1:{port}", CoreMessage(boot=3))
             await until(lambda: received)
             self.assertFalse(self.list_transport.is_closing())
             await machine.stop()
@@ -245,7 +245,7 @@
 
     def test_a_disk_that_cannot_be_read_is_tried_again(self) -> None:
         async def scene() -> None:
-            real, failed = core_machine.load_records, []
+            real, failed = record_loading.load_records, []
 
             async def load(folder: Any) -> Any:
                 if len(failed) < 2:
@@ -254,7 +254,7 @@
                         return await real(folder)
                 return await real(folder)
 
-            with mock.patch.object(core_machine, "load_records", load):
+            with mock.patch.object(record_loading, "load_records", load):
                 machine = await self.lead()
             self.assertEqual(len(failed), 2)
             self.assertGreater(failed[1] - failed[0], 0.1, "after a pause")
@@ -267,9 +267,9 @@
             machine: Any = CoreMachine(self.settings)
             received: list[CoreMessage] = []
             message = CoreMessage(boot=3)
-            machine._received(None, MessageKind.COORDINATION, message.SerializeToString())
+            machine._links._on_frame(None, MessageKind.COORDINATION, message.SerializeToString())
             machine._runtime = SimpleNamespace(receive=received.append)
-            machine._received(None, MessageKind.COORDINATION, message.SerializeToString())
+            machine._links._on_frame(None, MessageKind.COORDINATION, message.SerializeToString())
             self.assertEqual(received, [message])
 
         self.play(scene)
@@ -375,7 +375,7 @@
 
     def test_settings_of_the_replica(self) -> None:
         wanted = ReplicaConfig("core-a", "z", OWN.control_address, OWN.peer_address, True, SEEDS)
-        self.assertEqual(core_machine._replica_config(SETTINGS), wanted)
+        self.assertEqual(replica_settings.replica_config(SETTINGS), wanted)
 
     def test_other_settings(self) -> None:
         other = structs.replace(SETTINGS, cloud_api=CloudApi(address="10.0.0.8:80", rate_per_s=7.0))
@@ -425,16 +425,16 @@
     def test_a_message_after_a_freeze_finds_the_lease_ended(self) -> None:
         """The message is handled before the replica's next tick: the answer is none of a leader."""
         self.load()
-        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
+        self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         self.publisher.leadership_lost.assert_not_called()
         self.machine._clock = lambda: 9.5
-        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
+        self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         names = [name for name, _, _ in self.publisher.method_calls]
         self.assertLess(names.index("leadership_lost"), len(names) - 1 - names[::-1].index("receive"))
 
     def test_what_the_replica_knows_is_told_before_each_message_of_an_edge(self) -> None:
         self.load()
-        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
+        self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         core = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in (OWN, OTHER))
         self.assertEqual(
             self.publisher.method_calls,
@@ -445,10 +445,10 @@
                 mock.call.receive(9.0, "c", pb.Distribution()),
             ],
         )
-        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
+        self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         self.publisher.set_core_machines.assert_called_once_with(core)
         self.replica.core_machines = lambda: [OWN]
-        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
+        self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         self.assertEqual(self.publisher.set_core_machines.call_args, mock.call(core[:1]))
 
     def test_what_the_replica_does_not_know(self) -> None:
@@ -456,28 +456,28 @@
         self.replica.freshness = lambda now: None
         for leader in (None, OWN):
             self.replica.leader_hint = lambda leader=leader: leader
-            self.machine._inform_publisher(9.0, self.replica)
+            self.machine._refresh_publisher(9.0, self.replica)
             self.assertEqual(self.publisher.set_leader_address.call_args, mock.call(None))
         self.publisher.update_freshness.assert_not_called()
 
     def test_messages_go_to_the_part_of_their_kind(self) -> None:
-        self.machine._received("c", MessageKind.COORDINATION, CoreMessage(boot=3).SerializeToString())
-        self.machine._received("c", MessageKind.DISTRIBUTION, b"")
+        self.machine._links._on_frame("c", MessageKind.COORDINATION, CoreMessage(boot=3).SerializeToString())
+        self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         self.assertEqual(self.publisher.method_calls, [mock.call.receive(9.0, "c", pb.Distribution())])
         self.load()
-        self.machine._received("c", MessageKind.COORDINATION, CoreMessage(boot=3).SerializeToString())
+        self.machine._links._on_frame("c", MessageKind.COORDINATION, CoreMessage(boot=3).SerializeToString())
         self.machine._runtime.receive.assert_called_once_with(CoreMessage(boot=3))
         self.assertEqual(self.publisher.receive.call_count, 1)
 
     def test_answers_go_back_on_their_connection(self) -> None:
         connection = mock.Mock(spec=LinkConnection)
-        self.machine._pool = mock.Mock()
+        self.machine._links._pool = mock.Mock()
         message = pb.Distribution(renewed=pb.Renewed(request=4))
-        self.machine._send_all([SendMessage(connection, message)])
+        self.machine._links.send_to_edges([SendMessage(connection, message)])
         connection.send.assert_called_once_with(MessageKind.DISTRIBUTION, message.SerializeToString())
-        self.machine._pool.send.assert_not_called()
-        self.machine._send_all([SendMessage(DialedLink("10.0.0.2:7501"), message)])
-        self.machine._pool.send.assert_called_once_with(
+        self.machine._links._pool.send.assert_not_called()
+        self.machine._links.send_to_edges([SendMessage(DialedLink("10.0.0.2:7501"), message)])
+        self.machine._links._pool.send.assert_called_once_with(
             "10.0.0.2:7501", MessageKind.DISTRIBUTION, message.SerializeToString()
         )
 
@@ -510,7 +510,7 @@
                     return loop.time() - began >= handed_over_after_s
 
             runtime = SimpleNamespace(replica=Replica(), resign=mock.Mock())
-            await self.machine._hand_over(runtime)
+            await handover.hand_over(runtime, self.machine._clock)
             runtime.resign.assert_called_once_with()
             took.append(loop.time() - began)
 
@@ -521,7 +521,7 @@
         self.assertTrue(0.3 <= self.hand_over_s(0.3) < 0.5)
 
     def test_it_ends_where_nobody_can_go_on_without_it(self) -> None:
-        within = core_machine.HAND_OVER_WITHIN_S
+        within = handover.HANDOVER_TIMEOUT_S
         self.assertTrue(within <= self.hand_over_s(60.0) < within + 0.2)
 
     def test_its_last_messages_have_time_to_leave(self) -> None:
@@ -575,8 +575,8 @@
 
             runner, client = await self.serve(instances)
             await client.fetch(None)
-            connector: Any = client._opened().connector
-            self.assertEqual((connector.limit, connector._keepalive_timeout), (1, endpoint_list_client.KEEP_OPEN_S))
+            connector: Any = client._open_session().connector
+            self.assertEqual((connector.limit, connector._keepalive_timeout), (1, endpoint_list_client.KEEP_ALIVE_S))
             self.assertFalse(transports[0].is_closing())
             await client.close()
             await until(transports[0].is_closing)
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -84,9 +84,9 @@
         self.assertGreater(quota_policy.MAX_LEASE_DEPTH_S, 1.0)
 
     def test_an_answer_comes_before_the_operator_moves_on(self) -> None:
-        self.assertLess(operator_api.ANSWER_WITHIN_S, 1.0)
-        self.assertGreater(operator_api.ANSWER_WITHIN_S, operator_api.SHORTEST_WAIT_S)
-        self.assertGreater(operator_api.SHORTEST_WAIT_S, 0.2)
+        self.assertLess(operator_api.RESPONSE_TIMEOUT_S, 1.0)
+        self.assertGreater(operator_api.RESPONSE_TIMEOUT_S, operator_api.MIN_OUTCOME_TIMEOUT_S)
+        self.assertGreater(operator_api.MIN_OUTCOME_TIMEOUT_S, 0.2)
         self.assertGreater(operator_api.RETRY_AFTER_S, 0.05)
 
 
@@ -693,10 +693,10 @@
             return runner.run(call())
 
     def test_the_answer_comes_in_time_and_leaves_time_for_the_outcome(self) -> None:
-        self.assertAlmostEqual(self.seconds_until_an_answer(0.0), operator_api.ANSWER_WITHIN_S, delta=0.01)
-        self.assertAlmostEqual(self.seconds_until_an_answer(0.2), operator_api.ANSWER_WITHIN_S, delta=0.01)
+        self.assertAlmostEqual(self.seconds_until_an_answer(0.0), operator_api.RESPONSE_TIMEOUT_S, delta=0.01)
+        self.assertAlmostEqual(self.seconds_until_an_answer(0.2), operator_api.RESPONSE_TIMEOUT_S, delta=0.01)
         late = self.seconds_until_an_answer(0.8)
-        self.assertAlmostEqual(late, 0.8 + operator_api.SHORTEST_WAIT_S, delta=0.01)
+        self.assertAlmostEqual(late, 0.8 + operator_api.MIN_OUTCOME_TIMEOUT_S, delta=0.01)
 
     def test_base_versions(self) -> None:
         for text in (None, "", "x", "-1", "1.5", "\u0661", str(2**63)):
@@ -764,7 +764,7 @@
         )
         untyped: Any = replica
         self.runtime = ReplicaRuntime(
-            untyped, self.records, lambda *send: self.sent.append(send), observer, lambda: 5.0, False
+            untyped, self.records, lambda *send: self.sent.append(send), observer, lambda: 5.0, snapshot_first=False
         )
 
     def called(self, *call: Any) -> list[core.Action]:
@@ -856,7 +856,7 @@
             self.assertEqual(first.result(), core.WriteAcknowledged(2))
             await asyncio.sleep(0)
             self.act(core.Reply(request, core.OutcomeUnknown()), core.Reply(99, core.OutcomeUnknown()))
-            self.assertEqual(self.runtime._waiting, {})
+            self.assertEqual(self.runtime._pending, {})
 
         asyncio.run(scene())
 
@@ -866,6 +866,6 @@
             answer.cancel()
             self.act(core.Reply(1, core.OutcomeUnknown()))
             await asyncio.sleep(0)
-            self.assertEqual(self.runtime._waiting, {})
+            self.assertEqual(self.runtime._pending, {})
 
         asyncio.run(scene())
--- a/tests/fleet/test_wire_contract.py
+++ b/tests/fleet/test_wire_contract.py
@@ -27,7 +27,7 @@
 from rosechute.control_plane.endpoint_list_client import EndpointListClient
 from rosechute.control_plane.operator_api import OperatorApi
 from rosechute.coordination import types as coordination
-from rosechute.data_plane.report import ClientsReport
+from rosechute.data_plane.client_statistics import ClientStatistics
 from rosechute.processes import edge
 from rosechute.processes.state import ProcessState
 from rosechute.routing.report import ServerReport, ServiceReport
@@ -98,18 +98,18 @@
         return await self.call("GET", "/config/read")
 
     async def test_acknowledged(self) -> None:
-        status, headers, body = await self.replace(coordination.Acknowledged(SAMPLE_VERSION))
+        status, headers, body = await self.replace(coordination.WriteAcknowledged(SAMPLE_VERSION))
         self.assertEqual((status, headers["Content-Type"]), (200, JSON_TYPE))
         self.assertEqual(body, {"config_version": SAMPLE_VERSION})
         self.assertEqual(self.core.writes, [(3, SAMPLE_VERSION, encode(configuration()))])
 
     async def test_another_version_is_current(self) -> None:
-        status, headers, body = await self.replace(coordination.Stale(9))
+        status, headers, body = await self.replace(coordination.VersionConflict(9))
         self.assertEqual((status, headers["Content-Type"]), (412, JSON_TYPE))
         self.assertEqual(body, {"error": "version 9 is current, not 3", "current_version": 9})
 
     async def test_version_not_above_the_current_one(self) -> None:
-        status, _, body = await self.replace(coordination.Stale(SAMPLE_VERSION), base=str(SAMPLE_VERSION))
+        status, _, body = await self.replace(coordination.VersionConflict(SAMPLE_VERSION), base=str(SAMPLE_VERSION))
         self.assertEqual(status, 400)
         error = "must be above 4, the current version"
         self.assertEqual(body, {"error": error, "place": "config_version", "current_version": 4})
@@ -118,12 +118,12 @@
         reason = "needs the version that the configuration builds on"
         for base in (None, "", "-1", "+1", "1.0", "x", "\u00b2", str(2**63)):
             with self.subTest(base=base):
-                status, headers, body = await self.replace(coordination.Acknowledged(4), base=base)
+                status, headers, body = await self.replace(coordination.WriteAcknowledged(4), base=base)
                 self.assertEqual((status, headers["Content-Type"]), (400, JSON_TYPE))
                 self.assertEqual(body, {"error": reason, "place": "X-Rosechute-Base-Version"})
         for base in ("0", str(2**63 - 1)):
             with self.subTest(base=base):
-                self.assertEqual((await self.replace(coordination.Acknowledged(4), base=base))[0], 200)
+                self.assertEqual((await self.replace(coordination.WriteAcknowledged(4), base=base))[0], 200)
 
     async def test_invalid_configurations_name_the_place(self) -> None:
         def changed(change: Any) -> bytes:
@@ -139,13 +139,13 @@
         }
         for data, place in cases.items():
             with self.subTest(place=place):
-                status, _, body = await self.replace(coordination.Acknowledged(4), data)
+                status, _, body = await self.replace(coordination.WriteAcknowledged(4), data)
                 self.assertEqual((status, body.get("place", "")), (400, place))
                 self.assertLessEqual(set(body), {"error", "place"})
         self.assertEqual(self.core.writes, [], "an invalid configuration is never proposed")
 
     async def test_redirects(self) -> None:
-        elsewhere = coordination.Elsewhere(OTHER_ADDRESS)
+        elsewhere = coordination.Redirect(OTHER_ADDRESS)
         status, headers, body = await self.replace(elsewhere)
         self.assertEqual((status, headers["Location"], body), (307, f"http://{OTHER_ADDRESS}/config/replace", None))
         status, headers, content = await self.read(elsewhere)
@@ -153,7 +153,7 @@
 
     async def test_outcome_unknown(self) -> None:
         body = {"error": "the core has not settled who answers this"}
-        for outcome in (coordination.Unsure(), coordination.Elsewhere(OWN_ADDRESS), coordination.Elsewhere("")):
+        for outcome in (coordination.OutcomeUnknown(), coordination.Redirect(OWN_ADDRESS), coordination.Redirect("")):
             with self.subTest(outcome=outcome):
                 status, headers, told = await self.replace(outcome)
                 self.assertEqual((status, headers["Retry-After"], told), (503, "0.2", body))
@@ -161,13 +161,13 @@
                 self.assertEqual((status, headers["Retry-After"], json.loads(content)), (503, "0.2", body))
 
     async def test_no_outcome_in_time(self) -> None:
-        with mock.patch.multiple(operator_api, ANSWER_WITHIN_S=0.01, SHORTEST_WAIT_S=0.0):
+        with mock.patch.multiple(operator_api, RESPONSE_TIMEOUT_S=0.01, MIN_OUTCOME_TIMEOUT_S=0.0):
             self.assertEqual((await self.replace(None))[0], 503)
             self.assertEqual((await self.read(None))[0], 503)
 
     async def test_read_returns_the_bytes_that_were_sent(self) -> None:
         data = b' {"config_version": 7,\n "odd":"spaces" } '
-        status, headers, content = await self.read(coordination.Configuration(3, 7, data, b""))
+        status, headers, content = await self.read(coordination.ReadResult(3, 7, data, b""))
         self.assertEqual((status, headers["Content-Type"], content), (200, JSON_TYPE, data))
 
     async def test_read_before_the_first_configuration(self) -> None:
@@ -187,7 +187,7 @@
 
     async def test_largest_body(self) -> None:
         at_most = encode(configuration()).ljust(BODY_LIMIT)
-        self.assertEqual((await self.replace(coordination.Acknowledged(4), at_most))[0], 200)
+        self.assertEqual((await self.replace(coordination.WriteAcknowledged(4), at_most))[0], 200)
         headers = {"X-Rosechute-Base-Version": "3"}
         status, _, _ = await self.call("POST", "/config/replace", data=at_most + b" ", headers=headers)
         self.assertEqual(status, 413)
@@ -256,7 +256,7 @@
 
     def test_sections_of_an_edge(self) -> None:
         keys = "ready config_version connections requests body_bytes body_bytes_most"
-        self.assertEqual(self.keys(ClientsReport), keys)
+        self.assertEqual(self.keys(ClientStatistics), keys)
         self.assertEqual(self.keys(ServiceReport), "waiting repeats_left servers")
         keys = "id address zone up budget limit in_flight trial backoff_ms latency_ms"
         self.assertEqual(self.keys(ServerReport), keys)
