--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -49,7 +49,7 @@
         context.heartbeat_due = False
         self.next_at = context.now + context.timing.heartbeat
         targets = self._targets()
-        heartbeat = self._heartbeat()
+        heartbeat = self._make_heartbeat()
         for target in targets.values():
             peer = context.failure_detector.peers.get(target.id)
             heartbeat.echo = peer.heartbeat.stamp if peer is not None else 0.0
@@ -97,7 +97,7 @@
             self._chain.on_committed(heartbeat.epoch, heartbeat.sequence)
         return peer
 
-    def _heartbeat(self) -> pb.Heartbeat:
+    def _make_heartbeat(self) -> pb.Heartbeat:
         """Return a heartbeat with the state of this machine; the echo is filled in for each target."""
         context = self._context
         replica_state = context.replica_state
--- a/rosechute/coordination/leader_lease.py
+++ b/rosechute/coordination/leader_lease.py
@@ -147,7 +147,7 @@
         if self.role is LeaseRole.CANDIDATE:
             self._become_leader()
 
-    def _known_rate_lease_holders(self) -> frozenset[str] | None:
+    def _known_rate_lease_owners(self) -> frozenset[str] | None:
         """Return the only edges that may hold rate leases of earlier terms, or None where these are not known."""
         persisted = self.context.replica_state.rate_lease_owners
         return persisted.edges if self._previous_term == persisted.term else None
@@ -180,7 +180,7 @@
     def _become_leader(self) -> None:
         self.role = LeaseRole.LEADER
         self.context.heartbeat_due = True
-        self.context.outbox.actions.append(LeadershipGained(self.term, self._known_rate_lease_holders()))
+        self.context.outbox.actions.append(LeadershipGained(self.term, self._known_rate_lease_owners()))
 
     def _become_follower(self) -> None:
         if self.role is LeaseRole.LEADER:
--- a/rosechute/coordination/lease_grantor.py
+++ b/rosechute/coordination/lease_grantor.py
@@ -18,6 +18,7 @@
 
 from dataclasses import dataclass
 from functools import partial
+from typing import NamedTuple
 
 from rosechute.coordination.context import Context
 from rosechute.coordination.types import MachineIdentity
@@ -25,6 +26,13 @@
 from rosechute.messages import coordination_pb2 as pb
 
 
+class _SyncedTerm(NamedTuple):
+    """Newest term that this process has synced, and the number of the term before it."""
+
+    term: LeaderTerm
+    previous_number: int
+
+
 @dataclass(slots=True)
 class LeaseGrantor:
     """The grants of this machine.
@@ -42,7 +50,7 @@
     granted_term: LeaderTerm = LeaderTerm()
     granted_until: float = 0.0
     restored_grantee: str = ""
-    _previous: tuple[LeaderTerm, int] = (LeaderTerm(), 0)  # newest term this process synced, number of the one before
+    _synced: _SyncedTerm = _SyncedTerm(LeaderTerm(), 0)
     _record_number: int = 0  # of the newest record with a term or a grantee
 
     def is_free(self) -> bool:
@@ -76,7 +84,7 @@
         if context.replica_state.grantee != sender.id:
             self._save_grantee(sender, request)
         if not request.renewal and requested != context.replica_state.term:
-            self._previous = requested, context.replica_state.term.number
+            self._synced = _SyncedTerm(requested, context.replica_state.term.number)
             self._write_record(pb.Record(term=requested.to_message()))
         context.record_writer.call_when_synced(self._record_number, partial(self._grant, sender, request, requested))
 
@@ -124,7 +132,7 @@
             term=request.term,
             stamp=request.stamp,
             boot=requested.incarnation,
-            previous=self._previous[1] if self._previous[0] == requested else request.term,
+            previous=self._synced.previous_number if self._synced.term == requested else request.term,
         )
         context.outbox.send(sender, pb.CoreMessage(lease_grant=grant))
 
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -65,7 +65,7 @@
 
 def _remove_surplus(view: View, status: ClusterStatus) -> View | None:
     """Return the view without one surplus acceptor that is leaving or silent, or None."""
-    if len(view.acceptors) <= view.size:
+    if len(view.acceptors) <= view.target_size:
         return None
     leaving = next((acceptor for acceptor in view.acceptors if acceptor.id in status.leaving_ids), None)
     if leaving is not None:  # so that no majority depends on it, neither now nor once it has ended
@@ -100,10 +100,10 @@
     most_silent = _most_silent(view, status)
     if not candidate.is_newcomer and status.silence_s(most_silent.id) >= status.remove_after_s:
         return _replace_acceptor(view, most_silent, identity)
-    grown = replace(view, acceptors=(*view.acceptors, identity), size=view.size + candidate.is_newcomer)
+    grown = replace(view, acceptors=(*view.acceptors, identity), target_size=view.target_size + candidate.is_newcomer)
     if status.granting_acceptors < grown.majority:
         return None  # a new acceptor grants nothing at first, so the leader would lose its lease
-    return grown if candidate.is_newcomer or len(view.acceptors) <= view.size else None
+    return grown if candidate.is_newcomer or len(view.acceptors) <= view.target_size else None
 
 
 def _with_chain(view: View, status: ClusterStatus) -> View | None:
--- a/rosechute/coordination/record_writer.py
+++ b/rosechute/coordination/record_writer.py
@@ -13,6 +13,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from rosechute.coordination.replica_state import ReplicaState
 from rosechute.coordination.types import PersistRecords, Timing
@@ -29,6 +30,13 @@
     is_probe: bool  # written only to see whether the disk works
 
 
+class _Callback(NamedTuple):
+    """What to call once all records up to a number are synced."""
+
+    number: int
+    call: Callable[[], None]
+
+
 @dataclass(slots=True)
 class RecordWriter:
     """Records on their way to the disk. Times are of the machine's steady clock, in seconds.
@@ -56,7 +64,7 @@
     _deferred: pb.Record | None = None  # written together with the next record, without a sync of its own
     _is_probe_unwritten: bool = False
     _batches: deque[_Batch] = field(default_factory=deque)  # in flight, oldest first
-    _callbacks: deque[tuple[int, Callable[[], None]]] = field(default_factory=deque)  # with the number waited for
+    _callbacks: deque[_Callback] = field(default_factory=deque)
 
     def write(self, record: pb.Record, callback: Callable[[], None] | None = None) -> None:
         """Apply a record to the state and queue it for the disk.
@@ -85,7 +93,7 @@
         if number <= self.synced_number:
             callback()
         else:
-            self._callbacks.append((number, callback))
+            self._callbacks.append(_Callback(number, callback))
 
     def flush(self, now: float) -> PersistRecords | None:
         """Return the next batch to write, or None where there is nothing to write."""
@@ -143,8 +151,8 @@
         if batch.is_probe and now - batch.started_at <= self.timing.disk_healthy:
             self.is_suspect = False
         self.synced_number = max(self.synced_number, batch.last_number)
-        while self._callbacks and self._callbacks[0][0] <= self.synced_number:
-            self._callbacks.popleft()[1]()
+        while self._callbacks and self._callbacks[0].number <= self.synced_number:
+            self._callbacks.popleft().call()
 
     def on_persist_failed(self, now: float, token: int) -> None:
         """Discard all batches in flight, as the disk refused the one of this token."""
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -230,7 +230,7 @@
     def is_handed_over(self) -> bool:
         """Whether the newest view counts on this machine no more: it is out of the chain, and no surplus acceptor."""
         view = self.view
-        surplus = len(view.acceptors) > view.size
+        surplus = len(view.acceptors) > view.target_size
         return self.identity.id not in view.chain and not (surplus and view.is_acceptor(self.identity.id))
 
     def freshness(self, now: float) -> tuple[int, float] | None:
--- a/rosechute/coordination/views.py
+++ b/rosechute/coordination/views.py
@@ -120,7 +120,7 @@
         epoch: number of the view; 0 where no view is known.
         acceptors: machines that vote on the next view and grant the leader lease.
         chain: ids of the replicas in chain order, head first.
-        size: target number of acceptors; `acceptors` may exceed it while a machine is being replaced.
+        target_size: target number of acceptors; `acceptors` may exceed it while a machine is being replaced.
         base_tag: tag of the register state that the view started from.
         term: newest leader term among the promises by which the view was decided.
     """
@@ -128,7 +128,7 @@
     epoch: int = 0
     acceptors: tuple[MachineIdentity, ...] = ()
     chain: tuple[str, ...] = ()
-    size: int = 0
+    target_size: int = 0
     base_tag: StateTag = StateTag(0, 0)
     term: LeaderTerm = LeaderTerm()
 
@@ -173,7 +173,7 @@
             epoch=self.epoch,
             acceptors=[identity_to_message(acceptor) for acceptor in self.acceptors],
             chain=self.chain,
-            size=self.size,
+            size=self.target_size,
             base_epoch=self.base_tag.epoch,
             base_sequence=self.base_tag.sequence,
             term=self.term.to_message(),
--- a/tests/fleet/coordination_parts.py
+++ b/tests/fleet/coordination_parts.py
@@ -42,9 +42,11 @@
     return MachineIdentity(name, f"name-{name}", f"zone-{name}", f"{name}:8367", f"{name}:7500")
 
 
-def view(members: str = "abc", epoch: int = EPOCH, chain: str | None = None, **fields: Any) -> View:
+def view(
+    members: str = "abc", epoch: int = EPOCH, chain: str | None = None, size: int | None = None, **fields: Any
+) -> View:
     """A view whose acceptors have ids of one letter."""
-    fields.setdefault("size", len(members))
+    fields["target_size"] = len(members) if size is None else size
     fields.setdefault("base_tag", StateTag(epoch, 0))
     return View(epoch, tuple(map(identity, members)), tuple(members if chain is None else chain), **fields)
 
--- a/tests/fleet/test_coordination_snapshots.py
+++ b/tests/fleet/test_coordination_snapshots.py
@@ -200,7 +200,9 @@
     cluster.world.network.heal()
     cluster.run(4.0)
     view = cluster.newest_view()
-    require(view.size == len(view.acceptors) == len(cluster.machines), f"the core did not grow: {view.size}")
+    require(
+        view.target_size == len(view.acceptors) == len(cluster.machines), f"the core did not grow: {view.target_size}"
+    )
 
 
 def member_silent_after_a_restart(cluster: Cluster) -> None:
--- a/tests/fleet/test_coordination_worst_planted.py
+++ b/tests/fleet/test_coordination_worst_planted.py
@@ -167,7 +167,7 @@
 def _grant_whatever_the_epoch(
     self: lease_grantor.LeaseGrantor, sender: Any, request: pb.LeaseRequest, asked: Any
 ) -> None:
-    grant = pb.LeaseGrant(epoch=request.epoch, term=request.term, stamp=request.stamp, boot=asked.boot)
+    grant = pb.LeaseGrant(epoch=request.epoch, term=request.term, stamp=request.stamp, boot=asked.incarnation)
     self.context.outbox.send(sender, pb.CoreMessage(lease_grant=grant))
 
 
--- a/tests/fleet/test_planted_coordination_acceptor.py
+++ b/tests/fleet/test_planted_coordination_acceptor.py
@@ -12,7 +12,7 @@
 
 
 class AcceptorTest(unittest.TestCase):
-    """The acceptor of Paxos: a ballot below the promised one gets nothing, and nothing is said before its sync."""
+    """The acceptor of Paxos: a ballot below the promised one gets a nack, and nothing is sent before its sync."""
 
     def setUp(self) -> None:
         self.parts = Parts()
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -683,7 +683,7 @@
         self.assertEqual(self.needed(usable="abcn", joiners=[joiner]), ("abcn", "abcn"))
         found = next_view_if_needed(view(), self.situation("abcn", joiners=[joiner]))
         assert found is not None
-        self.assertEqual(found.size, 4)
+        self.assertEqual(found.target_size, 4)
         self.assertEqual(self.needed("abcd", usable="abcdn", joiners=[joiner]), ("abcdn", "abcdn"))
 
     def test_a_newcomer_replaces_nobody(self) -> None:
@@ -695,7 +695,7 @@
         self.assertEqual(self.needed(usable="abcn", joiners=[joiner]), ("abcn", "abcn"))
         found = next_view_if_needed(view(), self.situation("abcn", joiners=[joiner]))
         assert found is not None
-        self.assertEqual(found.size, 3)
+        self.assertEqual(found.target_size, 3)
         self.assertIsNone(self.needed("abcd", usable="abcdn", joiners=[joiner]))
 
     def test_does_not_grow_where_the_leader_would_lose_its_lease(self) -> None:
--- a/tests/fleet/test_planted_coordination_epoch_confirmer.py
+++ b/tests/fleet/test_planted_coordination_epoch_confirmer.py
@@ -20,10 +20,10 @@
     def setUp(self) -> None:
         self.parts = Parts()
         self.confirmer = EpochConfirmer(self.parts.context)
-        self.told: list[bool] = []
+        self.results: list[bool] = []
 
     def ask(self, since: float = NOW) -> int:
-        self.confirmer.confirm_epoch(self.told.append, since)
+        self.confirmer.confirm_epoch(self.results.append, since)
         (question, *_) = self.parts.sent("confirm")
         self.assertEqual(question.epoch, EPOCH)
         return int(question.round)
@@ -32,17 +32,17 @@
         self.confirmer.on_confirmed(identity(sender), pb.Confirmed(epoch=epoch, round=number))
 
     def test_prepare_is_sent_to_all_acceptors(self) -> None:
-        self.confirmer.confirm_epoch(self.told.append, NOW)
+        self.confirmer.confirm_epoch(self.results.append, NOW)
         self.assertEqual(sorted(self.parts.sent_to("confirm")), ["a", "b", "c"])
 
     def test_majority_confirms_once(self) -> None:
         number = self.ask()
         self.confirm("b", number)
         self.confirm("b", number)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
         self.confirm("c", number)
         self.confirm("a", number)
-        self.assertEqual(self.told, [True])
+        self.assertEqual(self.results, [True])
 
     def test_confirmations_that_do_not_count(self) -> None:
         number = self.ask()
@@ -51,14 +51,14 @@
         self.confirm("b", number - 1)
         self.confirm("b", number, EPOCH - 1)
         self.confirm("b", number, EPOCH + 1)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
 
     def test_each_question_has_its_own_confirmations(self) -> None:
         first, second = self.ask(), self.ask()
         self.assertNotEqual(first, second)
         self.confirm("a", first)
         self.confirm("b", second)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
 
     def test_questions_of_an_earlier_process_have_other_numbers(self) -> None:
         self.assertEqual(self.ask(), 2**47 + 1)
@@ -68,35 +68,35 @@
         self.parts.seal()
         self.confirm("b", number)
         self.confirm("c", number)
-        self.assertEqual(self.told, [False])
+        self.assertEqual(self.results, [False])
 
     def test_not_confirmed_in_another_epoch(self) -> None:
         number = self.ask()
         self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.confirm("b", number)
         self.confirm("c", number)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
         self.confirmer.reject_all()
-        self.assertEqual(self.told, [False])
+        self.assertEqual(self.results, [False])
         self.confirmer.reject_all()
-        self.assertEqual(self.told, [False])
+        self.assertEqual(self.results, [False])
 
     def test_too_late(self) -> None:
         self.ask(NOW - 0.5)
         self.parts.pass_time(TIMING.order_deadline - 0.5 - 0.01)
         self.confirmer.tick()
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
         self.parts.pass_time(0.02)
         self.confirmer.tick()
         self.confirmer.tick()
-        self.assertEqual(self.told, [False])
+        self.assertEqual(self.results, [False])
 
     def test_too_late_by_answers_that_came_while_this_process_stood_still(self) -> None:
         number = self.ask()
         self.confirm("b", number)
         self.parts.pass_time(TIMING.order_deadline + 0.01)
         self.confirm("c", number)
-        self.assertEqual(self.told, [False])
+        self.assertEqual(self.results, [False])
 
     def test_asks_those_again_that_have_not_answered(self) -> None:
         number = self.ask()
--- a/tests/fleet/test_planted_coordination_failure_detector.py
+++ b/tests/fleet/test_planted_coordination_failure_detector.py
@@ -14,7 +14,7 @@
 
 
 class FailureDetectorTest(unittest.TestCase):
-    """A machine is healthy while it answers recent heartbeats; late words of an earlier process change nothing."""
+    """A machine is healthy while it echoes recent heartbeats; outdated ones are ignored."""
 
     def setUp(self) -> None:
         self.parts = Parts()
--- a/tests/fleet/test_planted_coordination_heartbeats.py
+++ b/tests/fleet/test_planted_coordination_heartbeats.py
@@ -19,19 +19,19 @@
 
 
 class HeartbeatsTest(unittest.TestCase):
-    """What a machine tells the others, and whom."""
+    """Content and targets of heartbeats, and the effect of received ones."""
 
     def setUp(self) -> None:
         self.make(Parts())
 
     def make(self, parts: Parts) -> None:
         self.parts = parts
-        self.grantor = LeaseGrantor(parts.context, NOW - 1.0)
-        self.holder = LeaderLease(parts.context, self.grantor)
-        self.told: list[int] = []
-        self.chain = Chain(parts.context, EpochConfirmer(parts.context), lambda: self.told.append(1))
+        self.lease_grantor = LeaseGrantor(parts.context, NOW - 1.0)
+        self.leader_lease = LeaderLease(parts.context, self.lease_grantor)
+        self.commits: list[int] = []
+        self.chain = Chain(parts.context, EpochConfirmer(parts.context), lambda: self.commits.append(1))
         seeds = [("s:8367", "s:7500"), ("b:8367", "b:7500")]
-        self.heartbeats = Heartbeats(parts.context, self.chain, self.grantor, self.holder, seeds)
+        self.heartbeats = Heartbeats(parts.context, self.chain, self.lease_grantor, self.leader_lease, seeds)
 
     def beats(self) -> dict[str, Any]:
         self.heartbeats.send()
@@ -72,15 +72,15 @@
 
     def test_leader_reports_its_term(self) -> None:
         self.parts.replica_state.term = term(4)
-        self.holder.role, self.holder.term, self.holder.valid_until = LeaseRole.LEADER, 9, NOW + 1.0
+        self.leader_lease.role, self.leader_lease.term, self.leader_lease.valid_until = LeaseRole.LEADER, 9, NOW + 1.0
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.term, beat.leads), (9, True))
-        self.holder.valid_until = NOW
+        self.leader_lease.valid_until = NOW
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.term, beat.leads), (4, False))
 
     def test_reports_for_whom_the_lease_is_reserved(self) -> None:
-        self.grantor.granted_until, self.grantor.granted_term = NOW + 1.0, term(1, "c")
+        self.lease_grantor.granted_until, self.lease_grantor.granted_term = NOW + 1.0, term(1, "c")
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.lease_free, beat.lease_kept_for), (False, "c"))
 
--- a/tests/fleet/test_planted_coordination_leader_lease.py
+++ b/tests/fleet/test_planted_coordination_leader_lease.py
@@ -17,20 +17,20 @@
 
 
 class LeaderLeaseTest(unittest.TestCase):
-    """The holder counts from the moment when it asked a majority, and stops a margin earlier."""
+    """A lease counts from the request that a majority has granted, and ends a margin earlier."""
 
     def setUp(self) -> None:
         self.parts = Parts()
         self.grantor = LeaseGrantor(self.parts.context, NOW - 1.0)
-        self.holder = LeaderLease(self.parts.context, self.grantor)
+        self.lease = LeaderLease(self.parts.context, self.grantor)
 
     def grant(self, sender: str, stamp: float | None = None, **fields: Any) -> None:
-        known: dict[str, Any] = {"epoch": EPOCH, "term": self.holder.term, "boot": OWN_INCARNATION}
+        known: dict[str, Any] = {"epoch": EPOCH, "term": self.lease.term, "boot": OWN_INCARNATION}
         message = pb.LeaseGrant(stamp=NOW if stamp is None else stamp, **(known | fields))
-        self.holder.on_grant(identity(sender), message)
+        self.lease.on_grant(identity(sender), message)
 
     def lead(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         for each in "abc":
             self.grant(each)
         self.parts.actions()
@@ -38,8 +38,8 @@
     def test_candidate_requests_from_all_acceptors_under_a_new_term(self) -> None:
         self.parts.replica_state.term = term(3)
         self.parts.hear("c", term=6)
-        self.holder.tick()
-        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
+        self.lease.tick()
+        self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
         requests = self.parts.messages("lease_request")
         self.assertEqual([to for to, _ in requests], ["b", "c", "a"])
         for _, each in requests:
@@ -47,21 +47,21 @@
 
     def test_terms_rise(self) -> None:
         self.parts.replica_state.term = term(3)
-        self.holder.tick()
-        self.assertEqual(self.holder.term, 4)
-        self.holder.release()
-        self.holder.tick()
-        self.assertEqual(self.holder.term, 5)
+        self.lease.tick()
+        self.assertEqual(self.lease.term, 4)
+        self.lease.release()
+        self.lease.tick()
+        self.assertEqual(self.lease.term, 5)
 
     def test_leader_by_a_majority_of_grants(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.grant("b")
         self.grant("b")
-        self.assertFalse(self.holder.is_held(NOW))
+        self.assertFalse(self.lease.is_held(NOW))
         self.parts.actions()
         self.grant("c")
-        self.assertTrue(self.holder.is_held(NOW))
-        self.assertEqual(self.parts.actions(), [LeadershipGained(self.holder.term, frozenset())])
+        self.assertTrue(self.lease.is_held(NOW))
+        self.assertEqual(self.parts.actions(), [LeadershipGained(self.lease.term, frozenset())])
         self.assertTrue(self.parts.context.heartbeat_due)
         self.grant("a")
         self.assertEqual(self.parts.actions(), [], "gained once")
@@ -70,137 +70,137 @@
         self.parts.replica_state.rate_lease_owners = RateLeaseOwners(3, frozenset("x"))
         for previous, known in (((3, 2), frozenset("x")), ((2, 3), frozenset("x")), ((2, 2), None), ((3, 4), None)):
             with self.subTest(previous=previous):
-                self.parts.replica_state.term = term(self.holder.term + 1)
-                self.holder.tick()
+                self.parts.replica_state.term = term(self.lease.term + 1)
+                self.lease.tick()
                 for acceptor, number in zip("bc", previous, strict=True):
                     grant = pb.LeaseGrant(
-                        epoch=EPOCH, term=self.holder.term, stamp=NOW, boot=OWN_INCARNATION, previous=number
+                        epoch=EPOCH, term=self.lease.term, stamp=NOW, boot=OWN_INCARNATION, previous=number
                     )
-                    self.holder.on_grant(identity(acceptor), grant)
+                    self.lease.on_grant(identity(acceptor), grant)
                 gained = [each for each in self.parts.actions() if isinstance(each, LeadershipGained)]
-                self.assertEqual(gained, [LeadershipGained(self.holder.term, known)])
-                self.holder.release()
-                self.holder.next_candidacy_at = 0.0
+                self.assertEqual(gained, [LeadershipGained(self.lease.term, known)])
+                self.lease.release()
+                self.lease.next_candidacy_at = 0.0
 
     def test_lease_counts_from_the_oldest_request_of_a_majority(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.grant("a", NOW)
         self.grant("b", NOW - 0.4)
-        self.assertEqual(self.holder.valid_until, NOW - 0.4 + TIMING.lease - TIMING.lease_margin)
+        self.assertEqual(self.lease.valid_until, NOW - 0.4 + TIMING.lease - TIMING.lease_margin)
         self.grant("c", NOW - 0.3)
-        self.assertEqual(self.holder.valid_until, NOW - 0.3 + TIMING.lease - TIMING.lease_margin)
+        self.assertEqual(self.lease.valid_until, NOW - 0.3 + TIMING.lease - TIMING.lease_margin)
 
     def test_grants_with_old_stamps_do_not_shorten_the_lease(self) -> None:
         self.lead()
-        until = self.holder.valid_until
+        until = self.lease.valid_until
         for each in "abc":
             self.grant(each, NOW - 0.9)
-        self.assertEqual(self.holder.valid_until, until)
-        self.assertEqual(self.holder.count_granting_acceptors(), 3)
+        self.assertEqual(self.lease.valid_until, until)
+        self.assertEqual(self.lease.count_granting_acceptors(), 3)
         self.parts.replica_state.view = view(epoch=EPOCH + 1)
         for each in "abc":
             self.grant(each, NOW - 0.5, epoch=EPOCH + 1)
-        self.assertEqual(self.holder.valid_until, until)
+        self.assertEqual(self.lease.valid_until, until)
 
     def test_late_grants_do_not_make_a_leader(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.parts.pass_time(TIMING.lease - TIMING.lease_margin)
         self.grant("a")
         self.grant("b")
-        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
+        self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
 
     def test_mismatching_grants_are_ignored(self) -> None:
         self.grant("b")
         self.grant("c")
-        self.assertEqual((self.holder.role, self.holder.valid_until), (LeaseRole.FOLLOWER, 0.0))
-        self.holder.tick()
+        self.assertEqual((self.lease.role, self.lease.valid_until), (LeaseRole.FOLLOWER, 0.0))
+        self.lease.tick()
         self.grant("a")
-        for fields in ({"term": self.holder.term - 1}, {"epoch": EPOCH - 1}, {"boot": OWN_INCARNATION + 1}):
+        for fields in ({"term": self.lease.term - 1}, {"epoch": EPOCH - 1}, {"boot": OWN_INCARNATION + 1}):
             self.grant("b", **fields)
         self.grant("z")
-        self.assertFalse(self.holder.is_held(NOW))
+        self.assertFalse(self.lease.is_held(NOW))
 
     def test_grants_of_an_epoch_do_not_count_in_the_next(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.grant("a")
         self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.grant("b", epoch=EPOCH + 1)
-        self.assertFalse(self.holder.is_held(NOW))
+        self.assertFalse(self.lease.is_held(NOW))
         self.grant("c", epoch=EPOCH + 1)
-        self.assertTrue(self.holder.is_held(NOW))
+        self.assertTrue(self.lease.is_held(NOW))
 
     def test_lease_expires_by_the_own_clock(self) -> None:
         self.lead()
         end = NOW + TIMING.lease - TIMING.lease_margin
-        self.assertTrue(self.holder.is_held(end - 0.01))
-        self.assertFalse(self.holder.is_held(end + 0.01))
+        self.assertTrue(self.lease.is_held(end - 0.01))
+        self.assertFalse(self.lease.is_held(end + 0.01))
         self.parts.pass_time(TIMING.lease - TIMING.lease_margin - 0.01)
-        self.holder.expire()
+        self.lease.expire()
         self.assertEqual(self.parts.actions(), [])
         self.parts.pass_time(0.02)
-        self.holder.expire()
-        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
+        self.lease.expire()
+        self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
         self.assertEqual(self.parts.actions(), [LeadershipLost()])
-        self.holder.expire()
+        self.lease.expire()
         self.assertEqual(self.parts.actions(), [])
-        self.assertFalse(self.holder.is_held(NOW))
+        self.assertFalse(self.lease.is_held(NOW))
 
     def test_expiry_makes_a_heartbeat_due(self) -> None:
         self.lead()
         self.parts.context.heartbeat_due = False
         self.parts.pass_time(2.0)
-        self.holder.expire()
+        self.lease.expire()
         self.assertTrue(self.parts.context.heartbeat_due)
 
     def test_a_candidate_does_not_expire(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.parts.pass_time(0.3)
-        self.holder.expire()
-        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
+        self.lease.expire()
+        self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
 
     def test_leader_renews_periodically(self) -> None:
         self.lead()
         self.parts.pass_time(TIMING.renew - 0.01, hearing="bc")
-        self.holder.tick()
+        self.lease.tick()
         self.assertEqual(self.parts.sent("lease_request"), [])
         self.parts.pass_time(0.02)
-        self.holder.tick()
-        self.holder.tick()
+        self.lease.tick()
+        self.lease.tick()
         requests = self.parts.sent("lease_request")
         asked = [(each.renewal, each.stamp, each.term) for each in requests]
         self.assertEqual(asked, [(True, self.parts.now, 1)] * 3)
 
     def test_candidate_resends_and_then_backs_off(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.parts.actions()
-        self.holder.tick()
+        self.lease.tick()
         self.assertEqual(self.parts.sent("lease_request"), [])
         self.parts.pass_time(TIMING.resend, hearing="bc")
-        self.holder.tick()
+        self.lease.tick()
         self.assertEqual(len(self.parts.sent("lease_request")), 3)
         self.parts.pass_time(TIMING.candidate_timeout - TIMING.resend + 0.01, hearing="bc")
-        self.holder.tick()
-        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
+        self.lease.tick()
+        self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
         self.assertEqual([each.term for each in self.parts.sent("lease_release")], [1, 1, 1])
-        self.assertEqual(self.holder.next_candidacy_at, self.parts.now + TIMING.candidate_step * 2.5)
-        self.holder.tick()
-        self.assertIs(self.holder.role, LeaseRole.FOLLOWER, "not at once again")
+        self.assertEqual(self.lease.next_candidacy_at, self.parts.now + TIMING.candidate_step * 2.5)
+        self.lease.tick()
+        self.assertIs(self.lease.role, LeaseRole.FOLLOWER, "not at once again")
         self.parts.pass_time(TIMING.candidate_step * 2.5, hearing="bc")
-        self.holder.tick()
-        self.assertEqual((self.holder.role, self.holder.term), (LeaseRole.CANDIDATE, 2))
+        self.lease.tick()
+        self.assertEqual((self.lease.role, self.lease.term), (LeaseRole.CANDIDATE, 2))
 
     def test_release_is_sent_to_all_acceptors(self) -> None:
-        self.holder.release()
+        self.lease.release()
         self.assertEqual(self.parts.sent("lease_release"), [])
         self.lead()
-        self.holder.release()
-        self.assertFalse(self.holder.is_held(NOW))
+        self.lease.release()
+        self.assertFalse(self.lease.is_held(NOW))
         self.assertEqual(sorted(self.parts.sent_to("lease_release")), ["a", "b", "c"])
 
     def test_candidate_loses_no_leadership(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.parts.actions()
-        self.holder.release()
+        self.lease.release()
         self.assertNotIn(LeadershipLost(), self.parts.actions())
 
     def test_leadership_ends_outside_of_the_chain_or_with_a_failed_disk(self) -> None:
@@ -211,62 +211,62 @@
                 self.parts.replica_state.view = view(chain="bc")
             else:
                 self.parts.disk.is_suspect = True
-            self.holder.tick()
-            self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
-            self.holder.tick()
-            self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
+            self.lease.tick()
+            self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
+            self.lease.tick()
+            self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
 
     def test_no_candidate_before_a_majority_would_grant(self) -> None:
         self.parts.hear("b", lease_free=False)
         self.parts.hear("c", lease_free=False)
-        self.holder.tick()
-        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
+        self.lease.tick()
+        self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
         self.parts.hear("c")
-        self.holder.tick()
-        self.assertIs(self.holder.role, LeaseRole.CANDIDATE)
+        self.lease.tick()
+        self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
 
     def test_no_candidate_in_a_sealed_epoch(self) -> None:
         self.parts.seal()
-        self.holder.tick()
-        self.assertIs(self.holder.role, LeaseRole.FOLLOWER)
+        self.lease.tick()
+        self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
 
     def test_candidates_wait_by_their_chain_position(self) -> None:
         parts = Parts("c")
-        holder = LeaderLease(parts.context, LeaseGrantor(parts.context, NOW - 1.0))
+        lease = LeaderLease(parts.context, LeaseGrantor(parts.context, NOW - 1.0))
         for each in "ab":
             parts.hear(each, lease_free=False)
-        holder.tick()
-        self.assertEqual(holder.next_candidacy_at, NOW + 2 * TIMING.candidate_step)
+        lease.tick()
+        self.assertEqual(lease.next_candidacy_at, NOW + 2 * TIMING.candidate_step)
         for each in "ab":
             parts.hear(each)
-        holder.tick()
-        self.assertIs(holder.role, LeaseRole.FOLLOWER)
+        lease.tick()
+        self.assertIs(lease.role, LeaseRole.FOLLOWER)
         parts.pass_time(2 * TIMING.candidate_step, hearing="ab")
-        holder.tick()
-        self.assertIs(holder.role, LeaseRole.CANDIDATE)
+        lease.tick()
+        self.assertIs(lease.role, LeaseRole.CANDIDATE)
 
     def test_candidacy_delay_is_not_shortened(self) -> None:
-        self.holder.next_candidacy_at = NOW + 9.0
+        self.lease.next_candidacy_at = NOW + 9.0
         self.parts.seal()
-        self.holder.tick()
-        self.assertEqual(self.holder.next_candidacy_at, NOW + 9.0)
+        self.lease.tick()
+        self.assertEqual(self.lease.next_candidacy_at, NOW + 9.0)
 
     def test_grants_of_an_earlier_candidacy_are_ignored(self) -> None:
-        self.holder.tick()
+        self.lease.tick()
         self.grant("b")
-        self.holder.release()
-        self.holder.tick()
+        self.lease.release()
+        self.lease.tick()
         self.grant("a")
-        self.assertFalse(self.holder.is_held(NOW))
+        self.assertFalse(self.lease.is_held(NOW))
 
     def test_count_of_granting_acceptors(self) -> None:
         self.lead()
-        self.assertEqual(self.holder.count_granting_acceptors(), 3)
+        self.assertEqual(self.lease.count_granting_acceptors(), 3)
         self.parts.pass_time(TIMING.suspect - 0.01)
-        self.assertEqual(self.holder.count_granting_acceptors(), 3)
+        self.assertEqual(self.lease.count_granting_acceptors(), 3)
         self.grant("a", self.parts.now)
         self.parts.pass_time(0.02)
-        self.assertEqual(self.holder.count_granting_acceptors(), 1)
+        self.assertEqual(self.lease.count_granting_acceptors(), 1)
 
     def test_count_of_available_grantors(self) -> None:
         context = self.parts.context
--- a/tests/fleet/test_planted_coordination_lease_grantor.py
+++ b/tests/fleet/test_planted_coordination_lease_grantor.py
@@ -16,7 +16,7 @@
 
 
 class LeaseGrantorTest(unittest.TestCase):
-    """One holder at a time, by the clock of the grantor; terms and grantees are synced before a grant is told."""
+    """One holder at a time, by the clock of the grantor; terms and grantees are synced before a grant is sent."""
 
     def setUp(self) -> None:
         self.parts = Parts()
--- a/tests/fleet/test_planted_coordination_membership.py
+++ b/tests/fleet/test_planted_coordination_membership.py
@@ -25,29 +25,35 @@
 
     def __init__(self, own: str = "a", members: str = "abc", chain: str | None = None) -> None:
         self.parts = parts = Parts(own, members, chain)
-        self.told: list[int] = []
+        self.committed_sequences: list[int] = []
         self.acceptor = Acceptor(parts.context)
         self.confirmer = EpochConfirmer(parts.context)
-        self.chain = Chain(parts.context, self.confirmer, self._tell)
-        self.grantor = LeaseGrantor(parts.context, NOW - 1.0)
-        self.holder = LeaderLease(parts.context, self.grantor)
+        self.chain = Chain(parts.context, self.confirmer, self._on_committed)
+        self.lease_grantor = LeaseGrantor(parts.context, NOW - 1.0)
+        self.leader_lease = LeaderLease(parts.context, self.lease_grantor)
         self.membership = Membership(
-            parts.context, self.acceptor, self.chain, self.confirmer, self.grantor, self.holder, self._tell
+            parts.context,
+            self.acceptor,
+            self.chain,
+            self.confirmer,
+            self.lease_grantor,
+            self.leader_lease,
+            self._on_committed,
         )
 
-    def _tell(self) -> None:
-        self.told.append(self.parts.replica_state.committed.sequence)
+    def _on_committed(self) -> None:
+        self.committed_sequences.append(self.parts.replica_state.committed.sequence)
 
     def lead(self) -> None:
         """It holds the leader lease, granted by all acceptors."""
-        holder, parts = self.holder, self.parts
-        holder.tick()
+        lease, parts = self.leader_lease, self.parts
+        lease.tick()
         for each in parts.replica_state.view.acceptors:
             grant = pb.LeaseGrant(
-                epoch=parts.replica_state.view.epoch, term=holder.term, stamp=parts.now, boot=OWN_INCARNATION
+                epoch=parts.replica_state.view.epoch, term=lease.term, stamp=parts.now, boot=OWN_INCARNATION
             )
-            holder.on_grant(each, grant)
-        assert holder.is_held(parts.now)
+            lease.on_grant(each, grant)
+        assert lease.is_held(parts.now)
         parts.actions()
 
     def tick(self) -> list[str]:
@@ -57,7 +63,7 @@
 
 
 class MembershipTest(unittest.TestCase):
-    """Views are adopted in order, synced before they are told, and nothing of the old epoch goes on."""
+    """Views are adopted in order and synced before they are reported; nothing of the old epoch goes on."""
 
     def setUp(self) -> None:
         self.member = Member()
@@ -82,7 +88,7 @@
             (context.adopted_epoch, context.joined_epoch, context.is_epoch_adopted), (EPOCH + 1, EPOCH + 1, True)
         )
         self.assertTrue(context.heartbeat_due)
-        self.assertEqual(self.member.told, [9])
+        self.assertEqual(self.member.committed_sequences, [9])
 
     def test_late_sync_of_an_earlier_epoch_is_ignored(self) -> None:
         self.decided(EPOCH + 1)
@@ -147,11 +153,11 @@
         member.membership.on_decided(
             pb.Decided(view=view("abc", EPOCH + 1).to_message(), state=state(9, EPOCH + 1).to_message())
         )
-        self.assertEqual(member.grantor.abstain_until, NOW + member.parts.timing.lease)
+        self.assertEqual(member.lease_grantor.abstain_until, NOW + member.parts.timing.lease)
         self.decided(EPOCH + 1)
-        self.assertLess(self.member.grantor.abstain_until, NOW, "one that stays may grant")
+        self.assertLess(self.member.lease_grantor.abstain_until, NOW, "one that stays may grant")
         self.decided(EPOCH + 3)
-        self.assertEqual(self.member.grantor.abstain_until, NOW + self.parts.timing.lease, "it missed an epoch")
+        self.assertEqual(self.member.lease_grantor.abstain_until, NOW + self.parts.timing.lease, "it missed an epoch")
 
     def test_chain_is_active_once_all_members_have_adopted(self) -> None:
         for fields in ({"joined": False}, {"epoch": EPOCH - 1}):
@@ -201,11 +207,11 @@
     def test_stores_a_newer_state_outside_of_the_chain(self) -> None:
         member = Member("c", chain="ab")
         member.membership.on_decided(pb.Decided(view=view(chain="ab").to_message(), state=state(9).to_message()))
-        self.assertEqual((member.parts.replica_state.committed.sequence, member.told), (9, [9]))
+        self.assertEqual((member.parts.replica_state.committed.sequence, member.committed_sequences), (9, [9]))
         (record,) = member.parts.sync()
         self.assertEqual(RegisterState.from_message(record.learn.state), state(9))
         member.membership.on_decided(pb.Decided(view=view(chain="ab").to_message(), state=state(9).to_message()))
-        self.assertEqual((member.parts.sync(), member.told), ([], [9]))
+        self.assertEqual((member.parts.sync(), member.committed_sequences), ([], [9]))
 
     def test_members_of_the_chain_receive_states_through_the_chain_only(self) -> None:
         self.decided(EPOCH, 9)
--- a/tests/fleet/test_planted_coordination_records.py
+++ b/tests/fleet/test_planted_coordination_records.py
@@ -317,7 +317,7 @@
         seeds = [("b:1", "b:2"), ("a:1", "a:2"), ("b:1", "b:2")]
         found = bootstrap_view(seeds)
         self.assertEqual(found, bootstrap_view(seeds[::-1]))
-        self.assertEqual((found.epoch, found.size, found.base_tag), (1, 2, (1, 0)))
+        self.assertEqual((found.epoch, found.target_size, found.base_tag), (1, 2, (1, 0)))
         self.assertEqual(found.chain, (bootstrap_id("a:1"), bootstrap_id("b:1")))
         self.assertEqual([each.peer_address for each in found.acceptors], ["a:2", "b:2"])
 
--- a/tests/fleet/test_planted_coordination_timing.py
+++ b/tests/fleet/test_planted_coordination_timing.py
@@ -10,7 +10,7 @@
 
 
 class TimingTest(unittest.TestCase):
-    """The times fit together; each is checked against those that it is reckoned from."""
+    """Each time is checked against those that it depends on."""
 
     def test_margin_covers_the_drift_of_two_clocks(self) -> None:
         self.assertGreater(TIMING.lease_margin, 0.02 * TIMING.lease)
