--- a/rosechute/coordination/lease_grantor.py
+++ b/rosechute/coordination/lease_grantor.py
@@ -1,6 +1,6 @@
 """Grants of the leader lease by this acceptor (leases: Gray & Cheriton, 1989).
 
-A grant binds the grantor for the length of one lease on its steady clock. A grantor binds itself to one process at a
+A grant binds the grantor for the length of one lease on its steady clock. A grantor binds itself to one machine at a
 time, grants within one epoch only, and grants nothing once that epoch is sealed.
 
 Restart: a grantor does not know for how long its last grant runs, but its disk tells to whom it was given, since the
