--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -102,7 +102,7 @@
         self.tell(renew=pb.Renew(request=1, edge=EDGE, boot=1))
         return self.told("renewed")[-1]
 
-    async def test_unsure_until_the_records_are_loaded(self) -> None:
+    async def test_outcome_unknown_until_the_records_are_loaded(self) -> None:
         self.assertEqual(await self.machine.read(), OutcomeUnknown())
         self.assertEqual(await self.machine.propose_write(0, 1, b"", b""), OutcomeUnknown())
         self.assertFalse(self.renew().config_known)
@@ -132,7 +132,7 @@
         self.tell(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=[wanted]))
         self.assertEqual(self.told("quota_issue"), [])
 
-    async def test_a_list_is_told_only_under_the_lease(self) -> None:
+    async def test_a_list_is_published_only_under_the_lease(self) -> None:
         self.run_replica()
         server = ListedServer("i", "s", "10.0.1.1:1", "z", 8, True)
         self.machine._publish_servers([server])
--- a/tests/fleet/test_control_endpoint_list_reader.py
+++ b/tests/fleet/test_control_endpoint_list_reader.py
@@ -78,7 +78,7 @@
         await self.reader(platform).read_once()
         self.assertEqual([[server.id for server in each] for each in self.delivered], [["i-0", "i-1", "i-2"]])
 
-    async def test_nothing_is_asked_without_the_lease(self) -> None:
+    async def test_nothing_is_fetched_without_the_lease(self) -> None:
         platform = FakePlatform()
         platform.lease_ends_after_calls = 0
         self.assertEqual(await self.reader(platform).read_once(), 0.0)
@@ -102,14 +102,14 @@
                 await asyncio.sleep(0)
         task.cancel()
 
-    async def test_a_reading_counts_only_if_the_lease_still_holds(self) -> None:
+    async def test_a_reading_is_delivered_only_if_the_lease_is_still_held(self) -> None:
         for pages in (1, 2, 4):
             platform = FakePlatform(pages)
             platform.lease_ends_after_calls = 1
             await self.reader(platform).read_once()
             self.assertEqual((platform.calls, self.delivered), (1, []))
 
-    async def test_a_reading_that_began_in_an_earlier_term_does_not_count(self) -> None:
+    async def test_a_reading_that_started_in_an_earlier_term_is_dropped(self) -> None:
         """The lease went to another machine and came back during a call: that machine may have told a newer list."""
         for pages in (1, 2, 4):
             platform = FakePlatform(pages)
@@ -146,7 +146,7 @@
         platform.call_s = 2 * INTERVAL_S
         self.assertEqual(await self.reader(platform).read_once(), 0.0)
 
-    async def test_a_platform_that_tells_no_rate_is_asked_seldom(self) -> None:
+    async def test_a_platform_without_a_rate_is_called_seldom(self) -> None:
         wait = await self.reader(FakePlatform(), 0.0).read_once()
         self.assertAlmostEqual(wait, 1 / endpoint_list_reader.MIN_RATE_PER_S)
 
@@ -166,14 +166,14 @@
         self.assertLessEqual(looked.call_count, 2)
         task.cancel()
 
-    async def test_the_rest_of_a_cold_start_is_kept_as_a_time(self) -> None:
+    async def test_the_rest_of_a_cold_start_becomes_a_time(self) -> None:
         platform = FakePlatform()
         await self.reader(platform).read_once()
         self.assertAlmostEqual(self.delivered[0][0].cold_until, platform.now + 0.5)
 
 
 class EndpointListPageTest(TestCase):
-    def test_an_entry_as_the_platform_tells_it(self) -> None:
+    def test_an_entry_as_the_platform_sends_it(self) -> None:
         entry = {"service": "s", "address": "10.128.0.9:8080", "zone": "z", "config_version": "v1", "slots": 64}
         entry |= {"state": "draining", "cold_remaining_ms": 0, "stage": "dual", "models": [], "id": "i-7"}
         page = decode_endpoint_list_page(
@@ -188,6 +188,6 @@
             Instance("i", "s", "10.0.0.1:1", cold_remaining_ms=-700).to_listed_server(5.0).cold_until, 5.0
         )
 
-    def test_what_is_no_page(self) -> None:
+    def test_malformed_pages(self) -> None:
         for data in (b"", b"{", b"[]", b'{"instances": [{}]}', b'{"instances": 3}', b"\xff"):
             self.assertEqual(decode_endpoint_list_page(data, "10.0.0.1:1").failure().peer, "10.0.0.1:1")
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -79,13 +79,13 @@
         async with self.session.get(self.server.make_url(READ_PATH), allow_redirects=False) as answer:
             return answer.status, await answer.read(), answer.headers
 
-    async def test_taken(self) -> None:
+    async def test_acknowledged(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
         status, told, _ = await self.replace(body(7))
         self.assertEqual((status, told), (200, {"config_version": 7}))
         self.assertEqual(self.configurations.orders, [(5, 7, body(7), write_request_digest(5, body(7)))])
 
-    async def test_stale(self) -> None:
+    async def test_version_conflict(self) -> None:
         self.configurations.outcome = VersionConflict(6)
         status, told, _ = await self.replace(body(7))
         self.assertEqual((status, told["current_version"]), (412, 6))
@@ -105,31 +105,31 @@
             self.assertEqual((status, told.get("place", "")), (400, place), data)
         self.assertEqual(self.configurations.orders, [])
 
-    async def test_base_version_that_is_none(self) -> None:
+    async def test_invalid_base_versions(self) -> None:
         for base in (None, "", "-1", "x", "9" * 30):
             status, told, _ = await self.replace(body(7), base)
             self.assertEqual((status, told["place"]), (400, BASE_VERSION_HEADER), base)
 
-    async def test_sent_on_to_the_machine_that_knows(self) -> None:
+    async def test_redirected_to_the_machine_that_knows(self) -> None:
         self.configurations.outcome = Redirect("10.0.0.4:8367")
         status, _, headers = await self.replace(body(7))
         self.assertEqual((status, headers["Location"]), (307, "http://10.0.0.4:8367/config/replace"))
         status, _, headers = await self.read()
         self.assertEqual((status, headers["Location"]), (307, "http://10.0.0.4:8367/config/read"))
 
-    async def test_never_sent_on_to_itself(self) -> None:
+    async def test_never_redirected_to_itself(self) -> None:
         self.configurations.outcome = Redirect(OWN)
         self.assertEqual((await self.replace(body(7)))[0], 503)
         self.assertEqual((await self.read())[0], 503)
 
-    async def test_unsure(self) -> None:
+    async def test_outcome_unknown(self) -> None:
         self.configurations.outcome = OutcomeUnknown()
         status, _, headers = await self.replace(body(7))
         self.assertEqual(status, 503)
         self.assertIn("Retry-After", headers)
         self.assertEqual((await self.read())[0], 503)
 
-    async def test_an_answer_comes_where_the_chain_gives_none(self) -> None:
+    async def test_a_response_is_sent_where_no_outcome_comes(self) -> None:
         with mock.patch.multiple(operator_api, RESPONSE_TIMEOUT_S=0.01, MIN_OUTCOME_TIMEOUT_S=0.0):
             self.assertEqual((await self.replace(body(7)))[0], 503)
             self.assertEqual((await self.read())[0], 503)
@@ -143,7 +143,7 @@
         self.configurations.outcome = NoConfiguration()
         self.assertEqual((await self.read())[0], 404)
 
-    async def test_a_large_configuration_is_taken(self) -> None:
+    async def test_a_large_configuration_is_accepted(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
         data = body(7, padding="x" * (5 * 1024 * 1024))
         self.assertEqual((await self.replace(data))[0], 200)
--- a/tests/fleet/test_control_replica_runtime.py
+++ b/tests/fleet/test_control_replica_runtime.py
@@ -31,7 +31,7 @@
         self.assertEqual(await core.order(0, 1, ACK_S), WriteAcknowledged(1))
         return core
 
-    async def test_taken_and_read_back(self) -> None:
+    async def test_a_write_is_acknowledged_and_read_back(self) -> None:
         for machines in (3, 4, 5):
             core = await self.cluster(machines)
             self.assertEqual(await core.order(1, 4, ACK_S), WriteAcknowledged(4))
@@ -54,7 +54,7 @@
             self.assertEqual(sorted(each.chain), [machine.control for machine in core.machines])
             self.assertLess(each.config_age_ms or 0, 1000)
 
-    async def test_the_same_order_again_is_acknowledged_and_another_one_refused(self) -> None:
+    async def test_a_repeated_write_is_acknowledged_and_another_one_rejected(self) -> None:
         core = await self.cluster()
         await core.order(1, 2, ACK_S)
         await core.order(2, 3, ACK_S)
@@ -62,7 +62,7 @@
         self.assertEqual(await core.order(1, 2, ACK_S, "of another operator"), VersionConflict(3))
         self.assertEqual(await core.order(3, 3, ACK_S), VersionConflict(3))
 
-    async def test_one_of_eight_orders_at_once_wins(self) -> None:
+    async def test_one_of_eight_concurrent_writes_wins(self) -> None:
         core = await self.cluster()
         orders = [core.order(1, 2 + number, ACK_S) for number in range(8)]
         outcomes = await asyncio.gather(*orders)
@@ -127,14 +127,14 @@
                 self.assertEqual(read and read.version, version, seed)
                 await core.run_for(4.0)
 
-    async def test_lost_acknowledgements_never_turn_into_refusals(self) -> None:
+    async def test_lost_acknowledgements_never_turn_into_conflicts(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             core.answers_lost = 0.6
             for version in range(2, 12):
                 self.assertEqual(await core.order(version - 1, version, 20.0), WriteAcknowledged(version), seed)
 
-    async def test_an_order_whose_answer_was_lost_is_acknowledged_after_later_ones(self) -> None:
+    async def test_a_write_whose_response_was_lost_is_acknowledged_after_later_ones(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             core.answers_lost = 1.0
@@ -158,7 +158,7 @@
                     core.reset_links()
                 self.assertEqual(await ordered, WriteAcknowledged(version), seed)
 
-    async def test_eight_orders_at_once_under_trouble(self) -> None:
+    async def test_eight_concurrent_writes_under_faults(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(4, seed)
             for version in (1, 11, 21):
@@ -185,7 +185,7 @@
             self.heal(core)
             self.assertEqual(await core.order(1, 2, 6.0), WriteAcknowledged(2), seed)
 
-    async def test_the_log_stays_short_and_the_snapshot_is_whole(self) -> None:
+    async def test_the_log_stays_short_and_the_snapshot_is_complete(self) -> None:
         with mock.patch.object(replica_runtime, "LOG_LIMIT_BYTES", 2_000):
             core = await self.cluster()
             for version in range(2, 60):
@@ -198,7 +198,7 @@
             read = await core.read(ACK_S + 2.0)
             self.assertEqual(read and read.version, 59)
 
-    async def test_troubles_at_random(self) -> None:
+    async def test_random_faults(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(random.Random(seed).choice((3, 4, 5)), seed)
             version = 1
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -268,8 +268,8 @@
 
 GUARDS: tuple[tuple[Plant, str], ...] = (
     (lease_is_not_asked_before_an_answer, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
-    (reading_of_another_term_counts, f"{READER}.test_a_reading_that_began_in_an_earlier_term_does_not_count"),
-    (reading_counts_without_the_lease, f"{READER}.test_a_reading_counts_only_if_the_lease_still_holds"),
+    (reading_of_another_term_counts, f"{READER}.test_a_reading_that_started_in_an_earlier_term_is_dropped"),
+    (reading_counts_without_the_lease, f"{READER}.test_a_reading_is_delivered_only_if_the_lease_is_still_held"),
     (
         lists_of_earlier_terms_are_told,
         f"{ORDERS}.EarlierTermTest.test_a_list_of_an_earlier_term_is_given_to_no_subscriber",
--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -40,6 +40,7 @@
 NAME = re.compile(r"`([A-Za-z_][\w.]*)`")
 CLASS_NAME = re.compile(r"`([A-Z][a-z]\w*(?:\.\w+)?)`")
 
+QUOTED_LOG_LINE = re.compile(r"\blog(?: of the \w+)?: `([^`]+)`")
 LOG_LEVELS = {"debug", "info", "success", "warning", "error", "exception", "critical"}
 LOGGERS = {"logger", "LOG"}
 FLEET_PACKAGES = (
@@ -261,6 +262,19 @@
             documented.add((message.strip("`"), level, module.strip("`")))
         self.assertEqual(sorted(documented), sorted(logged()))
 
+    def test_every_log_line_quoted_on_another_page_is_written_by_the_code(self) -> None:
+        """Pages quote the fixed part of a message, as "log: `record write failed`"."""
+        messages = [message for message, _, _ in logged()]
+        quotes = [
+            (page.name, quote)
+            for page in sorted((ROOT / "docs" / "fleet").glob("*.md"))
+            for quote in QUOTED_LOG_LINE.findall(read(page))
+        ]
+        self.assertGreaterEqual(len(quotes), 5)
+        for page_name, quote in quotes:
+            with self.subTest(page=page_name, quote=quote):
+                self.assertTrue(any(message.startswith(quote) for message in messages), quote)
+
 
 def logged() -> set[tuple[str, str, str]]:
     """Return message, level and module of every log call in the fleet's packages."""
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -21,12 +21,11 @@
 from msgspec import structs
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
-from rosechute.control_plane import core_machine, endpoint_list_client, handover, record_loading, replica_settings
+from rosechute.control_plane import core_machine, record_loading, replica_settings
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.control_plane.core_report import CoreReport, build_core_report
-from rosechute.control_plane.endpoint_list_client import EndpointListClient
+from rosechute.control_plane.core_report import CoreReport
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER
-from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, OutcomeUnknown, ReplicaConfig
+from rosechute.coordination.types import MachineIdentity, OutcomeUnknown, ReplicaConfig
 from rosechute.distribution.actions import DialedLink, SendMessage
 from rosechute.distribution.core_directory import CoreAddress
 from rosechute.distribution.publisher import PublisherState
@@ -38,6 +37,7 @@
 from rosechute.messages.link_server import LinkServer
 
 from .data_site import SiteCase
+from .test_control_core_report import reported_replica
 
 GIVE_UP_S = 30.0  # of the simulated clock
 BODY = json.dumps({"config_version": 4, "routes": [], "services": [], "tenants": []}).encode()
@@ -143,7 +143,7 @@
         status, _ = await self.call("POST", "/config/replace", data=BODY, headers={BASE_VERSION_HEADER: "0"})
         return status
 
-    def test_it_leads_and_takes_orders(self) -> None:
+    def test_it_leads_and_accepts_writes(self) -> None:
         async def scene() -> None:
             machine = await self.lead()
             self.assertEqual(await self.replace(), 200)
@@ -162,7 +162,7 @@
 
         self.play(scene)
 
-    def test_it_knows_after_a_restart_what_it_took(self) -> None:
+    def test_it_keeps_committed_writes_over_a_restart(self) -> None:
         async def scene() -> None:
             machine = await self.lead()
             await self.replace()
@@ -175,7 +175,7 @@
 
         self.play(scene)
 
-    def test_it_ends_whole(self) -> None:
+    def test_it_stops_completely(self) -> None:
         async def scene() -> None:
             before = threading.active_count()
             machine = await self.lead()
@@ -297,37 +297,6 @@
 OTHER = MachineIdentity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
 
 
-class ReportTest(SiteCase):
-    """What an operator is told; what is not known is told as such."""
-
-    def replica(self, **fields: Any) -> Any:
-        view = SimpleNamespace(epoch=7, acceptors=(OWN, OTHER), chain=("b", "a", "gone"))
-        known = {
-            "view": view,
-            "identity": OWN,
-            "term": 5,
-            "committed": CommittedConfiguration(3, 40, b"", b""),
-            "is_leader": lambda now: now == 9.0,
-            "leader_hint": lambda: OTHER,
-            "freshness": lambda now: (3, 0.25),
-        }
-        return SimpleNamespace(**(known | fields))
-
-    def test_everything_that_is_known(self) -> None:
-        found = build_core_report(self.replica(), 9.0, 0.125, 12)
-        self.assertEqual((found.id, found.leader, found.leader_name, found.term), ("a", True, "core-b", 5))
-        self.assertEqual((found.epoch, found.acceptors), (7, ["core-a", "core-b"]))
-        self.assertEqual(found.chain, ["core-b", "core-a", "gone"])
-        self.assertEqual((found.config_sequence, found.config_version, found.config_age_ms), (3, 40, 250))
-        self.assertEqual((found.write_age_ms, found.edges), (125, 12))
-
-    def test_nothing_is_known(self) -> None:
-        nothing = {"committed": None, "leader_hint": lambda: None, "freshness": lambda now: None}
-        found = build_core_report(self.replica(**nothing), 8.0, 0.0, 0)
-        self.assertEqual((found.leader, found.leader_name, found.config_age_ms), (False, "", None))
-        self.assertEqual((found.config_sequence, found.config_version), (0, 0))
-
-
 SETTINGS = ProcessSettings(
     node_name="core-a",
     ip="10.0.0.1",
@@ -402,7 +371,7 @@
 
     def test_how_long_the_oldest_record_waits_is_reported(self) -> None:
         self.load()
-        self.machine._runtime.replica = ReportTest.replica(ReportTest())
+        self.machine._runtime.replica = reported_replica()
         self.publisher.edges_total.return_value = 12
         for oldest, told in ((8.875, 125), (None, 0)):
             self.machine._writer = mock.Mock()
@@ -415,7 +384,7 @@
         self.machine._clock = lambda: 9.5
         self.assertIsNone(self.machine._leader_term())
 
-    def test_the_end_of_a_lease_is_told_by_a_leader_only(self) -> None:
+    def test_lost_leadership_is_published_by_a_leader_only(self) -> None:
         self.machine.leadership_lost()
         self.publisher.leadership_lost.assert_called_once_with(9.0)
         self.publisher.state = PublisherState.FOLLOWER
@@ -432,7 +401,7 @@
         names = [name for name, _, _ in self.publisher.method_calls]
         self.assertLess(names.index("leadership_lost"), len(names) - 1 - names[::-1].index("receive"))
 
-    def test_what_the_replica_knows_is_told_before_each_message_of_an_edge(self) -> None:
+    def test_the_publisher_is_refreshed_before_each_message_of_an_edge(self) -> None:
         self.load()
         self.machine._links._on_frame("c", MessageKind.DISTRIBUTION, b"")
         core = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in (OWN, OTHER))
@@ -494,128 +463,3 @@
             self.machine._next_tick.cancel()
 
         self.play(scene)
-
-    def hand_over_s(self, handed_over_after_s: float) -> float:
-        """How long the end takes where the others go on without this machine after so long."""
-        took: list[float] = []
-
-        async def scene() -> None:
-            loop = asyncio.get_running_loop()
-            self.machine._clock = loop.time
-            began = loop.time()
-
-            class Replica:
-                @property
-                def is_handed_over(self) -> bool:
-                    return loop.time() - began >= handed_over_after_s
-
-            runtime = SimpleNamespace(replica=Replica(), resign=mock.Mock())
-            await handover.hand_over(runtime, self.machine._clock)
-            runtime.resign.assert_called_once_with()
-            took.append(loop.time() - began)
-
-        self.play(scene)
-        return took[0]
-
-    def test_it_serves_on_until_it_has_handed_over(self) -> None:
-        self.assertTrue(0.3 <= self.hand_over_s(0.3) < 0.5)
-
-    def test_it_ends_where_nobody_can_go_on_without_it(self) -> None:
-        within = handover.HANDOVER_TIMEOUT_S
-        self.assertTrue(within <= self.hand_over_s(60.0) < within + 0.2)
-
-    def test_its_last_messages_have_time_to_leave(self) -> None:
-        """What `resign` tells the others is sent by the loop: links that were closed at once would drop it."""
-        self.assertTrue(0.02 <= self.hand_over_s(0.0) < 0.2)
-
-
-class EndpointListClientTest(SiteCase):
-    """Calls of the platform's list over loopback."""
-
-    def serve(self, handler: Any) -> Any:
-        async def start() -> tuple[web.AppRunner, EndpointListClient]:
-            application = web.Application()
-            application.router.add_get("/instances", handler)
-            runner = web.AppRunner(application)
-            await runner.setup()
-            site = web.TCPSite(runner, "127.0.0.1", 0)
-            await site.start()
-            return runner, EndpointListClient(f"127.0.0.1:{runner.addresses[0][1]}")
-
-        return start()
-
-    def test_pages_by_their_tokens_over_one_connection(self) -> None:
-        async def scene() -> None:
-            asked: list[Any] = []
-
-            async def instances(request: web.Request) -> web.Response:
-                asked.append((dict(request.query), request.transport))
-                return web.json_response({"instances": [], "next_token": "n"})
-
-            runner, client = await self.serve(instances)
-            for token in (None, "n"):
-                self.assertEqual((await client.fetch(token)).unwrap().next_token, "n")
-            self.assertEqual([query for query, _ in asked], [{}, {"page_token": "n"}])
-            self.assertIs(asked[0][1], asked[1][1])
-            await client.close()
-            await client.close()
-            self.assertTrue((await client.fetch(None)).unwrap() is not None, "opens again")
-            await client.close()
-            await runner.cleanup()
-
-        self.play(scene)
-
-    def test_one_connection_that_is_kept_and_closed(self) -> None:
-        async def scene() -> None:
-            transports: list[Any] = []
-
-            async def instances(request: web.Request) -> web.Response:
-                transports.append(request.transport)
-                return web.json_response({"instances": []})
-
-            runner, client = await self.serve(instances)
-            await client.fetch(None)
-            connector: Any = client._open_session().connector
-            self.assertEqual((connector.limit, connector._keepalive_timeout), (1, endpoint_list_client.KEEP_ALIVE_S))
-            self.assertFalse(transports[0].is_closing())
-            await client.close()
-            await until(transports[0].is_closing)
-            await runner.cleanup()
-
-        self.play(scene)
-
-    def test_another_status_is_a_failure(self) -> None:
-        async def scene() -> None:
-            async def instances(request: web.Request) -> web.Response:
-                return web.json_response({"instances": []}, status=429)
-
-            runner, client = await self.serve(instances)
-            self.assertEqual((await client.fetch(None)).failure().reason, "status 429")
-            await client.close()
-            await runner.cleanup()
-
-        self.play(scene)
-
-    def test_a_call_that_takes_too_long(self) -> None:
-        async def scene() -> None:
-            async def instances(request: web.Request) -> web.Response:
-                await asyncio.sleep(20.0)
-                return web.json_response({"instances": []})
-
-            runner, client = await self.serve(instances)
-            began = asyncio.get_running_loop().time()
-            self.assertIn("no answer within", (await client.fetch(None)).failure().reason)
-            self.assertLess(asyncio.get_running_loop().time() - began, 1.5)
-            self.assertGreater(endpoint_list_client.CALL_TIMEOUT_S, 0.3)
-            await client.close()
-            await runner.shutdown()
-
-        self.play(scene)
-
-    def test_nobody_listens(self) -> None:
-        async def scene() -> None:
-            client = EndpointListClient(f"127.0.0.1:{free_ports(1)[0]}")
-            self.assertTrue((await client.fetch(None)).failure().reason)
-            await client.close()
-
-        self.play(scene)
