--- a/rosechute/coordination/leader_lease.py
+++ b/rosechute/coordination/leader_lease.py
@@ -171,7 +171,6 @@
         known_terms = (peer.heartbeat.term for peer in context.failure_detector.peers.values())
         self.role = LeaseRole.CANDIDATE
         self.term = max(max(known_terms, default=0), context.replica_state.term.number, self.term) + 1
-        self.valid_until = 0.0
         self._candidate_since = context.now
         self._granted_stamps, self._granted_epoch = {}, context.replica_state.view.epoch
         self._previous_term = 0
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -118,7 +118,7 @@
     if len(members) < view.majority:
         eligible_ids = {*status.chain_eligible_ids, *status.recovering_ids}
         members = _mutually_reachable([each for each in ordered if each in eligible_ids], status)
-    if len(members) < view.majority or not members:
+    if len(members) < view.majority:
         return None
     return replace(view, chain=tuple(members))
 
--- a/rosechute/coordination/record_writer.py
+++ b/rosechute/coordination/record_writer.py
@@ -48,7 +48,7 @@
         last_number: number of the newest record.
         synced_number: all records up to this number are synced.
         has_failed: whether a write failed and the whole state has not been handed to the disk since.
-        is_suspect: whether the disk failed or hung, until a probe shows that it works.
+        is_suspect: whether the disk failed or hung, until a probe shows that it works; true whenever `has_failed` is.
     """
 
     timing: Timing
@@ -115,7 +115,7 @@
 
     def is_healthy(self) -> bool:
         """Return whether other machines may rely on this disk."""
-        return not (self.has_failed or self.is_suspect)
+        return not self.is_suspect
 
     def tick(self, now: float) -> None:
         """Suspect a disk that hangs; retry or probe one that failed or hung."""
