--- a/benchmarks/fleet_capacity.py
+++ b/benchmarks/fleet_capacity.py
@@ -74,7 +74,7 @@
     "event_tokens": "the sites that are known: 5 and 6",
     "asks": "tokens last 0.4 s, an edge has 0.05 requests a second of each tenant, stores are too small to be leased",
     "asking_edges": "17 for one tenant of 210, 300 for one with a fifth of the traffic",
-    "reported_s": "`DEMANDED_S` of the wallet; stands for how the tenants' requests spread, too",
+    "reported_s": "`REPORT_AFTER_DEMAND_S` of the token cache; stands for how the tenants' requests spread, too",
     "release_s": "not told",
     "changes_a_restart": "drains, goes, is back",
     "rack": "not told",
--- a/tests/fleet/test_planted_token_cache.py
+++ b/tests/fleet/test_planted_token_cache.py
@@ -504,6 +504,12 @@
         self.cache.on_leases_granted(1.1, 7, 3, [])
         self.assertEqual(self.cache.next_report_at(1.1), math.inf)
 
+    def test_an_answer_of_another_term_makes_a_report_due_even_an_empty_one(self) -> None:
+        self.cache.on_leader_known(1.0, 3)
+        self.cache.next_lease_reports(1.0, 7)
+        self.cache.on_leases_granted(1.1, 7, 4, [])
+        self.assertEqual((self.cache.term, self.cache.next_report_at(1.1)), (4, 1.1))
+
     def test_a_term_that_is_not_newer_makes_no_report_due(self) -> None:
         self.cache.on_leader_known(1.0, 3)
         self.cache.next_lease_reports(1.0, 7)
