--- a/rosechute/configuration/process.py
+++ b/rosechute/configuration/process.py
@@ -30,18 +30,26 @@
 
 
 class ProcessLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Resources of the machine that the process may use."""
+    """Resources of the machine that the process may use.
+
+    The data plane bounds its connections by `max_fds` and the memory of requests by `memory_mb`; the others are only
+    validated.
+    """
 
     cpu_share: float = 1.0
     cores: float = 1
     memory_mb: float = 256
-    max_fds: int = 1024
+    max_fds: int = 1024  # open file descriptors
     link_mbps: float = 1000.0
     disk_mb: float = 0
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of the deployment's guarantees; durations end in `_ms` or `_s`."""
+    """Bounds of the deployment's guarantees; durations end in `_ms` or `_s`.
+
+    Those without a comment bound what operators may observe. The program does not read them; its own, shorter periods
+    are constants of the modules that keep them. They are only validated.
+    """
 
     seed_lag_s: float = 3.0
     reuse_delay_s: float = 2.0
@@ -49,19 +57,19 @@
     ack_ms: float = 4000.0
     catch_up_s: float = 4.0
     drain_ms: float = 3000.0
-    grace_s: float = 8.0
+    grace_s: float = 8.0  # from SIGTERM to the end of an edge process, with requests in flight
     loss_slack_ms: float = 200.0
     config_apply_ms: float = 2000.0
     rollback_slack_ms: float = 250.0
     max_skew_ms: float = 5000.0
-    strict_revoke: bool = True
-    revoke_ms: float = 5000.0
-    retry_budget_ratio: float = 0.1
+    strict_revoke: bool = True  # whether an edge rejects requests with keys when `revoke_ms` has passed
+    revoke_ms: float = 5000.0  # since the edge's configuration was last confirmed to be the newest
+    retry_budget_ratio: float = 0.1  # retries as a share of requests, over the window
     retry_window_s: float = 10.0
-    retry_slack: float = 10.0
-    quota_window_s: float = 8.0
-    quota_overshoot: float = 0.0
-    quota_slack: float = 0.0
+    retry_slack: float = 10.0  # retries that all edges together may make beyond the ratio
+    quota_window_s: float = 8.0  # length of the window that a tenant's quota is checked over
+    quota_overshoot: float = 0.0  # share of a tenant's limit that may be used beyond it
+    quota_slack: float = 0.0  # tokens or requests that may be used beyond it besides
     recovery_s: float = 12.0
     pass_ms: float = 120.0
     again_s: float = 8.0
@@ -70,18 +78,18 @@
 class CloudApi(msgspec.Struct, frozen=True, kw_only=True):
     """The platform's API with the list of servers."""
 
-    address: str = ""
-    rate_per_s: float = 10.0
+    address: str = ""  # host:port
+    rate_per_s: float = 10.0  # calls that all machines together may make
     duties: tuple[str, ...] = ()
-    max_lag_ms: float = 1000.0
+    max_lag_ms: float = 1000.0  # how old the list may be when it is read; only validated
 
 
 class Listen(msgspec.Struct, frozen=True, kw_only=True):
     """Addresses, `host:port`, that the process listens at; empty for what it does not serve."""
 
-    front: str = ""
-    readiness: str = ""
-    control: str = ""
+    front: str = ""  # requests of clients
+    readiness: str = ""  # readiness probes and the state page of an edge
+    control: str = ""  # the operator's API and the state page of a core machine
 
 
 class FaultTolerance(msgspec.Struct, frozen=True, kw_only=True):
@@ -98,18 +106,18 @@
     node_name: str
     ip: str
     zone: str
-    port_range: tuple[int, int]
+    port_range: tuple[int, int]  # the first is for links of core processes, the last for those of edge processes
     role: str = ""
     machine_class: str = ""
-    serves: tuple[str, ...] = ()
+    serves: tuple[str, ...] = ()  # `SERVES_EDGE`, `SERVES_CONTROL_PLANE`
     region: str = ""
     zones: dict[str, str] = {}
     listen: Listen = Listen()
-    seeds: tuple[str, ...] = ()
-    bootstrap: bool = False
+    seeds: tuple[str, ...] = ()  # control addresses of core machines to start from
+    bootstrap: bool = False  # true only at the first start of the whole fleet, with empty disks
     counts_for_quorum: bool = False
     limits: ProcessLimits = ProcessLimits()
-    data_dir: str = ""
+    data_dir: str = ""  # directory of a core machine's records
     heartbeat_ms: float = 1000.0
     log_level: str = ""
     contracts: tuple[str, ...] = ()
