--- a/tests/fleet/simulation/machine.py
+++ b/tests/fleet/simulation/machine.py
@@ -53,10 +53,10 @@
     def act(self, actions: Sequence[Action]) -> None:
         self._perform(actions)
 
-    def _answer(self, request: int, outcome: Outcome) -> None:
+    def _reply(self, request: int, outcome: Outcome) -> None:
         self._machine.world.on_answer(self._machine, request, outcome)
 
-    def _tell(self, outcome: WriteResult) -> None:
+    def _log_change(self, outcome: WriteResult) -> None:
         """No log."""
 
 
