--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -1,4 +1,4 @@
-"""The links of an edge process: carries messages between them, the subscriber and the quota client."""
+"""The links of an edge process: they connect the subscriber and the quota client to the core and to other edges."""
 
 from __future__ import annotations
 
@@ -21,35 +21,45 @@
 from rosechute.processes.quota_client import QuotaClient
 from rosechute.routing.counts import Counts
 
-FORGET_INTERVAL_S = 5.0  # how often links that are not needed any more are looked for
-LEAST_SLEEP_S = 0.001
-BYTES_SENT = "bytes_sent"  # the event that is counted
+UNUSED_LINKS_INTERVAL_S = 5.0  # between two looks for links whose address is not in use any more
+MIN_SLEEP_S = 0.001  # a tick that is due at once lets other tasks run first
+BYTES_SENT = "bytes_sent"  # the event that is counted, by kind of message
 
 Apply = Callable[[Action], None]
 
 
 class EdgeLinks:
-    """Runs one Subscriber. `apply` is called with every change that is to be put in force, in order."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: ProcessSettings, boot: int, apply: Apply) -> None:
+    """Runs one `Subscriber` and one `QuotaClient` over the links of an edge process."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, settings: ProcessSettings, incarnation: int, apply: Apply
+    ) -> None:
+        """Create the links; `start` opens them.
+
+        Args:
+            loop: The loop that runs them.
+            settings: The process settings.
+            incarnation: Number drawn at the start of the process.
+            apply: Called with every change that is to be put in force, in order.
+        """
         self._loop = loop
         self._apply = apply
         self.counts = Counts()
         address = settings.edge_link_address
         edge = EdgeIdentity(settings.node_name, settings.zone, address)
-        self.subscriber = Subscriber(loop.time(), edge, boot, settings.seed_peers)
+        self.subscriber = Subscriber(loop.time(), edge, incarnation, settings.seed_peers)
         self.quota = QuotaClient(
-            loop, settings.node_name, boot, self.send_to_leader, self.subscriber.leaderless_since
+            loop, settings.node_name, incarnation, self.send_to_leader, self.subscriber.leaderless_since
         )
-        self._pool = LinkPool(self._received_dialed, self._dialed_closed)
-        self._server = LinkServer(address, self._received, self._accepted_closed)
+        self._pool = LinkPool(self._on_dialed_frame, self._on_dialed_closed)
+        self._server = LinkServer(address, self._on_accepted_frame, self._on_accepted_closed)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
-        self._followed: str | None = None  # the leader, as last told to the log
-        self._forget_at = loop.time() + FORGET_INTERVAL_S
+        self._logged_leader: str | None = None  # as of the last log line
+        self._close_unused_at = loop.time() + UNUSED_LINKS_INTERVAL_S
 
     async def start(self) -> None:
-        """Listen, and look for the leader."""
+        """Listen, and search for the leader."""
         await self._server.start()
         self._tick()
 
@@ -62,11 +72,11 @@
         self._pool.close()
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """The settings were read again: other seeds."""
+        """Use the seeds of settings that were read again."""
         self.subscriber.set_seeds(settings.seed_peers)
 
     def leave(self) -> None:
-        """This process shuts down: it is no home any more."""
+        """Start the shutdown: this edge is no home any more."""
         self.subscriber.leave(self._loop.time())
         self._tick()
 
@@ -74,75 +84,76 @@
         """Send a message to the leader, if one is known."""
         leader = self.subscriber.leader
         if leader is not None:
-            data = message.SerializeToString()
-            self.counts.add(BYTES_SENT, message.WhichOneof("body") or "", len(data))
-            self._pool.send(leader, MessageKind.DISTRIBUTION, data)
+            self._send(DialedLink(leader), message)
+
+    # --- events of the links
 
-    def _received(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
+    def _on_accepted_frame(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
         if kind is MessageKind.DISTRIBUTION:
-            self._handle(connection, data)
+            self._receive(connection, data)
 
-    def _received_dialed(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
+    def _on_dialed_frame(self, connection: LinkConnection, kind: MessageKind, data: bytes) -> None:
         if kind is MessageKind.DISTRIBUTION:
-            self._handle(DialedLink(connection.address), data)
+            self._receive(DialedLink(connection.address), data)
 
-    def _handle(self, connection: Connection, data: bytes) -> None:
+    def _receive(self, connection: Connection, data: bytes) -> None:
         try:
             message = pb.Distribution.FromString(data)
         except DecodeError as error:
-            logger.warning("message from {}: {}", connection, error)
+            logger.warning("undecodable message connection={} error={}", connection, error)
             return
         if message.HasField("quota_issue"):
             self.quota.on_quota_issue(message.quota_issue)
             return
-        self._carry(self.subscriber.receive(self._loop.time(), connection, message))
+        self._carry_out(self.subscriber.receive(self._loop.time(), connection, message))
+
+    def _on_dialed_closed(self, error: LinkError) -> None:
+        logger.debug("link closed peer={} step={} reason={}", error.peer, error.step, error.reason)
+        self._carry_out(self.subscriber.connection_closed(self._loop.time(), DialedLink(error.peer)))
 
-    def _dialed_closed(self, error: LinkError) -> None:
-        logger.debug("link to {}: {}: {}", error.peer, error.step, error.reason)
-        self._carry(self.subscriber.connection_closed(self._loop.time(), DialedLink(error.peer)))
+    def _on_accepted_closed(self, connection: LinkConnection) -> None:
+        self._carry_out(self.subscriber.connection_closed(self._loop.time(), connection))
 
-    def _accepted_closed(self, connection: LinkConnection) -> None:
-        self._carry(self.subscriber.connection_closed(self._loop.time(), connection))
+    # --- the subscriber's clock and actions
 
     def _tick(self) -> None:
         now = self._loop.time()
         self._timer = None
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_INTERVAL_S
-            self._forget_links()
-        self._carry(self.subscriber.tick(now))
+        if now >= self._close_unused_at:
+            self._close_unused_at = now + UNUSED_LINKS_INTERVAL_S
+            self._close_unused_links()
+        self._carry_out(self.subscriber.tick(now))
 
-    def _carry(self, actions: Iterable[Action]) -> None:
+    def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
-                self._send(action)
+                self._send(action.connection, action.message)
             else:
                 self._apply(action)
         self._log_leader()
         if self.subscriber.is_attached:
             self.quota.on_leader_known(self.subscriber.leader_term)
-        self._wake_at(max(self.subscriber.next_wake(), self._loop.time() + LEAST_SLEEP_S))
+        self._schedule_tick(max(self.subscriber.next_wake(), self._loop.time() + MIN_SLEEP_S))
 
     def _log_leader(self) -> None:
-        followed = self.subscriber.leader if self.subscriber.is_attached else None
-        if followed == self._followed:
+        leader = self.subscriber.leader if self.subscriber.is_attached else None
+        if leader == self._logged_leader:
             return
-        if followed is None:
-            logger.info("leader {} lost", self._followed)
+        if leader is None:
+            logger.info("leader lost address={}", self._logged_leader)
         else:
-            logger.info("leader {} followed", followed)
-        self._followed = followed
+            logger.info("attached to leader address={}", leader)
+        self._logged_leader = leader
 
-    def _send(self, action: SendMessage) -> None:
-        data = action.message.SerializeToString()
-        self.counts.add(BYTES_SENT, action.message.WhichOneof("body") or "", len(data))
-        connection = action.connection
+    def _send(self, connection: Connection, message: pb.Distribution) -> None:
+        data = message.SerializeToString()
+        self.counts.add(BYTES_SENT, message.WhichOneof("body") or "", len(data))
         if isinstance(connection, DialedLink):
             self._pool.send(connection.address, MessageKind.DISTRIBUTION, data)
         elif isinstance(connection, LinkConnection):
             connection.send(MessageKind.DISTRIBUTION, data)
 
-    def _wake_at(self, when: float) -> None:
+    def _schedule_tick(self, when: float) -> None:
         if self._timer is not None:
             if self._timer_at <= when:
                 return
@@ -150,8 +161,8 @@
         self._timer_at = when
         self._timer = self._loop.call_at(when, self._tick)
 
-    def _forget_links(self) -> None:
-        kept = self.subscriber.addresses()
+    def _close_unused_links(self) -> None:
+        used = self.subscriber.addresses()
         for address in self._pool.addresses():
-            if address not in kept:
+            if address not in used:
                 self._pool.remove(address)
