--- a/tests/fleet/test_distribution_values.py
+++ b/tests/fleet/test_distribution_values.py
@@ -13,7 +13,7 @@
 
 
 class SameServer(unittest.TestCase):
-    """`ListedServer.same_as`."""
+    """`ListedServer.is_equivalent_to`."""
 
     def test_entries_that_differ_in_any_field_are_not_the_same(self) -> None:
         told = [field.name for field in fields(ListedServer) if field.name != "cold_until"]
