--- a/benchmarks/replay/__main__.py
+++ b/benchmarks/replay/__main__.py
@@ -6,7 +6,7 @@
 import pathlib
 import sys
 
-from benchmarks.replay.comparison import compare, describe
+from benchmarks.replay.comparison import PlayerError, compare, describe
 from benchmarks.replay.scenarios import SCENARIOS
 
 
@@ -25,7 +25,12 @@
     is_equal = True
     for name in options.scenarios.split(","):
         count = max(1, round(SCENARIOS[name].seeds * options.share))
-        result = compare(before, after, name, range(options.first, options.first + count), options.processes)
+        try:
+            result = compare(before, after, name, range(options.first, options.first + count), options.processes)
+        except PlayerError as error:
+            is_equal = False
+            print(f"{name}: not compared: {error}", flush=True)
+            continue
         seeds, steps = seeds + result.seeds, steps + result.steps
         print(
             f"{name}: {result.seeds} seeds, {result.steps} steps, {len(result.differences)} seeds differ", flush=True
--- a/benchmarks/replay/comparison.py
+++ b/benchmarks/replay/comparison.py
@@ -75,7 +75,8 @@
             jobs += [(checkout, [scenario, str(out), ",".join(map(str, share))]) for share in shares if share]
         with ThreadPoolExecutor(processes) as pool:
             list(pool.map(lambda job: run_player(*job), jobs))
-        steps, differences = 0, []
+        steps = 0
+        differences: list[Difference] = []
         for seed in seeds:
             one, other = (out.joinpath(f"{seed}.digests").read_bytes() for out in folders)
             steps += len(one) // DIGEST_BYTES
@@ -101,11 +102,10 @@
         for checkout in (before, after):
             arguments = [difference.scenario, folder, str(difference.seed), "--detailed-step", str(difference.step)]
             lines.append(run_player(checkout, arguments).splitlines())
-    pairs = itertools.zip_longest(*lines, fillvalue="(nothing)")
-    differing = [(number, *pair) for number, pair in enumerate(pairs) if pair[0] != pair[1]]
-    if not differing:
+    pairs = enumerate(itertools.zip_longest(*lines, fillvalue="(nothing)"))
+    first = next(((number, one, other) for number, (one, other) in pairs if one != other), None)
+    if first is None:
         return "  the step is equal when played again: the run is not deterministic"
-    number, one, other = differing[0]
-    return (
-        f"  record {number} of {len(lines[0])} and {len(lines[1])}\n  before: {one[:1500]}\n  after:  {other[:1500]}"
-    )
+    number, one, other = first
+    where = f"  record {number} of {len(lines[0])} and {len(lines[1])}"
+    return f"{where}\n  before: {one[:1500]}\n  after:  {other[:1500]}"
--- a/benchmarks/replay/hooks.py
+++ b/benchmarks/replay/hooks.py
@@ -16,13 +16,21 @@
 
 from benchmarks.replay.recorder import Recorder
 
-HARNESS = "tests."  # module prefix of the simulated clocks; other users of `heapq` are not recorded
+# Module prefixes of the simulated clocks: other users of `heapq` are not recorded.
+CLOCKS = ("tests.", "rosechute.lab.")
+STEP = "step: "  # prefix of the hooks at which a step begins, beside the events of a simulated clock
 
 MESSAGE_MODULES = ("rosechute.messages.coordination_pb2", "rosechute.messages.distribution_pb2")
 
 # Alternatives in order, the first one that exists is taken: names of the harness differ between the checkouts.
 Alternatives = tuple[tuple[str, str, str], ...]  # (module, class, method)
 
+
+def _on_disk(*methods: str) -> Alternatives:
+    owners = ("SimulatedFolder", "SimulatedDirectory")
+    return tuple(("tests.fleet.simulated_disk", owner, method) for owner in owners for method in methods)
+
+
 COORDINATION: dict[str, Alternatives] = {
     "send": (("tests.fleet.simulation.network", "Network", "send"),),
     "actions": (("tests.fleet.simulation.machine", "SimulatedRuntime", "act"),),
@@ -32,28 +40,21 @@
         ("tests.fleet.simulation.world", "World", "on_lease"),
         ("tests.fleet.simulation.world", "World", "on_leadership"),
     ),
-    "disk write": (
-        ("tests.fleet.simulated_disk", "SimulatedFolder", "write"),
-        ("tests.fleet.simulated_disk", "SimulatedDirectory", "write"),
-    ),
-    "disk truncate": (
-        ("tests.fleet.simulated_disk", "SimulatedFolder", "truncate"),
-        ("tests.fleet.simulated_disk", "SimulatedDirectory", "truncate"),
-    ),
-    "disk sync": (
-        ("tests.fleet.simulated_disk", "SimulatedFolder", "sync"),
-        ("tests.fleet.simulated_disk", "SimulatedDirectory", "sync"),
-    ),
-    "disk names": (
-        ("tests.fleet.simulated_disk", "SimulatedFolder", "sync_names"),
-        ("tests.fleet.simulated_disk", "SimulatedDirectory", "sync_entries"),
-    ),
+    "disk write": _on_disk("write"),
+    "disk truncate": _on_disk("truncate"),
+    "disk sync": _on_disk("sync"),
+    "disk names": _on_disk("sync_names", "sync_entries"),
 }
 DISTRIBUTION: dict[str, Alternatives] = {
     "dial": (("tests.fleet.distribution_network", "Network", "dial"),),
     "answer": (("tests.fleet.distribution_network", "Network", "answer"),),
     "closed": (("tests.fleet.distribution_network", "Network", "_tell_closed"),),
 }
+ROUTING: dict[str, Alternatives] = {"actions": (("tests.fleet.routing_fleet", "Edge", "_act"),)}
+ROUTER: dict[str, Alternatives] = {
+    STEP + "actions": (("tests.fleet.test_routing_properties", "Schedule", "take"),),
+}
+SIDECAR: dict[str, Alternatives] = {"trace": (("rosechute.lab.trace", "Trace", "add"),)}
 
 
 class HookError(RuntimeError):
@@ -112,13 +113,13 @@
         push, pop = heapq.heappush, heapq.heappop
 
         def recording_push(heap: list[Any], item: Any) -> None:
-            if self.recorder is not None and _called_by_harness():
+            if self.recorder is not None and _called_by_clock():
                 self.record("schedule", *_event_values(item))
             push(heap, item)
 
         def recording_pop(heap: list[Any]) -> Any:
             item = pop(heap)
-            if self.recorder is not None and _called_by_harness():
+            if self.recorder is not None and _called_by_clock():
                 self.recorder.end_step()
                 self.record("event", *_event_values(item))
             return item
@@ -129,6 +130,8 @@
         @functools.wraps(method)
         def recorded(owner: Any, *arguments: Any, **named: Any) -> Any:
             if self.recorder is not None:
+                if kind.startswith(STEP):
+                    self.recorder.end_step()
                 values = [*arguments, *named.values()]
                 self.record(kind, len(values), [_described(each) for each in values])
             return method(owner, *arguments, **named)
@@ -157,8 +160,8 @@
     raise HookError(f"none of {alternatives} exists in this checkout")
 
 
-def _called_by_harness() -> bool:
-    return str(sys._getframe(2).f_globals.get("__name__", "")).startswith(HARNESS)
+def _called_by_clock() -> bool:
+    return str(sys._getframe(2).f_globals.get("__name__", "")).startswith(CLOCKS)
 
 
 def _event_values(item: Any) -> list[Any]:
--- a/benchmarks/replay/scenarios.py
+++ b/benchmarks/replay/scenarios.py
@@ -2,14 +2,21 @@
 
 from __future__ import annotations
 
+import dataclasses
 import importlib
+import pathlib
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.replay.hooks import COORDINATION, DISTRIBUTION, Alternatives
+from benchmarks.replay.hooks import COORDINATION, DISTRIBUTION, ROUTER, ROUTING, SIDECAR, Alternatives
 
 DISTRIBUTION_DAY_S = 12.0
+ROUTING_DAY_S = 6.0
+ROUTING_LOADS = (0.6, 1.0, 1.5)  # of the model fleet's ordinary requests
+ROUTER_EVENTS = 250
+SIDECAR_RUN = {"duration": "4s", "warmup": "1s"}
+SIDECAR_FAULT_AT = "1500ms"
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +52,66 @@
     return importlib.import_module("tests.fleet.distribution_days").play(seed, DISTRIBUTION_DAY_S)
 
 
+def _prepare_quota() -> None:
+    importlib.import_module("tests.fleet.test_quota_sum")
+
+
+def _play_quota(seed: int) -> Any:
+    harness = importlib.import_module("tests.fleet.test_quota_sum")
+    bounds, limit, sizes = harness.CASES[seed % len(harness.CASES)]
+    world = harness.World(seed, bounds, limit, sizes=sizes)
+    harness.troubled(world)
+    return world.counted
+
+
+def _prepare_routing() -> None:
+    importlib.import_module("tests.fleet.routing_fleet")
+
+
+def _play_routing(seed: int) -> Any:
+    harness = importlib.import_module("tests.fleet.routing_fleet")
+    load = ROUTING_LOADS[seed % len(ROUTING_LOADS)]
+    kinds = [dataclasses.replace(kind, per_s=kind.per_s * load) for kind in harness.LETTERS]
+    fleet = harness.Fleet(seed, kinds, 9, 4, 6, length_s=ROUTING_DAY_S)
+    fleet.play()
+    return [fleet.outcomes, fleet.reasons]
+
+
+def _prepare_router() -> None:
+    importlib.import_module("tests.fleet.test_routing_properties")
+
+
+def _play_router(seed: int) -> Any:
+    harness = importlib.import_module("tests.fleet.test_routing_properties")
+    schedule = harness.Schedule(seed, patient=seed % 2 == 0)
+    schedule.play(ROUTER_EVENTS)
+    return schedule.now
+
+
+def _prepare_sidecar() -> None:
+    importlib.import_module("rosechute.lab.run")
+
+
+def _play_sidecar(seed: int) -> Any:
+    library = importlib.import_module("rosechute.lab.library")
+    names = sorted(library.names())
+    name = names[seed % len(names)]
+    text = (
+        pathlib.Path(str(library.__file__))
+        .with_name("scenarios")
+        .joinpath(f"{name}.toml")
+        .read_text(encoding="utf-8")
+    )
+    faults = {f"fault[{number}].at": SIDECAR_FAULT_AT for number in range(text.count("[[fault]]"))}
+    run = importlib.import_module("rosechute.lab.run").run(library.load(name, SIDECAR_RUN | faults), "module", seed)
+    return [run.digest, run.played]
+
+
 SCENARIOS = {
     "coordination": Scenario(100, _prepare_coordination, _play_coordination, COORDINATION),
     "distribution": Scenario(20, _prepare_distribution, _play_distribution, DISTRIBUTION),
+    "quota": Scenario(60, _prepare_quota, _play_quota, {}),
+    "routing": Scenario(6, _prepare_routing, _play_routing, ROUTING),
+    "router": Scenario(100, _prepare_router, _play_router, ROUTER),
+    "sidecar": Scenario(20, _prepare_sidecar, _play_sidecar, SIDECAR),
 }
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -14,6 +14,7 @@
 from benchmarks.replay.__main__ import main
 from benchmarks.replay.comparison import first_difference
 from benchmarks.replay.recorder import DIGEST_BYTES, Recorder, flatten
+from benchmarks.replay.scenarios import SCENARIOS
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 COPIED = ("rosechute", "tests", "benchmarks", "dunefield", "hollyport")
@@ -73,19 +74,45 @@
         self.assertNotIn("not deterministic", printed)
 
     def test_a_tree_is_equal_to_itself(self) -> None:
-        for scenario, share in (("coordination", 0.02), ("distribution", 0.05)):
-            code, printed = replay(ROOT, scenario, share)
-            self.assertEqual(code, 0, printed)
-            self.assertRegex(printed, r"equal: \d+ seeds, [1-9]\d{3,} steps")
+        shares = {
+            "coordination": 0.02,
+            "distribution": 0.05,
+            "quota": 0.03,
+            "routing": 0.1,
+            "router": 0.1,
+            "sidecar": 0.05,
+        }
+        self.assertEqual(set(shares), set(SCENARIOS))
+        for scenario, share in shares.items():
+            with self.subTest(scenario):
+                code, printed = replay(ROOT, scenario, share)
+                self.assertEqual(code, 0, printed)
+                self.assertRegex(printed, r"equal: \d+ seeds, [1-9]\d{3,} steps")
 
     def test_another_period_of_the_coordination_is_found(self) -> None:
-        self.assert_found(
-            "coordination", 0.01, "rosechute/coordination", r"(heartbeat\w*: float) = 0\.15\b", r"\1 = 0.16"
-        )
+        heartbeat = (r"(heartbeat\w*: float) = 0\.15\b", r"\1 = 0.16")
+        self.assert_found("coordination", 0.01, "rosechute/coordination", *heartbeat)
 
     def test_another_period_of_the_distribution_is_found(self) -> None:
         self.assert_found("distribution", 0.05, "rosechute/distribution", r"(RENEW\w* = )0\.4\b", r"\g<1>0.41")
 
+    def test_another_period_of_the_quotas_is_found(self) -> None:
+        self.assert_found("quota", 0.02, "rosechute/routing", r"(REPORT\w* = )0\.45\b", r"\g<1>0.46")
+
+    def test_another_number_of_draws_of_the_router_is_found(self) -> None:
+        for scenario in ("routing", "router"):
+            self.assert_found(scenario, 0.1, "rosechute/routing", r"(FAILING_POWER\w* = )4\b", r"\g<1>5")
+
+    def test_another_number_of_draws_of_the_sidecar_is_found(self) -> None:
+        self.assert_found("sidecar", 0.05, "dunefield", r"(PROBES\w* = )4\b", r"\g<1>3")
+
+    def test_a_tree_that_cannot_be_played_is_no_equal_tree(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            tree = copy_with(folder, "tests/fleet", r"def play\(", "def no_such_entry(")
+            code, printed = replay(tree, "distribution", 0.05)
+        self.assertEqual(code, 1)
+        self.assertNotIn("equal", printed)
+
 
 if __name__ == "__main__":
     unittest.main()
