--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -17,8 +17,8 @@
 from loguru import logger
 
 from rosechute.configuration.process import ProcessSettings
+from rosechute.coordination.outcomes import CommittedConfiguration, Outcome, OutcomeUnknown
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, Outcome, OutcomeUnknown
 from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.core_directory import CoreAddress
 from rosechute.distribution.publisher import Publisher, PublisherState
--- a/rosechute/control_plane/core_report.py
+++ b/rosechute/control_plane/core_report.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 
 
 class CoreReport(msgspec.Struct, frozen=True):
--- a/rosechute/control_plane/operator_api.py
+++ b/rosechute/control_plane/operator_api.py
@@ -14,7 +14,7 @@
 from returns.result import Failure
 
 from rosechute.configuration.operator import parse_configuration
-from rosechute.coordination.types import (
+from rosechute.coordination.outcomes import (
     NoConfiguration,
     Outcome,
     OutcomeUnknown,
--- a/rosechute/control_plane/replica_runtime.py
+++ b/rosechute/control_plane/replica_runtime.py
@@ -15,20 +15,18 @@
 from loguru import logger
 from returns.result import Failure
 
-from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import (
+from rosechute.coordination.actions import (
     Action,
-    CommittedConfiguration,
     ConfigurationCommitted,
     LeadershipGained,
     LeadershipLost,
-    Outcome,
     PersistRecords,
     RateLeaseOwnersPersisted,
     Reply,
     SendMessage,
-    WriteRequest,
 )
+from rosechute.coordination.outcomes import CommittedConfiguration, Outcome, WriteRequest
+from rosechute.coordination.replica import Replica
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.writer import WriteResult
 
@@ -203,9 +201,9 @@
         self._log_change(outcome)
         if isinstance(outcome, Failure):
             self._snapshot_first = True
-            self._perform(self.replica.persist_failed(now, token))
+            self._perform(self.replica.on_persist_failed(now, token))
         else:
-            self._perform(self.replica.persisted(now, token))
+            self._perform(self.replica.on_persisted(now, token))
 
     def _log_change(self, outcome: WriteResult) -> None:
         """Log the first of several failed writes, and the first success after them."""
--- a/rosechute/control_plane/replica_settings.py
+++ b/rosechute/control_plane/replica_settings.py
@@ -1,7 +1,7 @@
 """Derive the settings of a replica from those of its process. Pure."""
 
 from rosechute.configuration.process import ProcessSettings
-from rosechute.coordination.types import ReplicaConfig
+from rosechute.coordination.replica_config import ReplicaConfig
 
 
 def seed_addresses(settings: ProcessSettings) -> tuple[tuple[str, str], ...]:
--- a/rosechute/control_plane/write_requests.py
+++ b/rosechute/control_plane/write_requests.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable
 from typing import Protocol
 
-from rosechute.coordination.types import Outcome
+from rosechute.coordination.outcomes import Outcome
 
 DIGEST_BYTES = 16  # 128 bits: two different write requests never share a digest by chance
 
--- a/rosechute/coordination/__init__.py
+++ b/rosechute/coordination/__init__.py
@@ -1,28 +1,38 @@
-"""Coordination of the core machines: agreed view, chain replication and leader lease. Pure; others may embed it."""
+"""Coordination of the core machines: a replicated register for the configuration, and the election of a leader.
 
-from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import (
+- The view says which machines are acceptors and which form the chain. The next view is decided by single-decree Paxos
+  among the acceptors of the current one (`acceptor`, `proposer`, `planning`, `membership`).
+- The configuration is a register that chain replication keeps on all members of the chain (`chain`).
+- The leader is the machine that holds a lease granted by a majority of the acceptors (`lease_grantor`,
+  `leader_lease`).
+
+`replica` puts the parts together and explains who calls whom. The package does no input or output: calls go in,
+actions come out (`actions`, `outcomes`), and `control_plane.replica_runtime` performs them.
+"""
+
+from rosechute.coordination.actions import (
     Action,
-    CommittedConfiguration,
     ConfigurationCommitted,
     LeadershipGained,
     LeadershipLost,
-    MachineIdentity,
+    PersistRecords,
+    RateLeaseOwnersPersisted,
+    Reply,
+    SendMessage,
+)
+from rosechute.coordination.outcomes import (
+    CommittedConfiguration,
     NoConfiguration,
     Outcome,
     OutcomeUnknown,
-    PersistRecords,
-    RateLeaseOwnersPersisted,
     ReadResult,
     Redirect,
-    ReplicaConfig,
-    Reply,
-    SendMessage,
-    Timing,
     VersionConflict,
     WriteAcknowledged,
     WriteRequest,
 )
+from rosechute.coordination.replica import Replica
+from rosechute.coordination.replica_config import MachineIdentity, ReplicaConfig, Timing
 from rosechute.coordination.views import View
 
 __all__ = [
--- a/rosechute/coordination/acceptor.py
+++ b/rosechute/coordination/acceptor.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import Ballot, StateTag
 from rosechute.messages import coordination_pb2 as pb
 
--- a/rosechute/coordination/chain.py
+++ b/rosechute/coordination/chain.py
@@ -1,6 +1,31 @@
-"""The chain: writes enter at the head, are stored by each member in turn, and count once the tail has stored them.
-
-The head has one write under way at a time; orders behind it wait, since each builds on the version before it.
+"""Chain replication of the configuration register (van Renesse and Schneider, OSDI 2004).
+
+Writes enter at the head of the chain. Each member syncs a write to its disk and forwards it to its successor. A write
+is committed once the tail has synced it, and reads are served by the tail. Members and their order come from the
+agreed view; a new view replaces the chain (vertical Paxos: Lamport, Malkhi, Zhou, PODC 2009).
+
+Two rules go beyond the paper, as a machine may not know yet that its view was replaced: the tail serves a read, and
+the head rejects a write, only after a majority of the acceptors has confirmed that the epoch is not sealed
+(`epoch_confirmer`).
+
+States of a write request at this machine
+-----------------------------------------
+
+- *queued*: waits in `_queue`, because this machine is not the head, the members have not all adopted the epoch,
+  another write is in flight, or the write builds on a version that has not arrived.
+- *in flight*: stored by the head and on its way to the tail (`_in_flight`). There is one at a time, since each write
+  builds on the version before it. The head resends it with a growing delay until the tail has it.
+- *conflict unconfirmed*: its base version is not the current one; the rejection waits until the epoch is confirmed
+  (`_unconfirmed_conflicts`).
+- *completed*: each request that brought the write has its one reply: `WriteAcknowledged`, `VersionConflict`,
+  `Redirect` to the head, or `OutcomeUnknown` after the request deadline or without a majority.
+
+    queued -> in flight -> completed
+    queued -> conflict unconfirmed -> completed, or queued again where the epoch was not confirmed
+    queued -> completed, where another head has committed the write, or at a redirect or time-out
+
+A new view puts a write that is in flight or unconfirmed back into the queue; where the new view already contains it,
+it is acknowledged. A write whose requests have all timed out may still be committed.
 """
 
 from __future__ import annotations
@@ -12,9 +37,7 @@
 
 from rosechute.coordination.context import Context
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
-from rosechute.coordination.replica_state import chain_write_message
-from rosechute.coordination.types import (
-    MachineIdentity,
+from rosechute.coordination.outcomes import (
     NoConfiguration,
     Outcome,
     OutcomeUnknown,
@@ -24,324 +47,377 @@
     WriteAcknowledged,
     WriteRequest,
 )
+from rosechute.coordination.replica_config import MachineIdentity
+from rosechute.coordination.replica_state import chain_write_message
 from rosechute.messages import coordination_pb2 as pb
 
-SILENT_HEARTBEATS = 3  # nobody is sent to a machine of which so many are missing
+SILENT_HEARTBEATS = 3  # missed heartbeats after which no request is redirected to a machine
+
+
+@dataclass(frozen=True, slots=True)
+class PendingRequest:
+    """A request that has no reply yet.
+
+    Attributes:
+        request_id: the runtime's number of the request.
+        arrived_at: when it came, in seconds of the machine's steady clock.
+    """
+
+    request_id: int
+    arrived_at: float
 
 
 @dataclass(slots=True, eq=False)
-class PendingOrder:
-    """An order that waits, with all requests that sent it."""
+class PendingWrite:
+    """A write that is not completed, with all requests that brought it: an operator's client may repeat one."""
 
-    order: WriteRequest
-    requests: list[tuple[int, float]] = field(default_factory=list)  # with the time when each came
+    write: WriteRequest
+    requests: list[PendingRequest] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _Flight:
-    """The write that is under way."""
+class InFlightWrite:
+    """The write on its way through the chain.
+
+    Attributes:
+        sequence: sequence of the register state that it leads to.
+        pending: the write, and who waits for it.
+        sent_at: when it was last sent, in seconds of the machine's steady clock.
+        resend_after_s: delay before it is sent once more; doubles each time.
+    """
 
     sequence: int
-    pending: PendingOrder
-    sent: float
-    wait: float
+    pending: PendingWrite
+    sent_at: float
+    resend_after_s: float
 
 
 class Chain:
-    """This machine as head, middle or tail."""
+    """This machine's part in the chain: head, middle member or tail, and requests of operators at any machine."""
+
+    def __init__(self, context: Context, confirmer: EpochConfirmer, notify_committed: Callable[[], None]) -> None:
+        """Create the part.
 
-    def __init__(self, context: Context, confirmer: EpochConfirmer, committed: Callable[[], None]) -> None:
+        Args:
+            context: what the parts of the replica share.
+            confirmer: confirms that the epoch is current.
+            notify_committed: called whenever a newer configuration may be committed.
+        """
         self._context = context
         self._confirmer = confirmer
-        self._committed = committed
-        self._flight: _Flight | None = None
-        self._queue: deque[PendingOrder] = deque()
-        self._refusals: list[PendingOrder] = []
-        self._reads: deque[tuple[int, float]] = deque()  # with the time when each came; in no order
-        self._number = 0  # of the record with the newest write
-        self.is_active = False  # this is the head, and all members have adopted the epoch
-
-    # Orders
-
-    def propose_write(self, order: WriteRequest) -> None:
-        """An operator's order at this machine."""
+        self._notify_committed = notify_committed
+        self._in_flight: InFlightWrite | None = None
+        self._queue: deque[PendingWrite] = deque()
+        self._unconfirmed_conflicts: list[PendingWrite] = []
+        self._pending_reads: deque[PendingRequest] = deque()  # not ordered by arrival: unconfirmed ones go to the end
+        self._last_write_number = 0  # number of the record with the newest write, see `RecordWriter`
+        self.is_active = False  # this machine is the head, and all members have adopted the epoch
+
+    # Requests of operators
+
+    def propose_write(self, write: WriteRequest) -> None:
+        """Take a write request; its reply comes in this call or later."""
         context = self._context
-        taken = context.replica_state.committed.applied_version(order.digest)
-        if taken is not None:
-            context.outbox.reply(order.request, WriteAcknowledged(taken))
+        applied_version = context.replica_state.committed.applied_version(write.digest)
+        if applied_version is not None:
+            context.outbox.reply(write.request_id, WriteAcknowledged(applied_version))
             return
-        for pending in self._under_way():
-            if pending.order.digest == order.digest:
-                pending.requests.append((order.request, context.now))
-                self._advance()
+        request = PendingRequest(write.request_id, context.now)
+        for pending in self._pending_writes():
+            if pending.write.digest == write.digest:
+                pending.requests.append(request)
+                self._process_pending()
                 return
-        self._queue.append(PendingOrder(order, [(order.request, context.now)]))
-        self._advance()
+        self._queue.append(PendingWrite(write, [request]))
+        self._process_pending()
+
+    def read(self, request_id: int) -> None:
+        """Take a read of the newest committed configuration; its reply comes in this call or later."""
+        self._pending_reads.append(PendingRequest(request_id, self._context.now))
+        self._process_pending()
 
     def activate(self) -> None:
-        """All members of the chain have adopted the epoch; orders may be taken."""
+        """Start to take writes as the head: all members of the chain have adopted the epoch."""
         if not self.is_active:
             self.is_active = True
             self._context.heartbeat_due = True
-            self._next()
+            self._start_next_write()
+
+    def on_view_change(self) -> None:
+        """Requeue or complete what was pending in the old view; called once the new view is adopted."""
+        self.is_active = False
+        pending_writes = self._pending_writes()
+        self._in_flight = None
+        self._queue.clear()
+        self._unconfirmed_conflicts.clear()
+        for pending in pending_writes:
+            self._requeue(pending)
+
+    def tick(self) -> None:
+        """Time out old requests, process the others and resend the write in flight."""
+        for pending in self._pending_writes():
+            self._time_out_requests(pending)
+        self._queue = deque(pending for pending in self._queue if pending.requests)
+        self._time_out_reads()
+        self._process_pending()
+        self._resend_in_flight()
+
+    def _pending_writes(self) -> list[PendingWrite]:
+        """Return the writes in flight, queued and unconfirmed, in this order."""
+        in_flight = [self._in_flight.pending] if self._in_flight is not None else []
+        return [*in_flight, *self._queue, *self._unconfirmed_conflicts]
+
+    def _process_pending(self) -> None:
+        """Process pending requests here, redirect them, or give up where no majority is reachable."""
+        if not self._pending_writes() and not self._pending_reads:
+            return
+        self._complete_committed_writes()
+        if self._is_partitioned():
+            self._complete_all_as_unknown()
+            return
+        self._process_writes()
+        self._process_reads()
+
+    def _process_writes(self) -> None:
+        if self._is_head():
+            self._start_next_write()
+        elif self._queue and (redirect := self._redirect_to(self._context.replica_state.view.head())) is not None:
+            self._complete_queue(redirect)
+
+    def _process_reads(self) -> None:
+        if not self._pending_reads:
+            return
+        view = self._context.replica_state.view
+        if view.chain and view.chain[-1] == self._context.own.id:
+            self._confirm_reads()
+        elif (redirect := self._redirect_to(view.tail())) is not None:
+            self._complete_reads(redirect)
 
     def _is_head(self) -> bool:
         view = self._context.replica_state.view
         return bool(view.chain) and view.chain[0] == self._context.own.id
 
-    def _cut_off(self) -> bool:
-        """Whether no majority answers this machine: nothing will come of waiting."""
+    def _is_partitioned(self) -> bool:
+        """Return whether no majority of the acceptors is reachable, so that waiting is in vain.
+
+        Right after the start nothing is known of the others: then the answer is no.
+        """
         context = self._context
+        view = context.replica_state.view
         if context.now - context.failure_detector.started_at < context.timing.order_deadline:
             return False
-        acceptors = context.replica_state.view.acceptors
-        reached = sum(context.failure_detector.is_reachable(context.now, each.id) for each in acceptors)
-        return reached < context.replica_state.view.majority
+        reachable = sum(context.failure_detector.is_reachable(context.now, each.id) for each in view.acceptors)
+        return reachable < view.majority
+
+    def _redirect_to(self, target: MachineIdentity | None) -> Redirect | None:
+        """Return a redirect to a machine, or None where it is this one or does not seem to run.
 
-    def _elsewhere(self, target: MachineIdentity | None) -> Redirect | None:
-        """Another machine to go to, if it is there: whoever is sent to a silent one loses time."""
+        A client that is redirected to a machine that is down loses its time. A machine that this one has not heard
+        for long may still be reachable for others, where only the path between the two is cut.
+        """
         context = self._context
         if target is None or target.id == context.own.id:
             return None
-        detector, heartbeat = context.failure_detector, context.timing.heartbeat
-        silent = detector.silence_s(context.now, target.id)
-        if silent > context.timing.lease:
-            there = detector.is_reachable_from_another(
-                context.now, target.id
-            )  # its path to this machine alone is cut
+        detector = context.failure_detector
+        silence_s = detector.silence_s(context.now, target.id)
+        if silence_s > context.timing.lease:
+            is_running = detector.is_reachable_from_another(context.now, target.id)
         else:
-            there = silent <= SILENT_HEARTBEATS * heartbeat and detector.is_reachable(context.now, target.id)
-        if not there:
+            is_recent = silence_s <= SILENT_HEARTBEATS * context.timing.heartbeat
+            is_running = is_recent and detector.is_reachable(context.now, target.id)
+        if not is_running:
             return None
         return Redirect(target.control_address)
 
-    def _advance(self) -> None:
-        """Deal with what waits: here, at another machine, or not at all."""
-        waiting = self._under_way()
-        if not waiting and not self._reads:
-            return
-        self._settle_taken()
-        if self._cut_off():
-            for pending in waiting:
-                self._answer(pending, OutcomeUnknown())
-            self._queue.clear()
-            self._settle_reads(OutcomeUnknown())
-            return
-        view = self._context.replica_state.view
-        if self._is_head():
-            self._next()
-        elif self._queue and (elsewhere := self._elsewhere(view.head())) is not None:
-            self._settle_orders(elsewhere)
-        if not self._reads:
-            return
-        if view.chain and view.chain[-1] == self._context.own.id:
-            self._next_reads()
-        elif (elsewhere := self._elsewhere(view.tail())) is not None:
-            self._settle_reads(elsewhere)
-
-    def _settle_taken(self) -> None:
-        """Orders that came into force at another head."""
-        for pending in list(self._queue):
-            taken = self._context.replica_state.committed.applied_version(pending.order.digest)
-            if taken is not None:
-                self._queue.remove(pending)
-                self._answer(pending, WriteAcknowledged(taken))
-
-    def _settle_orders(self, outcome: Outcome) -> None:
-        while self._queue:
-            self._answer(self._queue.popleft(), outcome)
-
-    def _settle_reads(self, outcome: Outcome) -> None:
-        while self._reads:
-            self._context.outbox.reply(self._reads.popleft()[0], outcome)
-
-    def _under_way(self) -> list[PendingOrder]:
-        flight = [self._flight.pending] if self._flight is not None else []
-        return [*flight, *self._queue, *self._refusals]
+    # Queue of the head
 
-    def _next(self) -> None:
-        """Deal with the orders that wait, until one of them is under way."""
+    def _start_next_write(self) -> None:
+        """Process queued writes until one is in flight. Those that wait for their predecessor keep their order."""
         context = self._context
-        early: list[PendingOrder] = []
-        while self.is_active and context.is_epoch_adopted and self._flight is None and self._queue:
+        without_predecessor: list[PendingWrite] = []
+        while self.is_active and context.is_epoch_adopted and self._in_flight is None and self._queue:
             pending = self._queue.popleft()
-            order, current = pending.order, context.replica_state.committed
-            taken = current.applied_version(order.digest)
-            if taken is not None:
-                self._answer(pending, WriteAcknowledged(taken))
-            elif self._early(order):
-                early.append(pending)
-            elif current.may_have_evicted(order.version):
-                self._answer(pending, OutcomeUnknown())
-            elif order.base_version != current.version or order.version <= current.version:
-                self._refusals.append(pending)
-                self._confirmer.confirm_epoch(partial(self._refuse, pending), context.now)
+            applied_version = context.replica_state.committed.applied_version(pending.write.digest)
+            if applied_version is not None:
+                self._reply(pending, WriteAcknowledged(applied_version))
+            elif self._awaits_predecessor(pending.write):
+                without_predecessor.append(pending)
             else:
-                self._start(pending)
-        self._queue.extendleft(reversed(early))
-
-    def _early(self, order: WriteRequest) -> bool:
-        """Whether the order that this one builds on may still be on its way."""
-        return order.base_version > self._context.replica_state.committed.version
-
-    def _start(self, pending: PendingOrder) -> None:
-        context, order = self._context, pending.order
-        state = context.replica_state.committed.with_write(
-            context.replica_state.view.epoch, order.version, order.body, order.digest
-        )
-        self._flight = _Flight(state.sequence, pending, context.now, context.timing.resend_write)
+                self._start_or_reject(pending)
+        self._queue.extendleft(reversed(without_predecessor))
+
+    def _awaits_predecessor(self, write: WriteRequest) -> bool:
+        """Return whether the write builds on one that may still be on its way to this machine."""
+        return write.base_version > self._context.replica_state.committed.version
+
+    def _start_or_reject(self, pending: PendingWrite) -> None:
+        """Start a write on top of the current version; otherwise have its conflict confirmed."""
+        write, current = pending.write, self._context.replica_state.committed
+        if current.may_have_evicted(write.version):
+            self._reply(pending, OutcomeUnknown())
+        elif write.base_version != current.version or write.version <= current.version:
+            self._unconfirmed_conflicts.append(pending)
+            self._confirmer.confirm_epoch(partial(self._on_conflict_checked, pending), self._context.now)
+        else:
+            self._start_write(pending)
+
+    def _start_write(self, pending: PendingWrite) -> None:
+        context, write = self._context, pending.write
+        epoch = context.replica_state.view.epoch
+        state = context.replica_state.committed.with_write(epoch, write.version, write.body, write.digest)
+        self._in_flight = InFlightWrite(state.sequence, pending, context.now, context.timing.resend_write)
         self._store(chain_write_message(state))
 
-    def _refuse(self, pending: PendingOrder, certain: bool) -> None:
-        """The order doesn't fit; say so only if this was certainly the newest epoch."""
-        if pending not in self._refusals:
+    def _on_conflict_checked(self, pending: PendingWrite, *, is_confirmed: bool) -> None:
+        """Reject a write whose base version is not current, if the epoch is confirmed; otherwise requeue it."""
+        if pending not in self._unconfirmed_conflicts:
             return
-        self._refusals.remove(pending)
-        if certain:
-            self._answer(pending, VersionConflict(self._context.replica_state.committed.version))
+        self._unconfirmed_conflicts.remove(pending)
+        if is_confirmed:
+            self._reply(pending, VersionConflict(self._context.replica_state.committed.version))
         else:
-            self._again(pending)
+            self._requeue(pending)
 
-    def _again(self, pending: PendingOrder) -> None:
-        """The view has changed, or nothing is certain: what becomes of an order that was not taken so far."""
-        context = self._context
-        taken = context.replica_state.committed.applied_version(pending.order.digest)
-        if taken is not None:
-            self._answer(pending, WriteAcknowledged(taken))
+    def _requeue(self, pending: PendingWrite) -> None:
+        """Acknowledge a write that the committed state contains; otherwise queue it while a request waits for it."""
+        applied_version = self._context.replica_state.committed.applied_version(pending.write.digest)
+        if applied_version is not None:
+            self._reply(pending, WriteAcknowledged(applied_version))
         elif pending.requests:
             self._queue.append(pending)
 
-    def _answer(self, pending: PendingOrder, outcome: Outcome) -> None:
-        for request, _ in pending.requests:
-            self._context.outbox.reply(request, outcome)
+    # Replies
+
+    def _complete_committed_writes(self) -> None:
+        """Acknowledge queued writes that another head has committed."""
+        for pending in list(self._queue):
+            applied_version = self._context.replica_state.committed.applied_version(pending.write.digest)
+            if applied_version is not None:
+                self._queue.remove(pending)
+                self._reply(pending, WriteAcknowledged(applied_version))
+
+    def _complete_all_as_unknown(self) -> None:
+        for pending in self._pending_writes():
+            self._reply(pending, OutcomeUnknown())
+        self._queue.clear()
+        self._complete_reads(OutcomeUnknown())
+
+    def _complete_queue(self, outcome: Outcome) -> None:
+        while self._queue:
+            self._reply(self._queue.popleft(), outcome)
+
+    def _complete_reads(self, outcome: Outcome) -> None:
+        while self._pending_reads:
+            self._context.outbox.reply(self._pending_reads.popleft().request_id, outcome)
+
+    def _reply(self, pending: PendingWrite, outcome: Outcome) -> None:
+        for request in pending.requests:
+            self._context.outbox.reply(request.request_id, outcome)
         pending.requests.clear()
 
-    def _answer_late(self, pending: PendingOrder) -> None:
-        """Answer the requests that have waited for so long that the operator moves on."""
-        limit = self._context.now - self._context.timing.order_deadline
-        for request, since in pending.requests:
-            if since <= limit:
-                self._context.outbox.reply(request, OutcomeUnknown())
-        pending.requests = [each for each in pending.requests if each[1] > limit]
+    def _time_out_requests(self, pending: PendingWrite) -> None:
+        """Reply to the requests for a write that are past their deadline; the operator's client has moved on."""
+        arrived_by = self._context.now - self._context.timing.order_deadline
+        for request in pending.requests:
+            if request.arrived_at <= arrived_by:
+                self._context.outbox.reply(request.request_id, OutcomeUnknown())
+        pending.requests = [request for request in pending.requests if request.arrived_at > arrived_by]
+
+    def _time_out_reads(self) -> None:
+        now, deadline = self._context.now, self._context.timing.order_deadline
+        for expired in [read for read in self._pending_reads if now - read.arrived_at >= deadline]:
+            self._pending_reads.remove(expired)
+            self._context.outbox.reply(expired.request_id, OutcomeUnknown())
 
-    # Writes
+    # Replication
 
     def on_chain_write(self, sender: MachineIdentity, write: pb.ChainWrite) -> None:
-        """The member before this one passes a write on."""
+        """Store a write that the predecessor forwards, or forward it once more where it is stored already."""
         context = self._context
-        view, replica_state = context.replica_state.view, context.replica_state
+        view, newest = context.replica_state.view, context.replica_state.newest
         if write.epoch != view.epoch or not context.is_epoch_adopted or context.joined_epoch != view.epoch:
             return
         if view.predecessor(context.own.id) != sender.id:
             return
-        newest = replica_state.newest
         if write.sequence == newest.sequence + 1:
             self._store(write)
         elif write.sequence == newest.sequence:
-            context.record_writer.call_when_synced(self._number, partial(self._stored, write.epoch, write.sequence))
-
-    def _store(self, write: pb.ChainWrite) -> None:
-        context = self._context
-        before = context.replica_state.committed.sequence
-        context.record_writer.write(pb.Record(write=write), partial(self._stored, write.epoch, write.sequence))
-        self._number = context.record_writer.last_number
-        if context.replica_state.committed.sequence > before:
-            self._committed()
-
-    def _stored(self, epoch: int, sequence: int) -> None:
-        """A write is synced here: pass it on; at the tail it counts."""
-        context = self._context
-        replica_state, view = context.replica_state, context.replica_state.view
-        if epoch != view.epoch or not context.is_epoch_adopted or replica_state.newest.sequence != sequence:
-            return
-        successor = view.successor(context.own.id)
-        if successor is not None:
-            self._pass_on(successor)
-        else:
-            context.heartbeat_due = True
-            self.on_committed(epoch, sequence)
-
-    def _pass_on(self, successor: MachineIdentity) -> None:
-        write = chain_write_message(self._context.replica_state.newest)
-        self._context.outbox.send(successor, pb.CoreMessage(chain_write=write))
+            self._call_when_stored(write.epoch, write.sequence)
 
     def on_committed(self, epoch: int, sequence: int) -> None:
-        """The tail has stored this write."""
+        """Commit the uncommitted write of this machine: the tail has synced all up to a sequence.
+
+        Args:
+            epoch: epoch in which the tail has synced it.
+            sequence: sequence of the tail's state.
+        """
         context, replica_state = self._context, self._context.replica_state
-        if (
-            epoch != replica_state.view.epoch
-            or replica_state.written is None
-            or replica_state.written.sequence > sequence
-        ):
+        uncommitted = replica_state.uncommitted
+        if epoch != replica_state.view.epoch or uncommitted is None or uncommitted.sequence > sequence:
             return
         replica_state.commit()
-        self._committed()
-        flight = self._flight
-        if flight is not None and flight.sequence <= sequence:
-            self._flight = None
-            self._answer(flight.pending, WriteAcknowledged(flight.pending.order.version))
+        self._notify_committed()
+        in_flight = self._in_flight
+        if in_flight is not None and in_flight.sequence <= sequence:
+            self._in_flight = None
+            self._reply(in_flight.pending, WriteAcknowledged(in_flight.pending.write.version))
         if context.is_epoch_adopted:
-            self._next()
-
-    # Reads
-
-    def read(self, request: int) -> None:
-        """An operator reads the newest configuration."""
-        self._reads.append((request, self._context.now))
-        self._advance()
+            self._start_next_write()
 
-    def _next_reads(self) -> None:
-        """At the tail: what it has stored is the newest, if its epoch is."""
-        while self._context.is_epoch_adopted and self._reads:
-            request, since = self._reads.popleft()
-            self._confirmer.confirm_epoch(partial(self._read, request, since), since)
+    def durable_sequence(self) -> int:
+        """Return the sequence of the newest register state that is synced to this machine's disk."""
+        replica_state = self._context.replica_state
+        is_newest_synced = self._last_write_number <= self._context.record_writer.synced_number
+        return replica_state.newest.sequence if is_newest_synced else replica_state.committed.sequence
 
-    def _read(self, request: int, since: float, certain: bool) -> None:
+    def _store(self, write: pb.ChainWrite) -> None:
+        """Write to the disk. The write before this one is committed by that: see `ReplicaState.commit`."""
         context = self._context
-        configuration = context.replica_state.committed.committed_configuration()
-        if not certain:
-            self._reads.append((request, since))  # another view, or too late
-        elif configuration is None:
-            context.outbox.reply(request, NoConfiguration())
+        committed_before = context.replica_state.committed.sequence
+        context.record_writer.write(pb.Record(write=write), partial(self._on_stored, write.epoch, write.sequence))
+        self._last_write_number = context.record_writer.last_number
+        if context.replica_state.committed.sequence > committed_before:
+            self._notify_committed()
+
+    def _call_when_stored(self, epoch: int, sequence: int) -> None:
+        callback = partial(self._on_stored, epoch, sequence)
+        self._context.record_writer.call_when_synced(self._last_write_number, callback)
+
+    def _on_stored(self, epoch: int, sequence: int) -> None:
+        """Forward a write that is synced here; at the tail, commit it."""
+        context, newest = self._context, self._context.replica_state.newest
+        view = context.replica_state.view
+        if epoch != view.epoch or not context.is_epoch_adopted or newest.sequence != sequence:
+            return
+        successor = view.successor(context.own.id)
+        if successor is not None:
+            context.outbox.send(successor, pb.CoreMessage(chain_write=chain_write_message(newest)))
         else:
-            found = configuration
-            outcome = ReadResult(found.sequence, found.version, found.body, found.digest)
-            context.outbox.reply(request, outcome)
-
-    # Time and views
-
-    def tick(self) -> None:
-        """Repeat a write that is under way; leave no operator waiting."""
-        context, now = self._context, self._context.now
-        for pending in self._under_way():
-            self._answer_late(pending)
-        self._queue = deque(pending for pending in self._queue if pending.requests)
-        for late in [each for each in self._reads if now - each[1] >= context.timing.order_deadline]:
-            self._reads.remove(late)
-            context.outbox.reply(late[0], OutcomeUnknown())
-        self._advance()
-        flight = self._flight
-        if flight is not None and now - flight.sent >= flight.wait:
-            flight.sent, flight.wait = now, 2 * flight.wait
-            context.record_writer.call_when_synced(
-                self._number, partial(self._stored, context.replica_state.view.epoch, flight.sequence)
-            )
-
-    def durable_sequence(self) -> int:
-        """Sequence of the newest state that is synced here."""
-        replica_state = self._context.replica_state
-        return (
-            replica_state.newest
-            if self._number <= self._context.record_writer.synced_number
-            else replica_state.committed
-        ).sequence
+            context.heartbeat_due = True  # the other members learn of the commit by the tail's heartbeat
+            self.on_committed(epoch, sequence)
 
-    def on_view_change(self) -> None:
-        """Another view is adopted: settle or carry over what was under way."""
-        self.is_active = False
-        waiting = self._under_way()
-        self._flight = None
-        self._queue.clear()
-        self._refusals.clear()
-        for pending in waiting:
-            self._again(pending)
+    def _resend_in_flight(self) -> None:
+        now, in_flight = self._context.now, self._in_flight
+        if in_flight is not None and now - in_flight.sent_at >= in_flight.resend_after_s:
+            in_flight.sent_at, in_flight.resend_after_s = now, 2 * in_flight.resend_after_s
+            self._call_when_stored(self._context.replica_state.view.epoch, in_flight.sequence)
+
+    # Reads of the tail
+
+    def _confirm_reads(self) -> None:
+        """Have the epoch confirmed for each pending read: then the tail's state is the newest committed one."""
+        while self._context.is_epoch_adopted and self._pending_reads:
+            read = self._pending_reads.popleft()
+            self._confirmer.confirm_epoch(partial(self._on_read_checked, read), read.arrived_at)
+
+    def _on_read_checked(self, read: PendingRequest, *, is_confirmed: bool) -> None:
+        """Reply to a read with the committed state; queue it once more where the epoch was not confirmed in time."""
+        outbox = self._context.outbox
+        committed = self._context.replica_state.committed.committed_configuration()
+        if not is_confirmed:
+            self._pending_reads.append(read)
+        elif committed is None:
+            outbox.reply(read.request_id, NoConfiguration())
+        else:
+            result = ReadResult(committed.sequence, committed.version, committed.body, committed.digest)
+            outbox.reply(read.request_id, result)
--- a/rosechute/coordination/cluster_status.py
+++ b/rosechute/coordination/cluster_status.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 
 
 @dataclass(frozen=True, slots=True)
--- a/rosechute/coordination/epoch_confirmer.py
+++ b/rosechute/coordination/epoch_confirmer.py
@@ -1,88 +1,119 @@
-"""Certainty that an epoch was still the newest one after a question came.
+"""Confirmation that an epoch was current: no later view had been decided when the question was asked.
 
-A majority of the acceptors that answers "not sealed" shows that no later view had been decided when it was asked.
+To decide on a new view, a proposer needs promises of a majority of the acceptors, and a promise seals the epoch. So
+once a majority of the acceptors answers that they have not sealed the epoch, no later view had been decided when they
+were asked (a quorum read). The tail needs this before it serves a read, the head before it rejects a write.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Protocol
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
 ROUND_BITS = 48
 
 
+class ConfirmationCallback(Protocol):
+    """Receives the result of a confirmation round."""
+
+    def __call__(self, *, is_confirmed: bool) -> None:
+        """Handle the result.
+
+        Args:
+            is_confirmed: whether a majority confirmed the epoch before the deadline.
+        """
+
+
 @dataclass(slots=True)
-class _Question:
+class _Round:
+    """A question to the acceptors.
+
+    Attributes:
+        epoch: the epoch to confirm.
+        started_at: start of its deadline, in seconds of the machine's steady clock.
+        sent_at: when it was last sent.
+        callback: called once with the result.
+        confirmed_by: ids of the acceptors that have confirmed.
+    """
+
     epoch: int
-    since: float
-    sent: float
-    done: Callable[[bool], None]
-    yes: set[str] = field(default_factory=set)
+    started_at: float
+    sent_at: float
+    callback: ConfirmationCallback
+    confirmed_by: set[str] = field(default_factory=set)
 
 
 class EpochConfirmer:
-    """Questions of this machine, and its answers to others."""
+    """Confirmation rounds of this machine, and its answers to the rounds of others."""
 
     def __init__(self, context: Context) -> None:
+        """Start to number rounds at random, so that answers to an earlier process match none of this one."""
         self._context = context
-        self._questions: dict[int, _Question] = {}
-        self._round = int(context.draw() * 2**ROUND_BITS)  # answers to an earlier process don't fit
+        self._rounds: dict[int, _Round] = {}
+        self._round_number = int(context.draw() * 2**ROUND_BITS)
+
+    def confirm_epoch(self, callback: ConfirmationCallback, started_at: float) -> None:
+        """Ask the acceptors whether the current epoch is sealed.
 
-    def confirm_epoch(self, done: Callable[[bool], None], since: float) -> None:
-        """Ask about the current epoch; `done` is told once whether a majority confirmed it in time, counted from
-        `since`."""
+        Args:
+            callback: called once with the result.
+            started_at: start of the deadline (`Timing.order_deadline`), in seconds of the machine's steady clock.
+        """
         context = self._context
-        self._round += 1
-        question = _Question(context.replica_state.view.epoch, since, context.now, done)
-        self._questions[self._round] = question
-        self._send(self._round, question)
+        self._round_number += 1
+        confirmation = _Round(context.replica_state.view.epoch, started_at, context.now, callback)
+        self._rounds[self._round_number] = confirmation
+        self._send(self._round_number, confirmation)
 
     def on_confirm(self, sender: MachineIdentity, confirm: pb.Confirm) -> None:
-        """Another machine asks."""
+        """Confirm an epoch to another machine, if this acceptor has adopted it and not sealed it."""
         context = self._context
         if confirm.epoch == context.replica_state.view.epoch and context.is_epoch_adopted and context.is_acceptor:
             confirmed = pb.Confirmed(epoch=confirm.epoch, round=confirm.round)
             context.outbox.send(sender, pb.CoreMessage(confirmed=confirmed))
 
     def on_confirmed(self, sender: MachineIdentity, confirmed: pb.Confirmed) -> None:
-        """An acceptor confirms."""
+        """Count the confirmation of an acceptor; end the round at a majority."""
         view = self._context.replica_state.view
-        question = self._questions.get(confirmed.round)
-        if question is None or confirmed.epoch != question.epoch or question.epoch != view.epoch:
+        confirmation = self._rounds.get(confirmed.round)
+        if confirmation is None or confirmed.epoch != confirmation.epoch or confirmation.epoch != view.epoch:
             return
         if view.is_acceptor(sender.id):
-            question.yes.add(sender.id)
-        if len(question.yes) >= view.majority:
-            del self._questions[confirmed.round]
-            question.done(self._context.is_epoch_adopted and not self._late(question))
+            confirmation.confirmed_by.add(sender.id)
+        if len(confirmation.confirmed_by) >= view.majority:
+            del self._rounds[confirmed.round]
+            confirmation.callback(is_confirmed=self._context.is_epoch_adopted and not self._is_late(confirmation))
 
     def reject_all(self) -> None:
-        """The epoch has changed: no question about the old one is confirmed."""
-        questions, self._questions = self._questions, {}
-        for question in questions.values():
-            question.done(False)
+        """End all rounds without a confirmation: the epoch has changed."""
+        rounds, self._rounds = self._rounds, {}
+        for confirmation in rounds.values():
+            confirmation.callback(is_confirmed=False)
 
     def tick(self) -> None:
-        """Repeat questions; give up those that take too long."""
+        """Resend rounds to acceptors that have not answered; end those past their deadline."""
         timing, now = self._context.timing, self._context.now
-        for number, question in list(self._questions.items()):
-            if self._late(question):
-                del self._questions[number]
-                question.done(False)
-            elif now - question.sent >= timing.resend:
-                question.sent = now
-                self._send(number, question)
-
-    def _late(self, question: _Question) -> bool:
-        """Whether whoever asked has moved on: after a freeze the answers may be there before the next tick."""
-        return self._context.now - question.since >= self._context.timing.order_deadline
-
-    def _send(self, number: int, question: _Question) -> None:
+        for number, confirmation in list(self._rounds.items()):
+            if self._is_late(confirmation):
+                del self._rounds[number]
+                confirmation.callback(is_confirmed=False)
+            elif now - confirmation.sent_at >= timing.resend:
+                confirmation.sent_at = now
+                self._send(number, confirmation)
+
+    def _is_late(self, confirmation: _Round) -> bool:
+        """Return whether the round is past its deadline.
+
+        Also checked when a confirmation arrives: after a freeze of this machine it may be handled before a tick.
+        """
+        return self._context.now - confirmation.started_at >= self._context.timing.order_deadline
+
+    def _send(self, number: int, confirmation: _Round) -> None:
         for acceptor in self._context.replica_state.view.acceptors:
-            if acceptor.id not in question.yes:
-                confirm = pb.Confirm(epoch=question.epoch, round=number)
+            if acceptor.id not in confirmation.confirmed_by:
+                confirm = pb.Confirm(epoch=confirmation.epoch, round=number)
                 self._context.outbox.send(acceptor, pb.CoreMessage(confirm=confirm))
--- a/rosechute/coordination/failure_detector.py
+++ b/rosechute/coordination/failure_detector.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from rosechute.coordination.types import MachineIdentity, Timing
+from rosechute.coordination.replica_config import MachineIdentity, Timing
 from rosechute.messages import coordination_pb2 as pb
 
 NEVER = float("-inf")
--- a/rosechute/coordination/freshness.py
+++ b/rosechute/coordination/freshness.py
@@ -1,49 +1,69 @@
-"""As of when this machine knows which configuration is the newest acknowledged one.
+"""Bound on the staleness of this machine's knowledge of the newest committed configuration.
 
-Heartbeats bring back the stamps of earlier ones. Once a majority of the acceptors and the tail, all in one epoch
-that none of them has sealed, have answered a stamp, nothing newer than the tail's state had been acknowledged at the
-time of the stamp.
+Heartbeats echo the stamps of earlier heartbeats of this machine. Once a majority of the acceptors and the tail have
+echoed a stamp, all in one epoch that none of them has sealed, nothing newer than the tail's state had been committed
+at the time of the stamp: no later view had been decided, and the tail commits all writes of this one.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from rosechute.coordination.context import Context
 from rosechute.coordination.failure_detector import NEVER
 
 
+class FreshnessBound(NamedTuple):
+    """Nothing above a sequence had been committed some time ago.
+
+    Attributes:
+        sequence: highest sequence that may have been committed then.
+        age_s: how long ago that was, in seconds.
+    """
+
+    sequence: int
+    age_s: float
+
+
 @dataclass(slots=True)
 class Freshness:
-    """The newest such moment on the own clock, and the sequence as of then."""
+    """The newest bound.
+
+    Attributes:
+        context: what the parts of the replica share.
+        sequence: highest sequence that may have been committed at `as_of`.
+        as_of: in seconds of the machine's steady clock; None before the first majority.
+    """
 
     context: Context
     sequence: int = 0
     as_of: float | None = None
 
     def update(self) -> None:
-        """Take the answers that are there into account."""
+        """Advance the bound by the heartbeats received so far."""
         context = self.context
         view = context.replica_state.view
         if not view.chain or not context.is_epoch_adopted:
             return
-        times = [self._answered(each.id) for each in view.acceptors]
-        known = sorted((each for each in times if each is not None), reverse=True)
-        tail = self._answered(view.chain[-1])
-        if tail is None or len(known) < view.majority:
+        stamps = [self._echoed_stamp(acceptor.id) for acceptor in view.acceptors]
+        known = sorted((stamp for stamp in stamps if stamp is not None), reverse=True)
+        tail_stamp = self._echoed_stamp(view.chain[-1])
+        if tail_stamp is None or len(known) < view.majority:
             return
-        as_of = min(tail, known[view.majority - 1])
+        as_of = min(tail_stamp, known[view.majority - 1])
         if as_of == NEVER:
             return
         if self.as_of is None or as_of >= self.as_of:
             self.as_of = as_of
-            self.sequence = max(self.sequence, self._tail_sequence(view.chain[-1]))
+            self.sequence = max(self.sequence, self._sequence_of(view.chain[-1]))
 
-    def read(self, now: float) -> tuple[int, float] | None:
-        """Newest acknowledged sequence, and the age of that knowledge."""
-        return None if self.as_of is None else (self.sequence, now - self.as_of)
+    def bound(self, now: float) -> FreshnessBound | None:
+        """Return the newest bound and its age, or None before the first one."""
+        return None if self.as_of is None else FreshnessBound(self.sequence, now - self.as_of)
 
-    def _answered(self, machine_id: str) -> float | None:
+    def _echoed_stamp(self, machine_id: str) -> float | None:
+        """Return the newest stamp that a machine has echoed in this epoch, unless it has sealed the epoch."""
         context = self.context
         if machine_id == context.own.id:
             return context.now
@@ -52,7 +72,7 @@
             return None
         return peer.echoed_stamp
 
-    def _tail_sequence(self, machine_id: str) -> int:
+    def _sequence_of(self, machine_id: str) -> int:
         context = self.context
         if machine_id == context.own.id:
             return context.replica_state.committed.sequence
--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -9,7 +9,7 @@
 from rosechute.coordination.failure_detector import Peer
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
 
--- a/rosechute/coordination/leader_lease.py
+++ b/rosechute/coordination/leader_lease.py
@@ -18,9 +18,10 @@
 import enum
 from dataclasses import dataclass, field
 
+from rosechute.coordination.actions import LeadershipGained, LeadershipLost
 from rosechute.coordination.context import Context
 from rosechute.coordination.lease_grantor import LeaseGrantor, count_available_grantors
-from rosechute.coordination.types import LeadershipGained, LeadershipLost, MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import View
 from rosechute.messages import coordination_pb2 as pb
 
--- a/rosechute/coordination/lease_grantor.py
+++ b/rosechute/coordination/lease_grantor.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import LeaderTerm
 from rosechute.messages import coordination_pb2 as pb
 
--- a/rosechute/coordination/membership.py
+++ b/rosechute/coordination/membership.py
@@ -14,7 +14,7 @@
 from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.planning import next_view_if_needed, next_view_of_sealed_epoch
 from rosechute.coordination.proposer import Phase, Proposer
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import Ballot, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
@@ -77,7 +77,7 @@
             accepted_ballot: ballot of the accepted proposal that holds both, so that its ballot suffices as a record.
         """
         context = self._context
-        is_joining = context.replica_state.joins(view)
+        is_joining = context.replica_state.becomes_acceptor_in(view)
         if accepted_ballot is not None:
             record = pb.AdoptRecord(accepted=accepted_ballot.to_message())
         else:
@@ -167,9 +167,9 @@
         if self.proposer.phase is not Phase.IDLE or not context.is_acceptor or not context.is_healthy:
             return
         if self._leader_lease.is_held(context.now):
-            if context.replica_state.sealed or self._is_next_view_needed():
+            if context.replica_state.is_sealed or self._is_next_view_needed():
                 self.proposer.begin()
-        elif context.replica_state.sealed:
+        elif context.replica_state.is_sealed:
             # Acceptors take turns in the order of the chain, so that their proposals do not collide.
             wait_s = context.timing.recover_sealed + context.timing.heartbeat * context.chain_position()
             if context.now - self._acceptor.sealed_since >= wait_s:
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from rosechute.coordination.cluster_status import ClusterStatus, JoinCandidate
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import View
 
 
--- a/rosechute/coordination/proposer.py
+++ b/rosechute/coordination/proposer.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field, replace
 
 from rosechute.coordination.context import Context
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
--- a/rosechute/coordination/record_writer.py
+++ b/rosechute/coordination/record_writer.py
@@ -15,8 +15,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from rosechute.coordination.actions import PersistRecords
+from rosechute.coordination.replica_config import Timing
 from rosechute.coordination.replica_state import ReplicaState
-from rosechute.coordination.types import PersistRecords, Timing
 from rosechute.messages import coordination_pb2 as pb
 
 
@@ -134,7 +135,7 @@
         """Queue the whole state, which replaces all records on the disk."""
         self.has_failed = False
         self.replace_next = True
-        self._unwritten.append(self.replica_state.whole().SerializeToString())
+        self._unwritten.append(self.replica_state.snapshot_record().SerializeToString())
 
     def _probe(self) -> None:
         """Queue a record that changes nothing, to see how long its sync takes."""
--- a/rosechute/coordination/replica_state.py
+++ b/rosechute/coordination/replica_state.py
@@ -1,8 +1,17 @@
-"""What a core machine knows: the fold of its durable records.
+"""Replicated and persisted state of a replica: the fold of its write-ahead log.
 
-Every change of this state is a record. Live changes and a start from disk go through the same `apply`, so what is in
-memory is always what the disk will give back once its newest record is synced. A record that is older than what is
-known already changes nothing, so a log may follow a whole record that was made later than its first records.
+Each change of this state is a record. A running replica and one that starts from its disk apply the same records
+through `ReplicaState.apply`, so that the state in memory is what a restart would restore once the newest record is
+synced (event sourcing). Records are idempotent: one that is older than the state changes nothing. A log may therefore
+follow a snapshot that was made later than the first records of the log.
+
+What is kept, and who writes it:
+
+- the machine's identity (`Replica.start`);
+- view, committed state and uncommitted write of the register (`Membership`, `Chain`);
+- promise and accepted proposal for the next view, as single-decree Paxos requires (`Acceptor`);
+- term and grantee of the leader lease (`LeaseGrantor`);
+- edges that may own rate leases (`Replica.persist_rate_lease_owners`).
 """
 
 from __future__ import annotations
@@ -10,7 +19,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import (
     Ballot,
     LeaderTerm,
@@ -25,54 +34,76 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLeaseOwners:
-    """The only edges that may hold rate leases of this term or an earlier one, as this machine noted while it led."""
+    """The edges that may own rate leases, as this machine persisted them while it led.
 
-    term: int = 0  # 0: nothing was noted
+    Attributes:
+        term: no other edge may own a rate lease of this leader term or an earlier one; 0 where nothing was persisted.
+        edges: names of the edges.
+    """
+
+    term: int = 0
     edges: frozenset[str] = frozenset()
 
     def to_message(self) -> pb.RateLeaseHoldersRecord:
-        """As a message."""
+        """Return the owners as a message."""
         return pb.RateLeaseHoldersRecord(term=self.term, edges=sorted(self.edges))
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """The durable knowledge of a machine. `written` is a chain write that isn't known to stay yet."""
+    """The durable state of a machine.
+
+    Attributes:
+        machine: identity that belongs to the disk; None before the first record.
+        newcomer: whether the machine started with the system and has not been an acceptor so far.
+        view: the newest view that was adopted.
+        committed: the newest state of the register that is known to be committed.
+        uncommitted: the state after a write that may not be committed yet.
+        promised: highest ballot promised for the view after `view`; a promise seals the epoch.
+        accepted: proposal accepted for the view after `view`.
+        term: newest term of the leader lease.
+        grantee: machine that was last granted the leader lease; empty before the first grant as an acceptor.
+        grantee_number: number of the record with the grantee; only rises.
+        rate_lease_owners: edges that may own rate leases.
+    """
 
     machine: MachineIdentity | None = None
-    newcomer: bool = False  # started with the system, and not an acceptor so far
+    newcomer: bool = False
     view: View = View()
     committed: RegisterState = RegisterState()
-    written: RegisterState | None = None
-    promised: Ballot | None = None  # for the view after `view`: the epoch is sealed
+    uncommitted: RegisterState | None = None
+    promised: Ballot | None = None
     accepted: Proposal | None = None
     term: LeaderTerm = LeaderTerm()
-    grantee: str = ""  # to whom the newest grant of the leader lease was given; empty before the first as acceptor
-    grantee_number: int = 0  # of the record that told
+    grantee: str = ""
+    grantee_number: int = 0
     rate_lease_owners: RateLeaseOwners = RateLeaseOwners()
 
     @property
-    def sealed(self) -> bool:
-        """Whether the epoch takes no writes any more at this machine."""
+    def is_sealed(self) -> bool:
+        """Whether this machine takes no more writes in the epoch, since it promised a ballot for the next view."""
         return self.promised is not None
 
     @property
     def newest(self) -> RegisterState:
-        """The state with the greatest tag."""
-        return self.written or self.committed
+        """The newest state of the register, committed or not."""
+        return self.uncommitted or self.committed
+
+    def becomes_acceptor_in(self, view: View) -> bool:
+        """Return whether this machine was no acceptor right before a view, or skipped views and can't tell.
 
-    def joins(self, view: View) -> bool:
-        """Whether this machine was no acceptor right before that view, or can't tell: it knows of no grants there."""
+        If so, it knows of no lease grants that the acceptors before it made.
+        """
         own = self.machine.id if self.machine is not None else ""
         return view.epoch != self.view.epoch + 1 or not self.view.is_acceptor(own)
 
     def commit(self) -> None:
-        """The write in `written` is known to stay. A later record implies this, so that it needs none of its own."""
-        if self.written is not None:
-            self.committed, self.written = self.written, None
+        """Commit the uncommitted write. This has no record of its own: the next write, or a new view, implies it."""
+        if self.uncommitted is not None:
+            self.committed, self.uncommitted = self.uncommitted, None
 
     def apply(self, record: pb.Record) -> None:
-        """Change the state by one record."""
+        """Apply one record of the log."""
         kind = record.WhichOneof("body")
         if kind == "machine":
             self._apply_machine(record.machine)
@@ -93,10 +124,10 @@
         elif kind == "rate_lease_holders":
             self._apply_rate_lease_owners(record.rate_lease_holders)
         elif kind == "whole":
-            self._apply_whole(record.whole)
+            self._apply_snapshot(record.whole)
 
     def _apply_machine(self, record: pb.MachineRecord) -> None:
-        if self.machine is None:  # the first record of a disk; again only behind a whole record that knows more
+        if self.machine is None:  # a log may repeat its first record behind a snapshot, which knows more
             self.machine, self.newcomer = identity_from_message(record.machine), record.newcomer
 
     def _apply_promise(self, epoch: int, ballot: Ballot) -> None:
@@ -109,7 +140,7 @@
 
     def _apply_learn(self, state: RegisterState) -> None:
         if state.epoch == self.view.epoch and state.sequence > self.newest.sequence:
-            self.committed, self.written = state, None
+            self.committed, self.uncommitted = state, None
 
     def _apply_term(self, term: LeaderTerm) -> None:
         if term.number > self.term.number:
@@ -119,15 +150,15 @@
         accepted = self.accepted
         if record.HasField("accepted"):
             if accepted is None or accepted.ballot != Ballot.from_message(record.accepted):
-                return  # its proposal is not on this disk: only records that were never relied on
+                return  # the proposal was lost before its sync, so nothing relied on it or on this record
             view, state = accepted.view, accepted.state
         else:
             view, state = View.from_message(record.view), RegisterState.from_message(record.state)
         if view.epoch <= self.view.epoch:
             return
-        if self.joins(view):
+        if self.becomes_acceptor_in(view):
             self.grantee = ""
-        self.view, self.committed, self.written = view, state, None
+        self.view, self.committed, self.uncommitted = view, state, None
         self.promised, self.accepted = None, None
         self.newcomer = self.newcomer and not (self.machine is not None and view.is_acceptor(self.machine.id))
         self._apply_term(view.term)
@@ -137,7 +168,7 @@
             return
         configuration = record.configuration
         self.commit()
-        self.written = self.committed.with_write(
+        self.uncommitted = self.committed.with_write(
             record.epoch, configuration.version, configuration.body, configuration.digest
         )
 
@@ -149,22 +180,22 @@
         if record.term >= self.rate_lease_owners.term:
             self.rate_lease_owners = RateLeaseOwners(record.term, frozenset(record.edges))
 
-    def _apply_whole(self, record: pb.WholeRecord) -> None:
+    def _apply_snapshot(self, record: pb.WholeRecord) -> None:
         self.machine, self.newcomer = identity_from_message(record.machine.machine), record.machine.newcomer
         self.view = View.from_message(record.view)
-        self.committed, self.written = RegisterState.from_message(record.committed), None
+        self.committed, self.uncommitted = RegisterState.from_message(record.committed), None
         if record.HasField("written"):
             self._apply_write(record.written)
         self.promised = Ballot.from_message(record.promised) if record.HasField("promised") else None
         self.accepted = Proposal.from_message(record.accepted) if record.HasField("accepted") else None
         self.term = LeaderTerm.from_message(record.term)
         self.grantee, self.grantee_number = record.grantee.holder, record.grantee.number
-        noted = record.rate_lease_holders
-        self.rate_lease_owners = RateLeaseOwners(noted.term, frozenset(noted.edges))
+        owners = record.rate_lease_holders
+        self.rate_lease_owners = RateLeaseOwners(owners.term, frozenset(owners.edges))
 
-    def whole(self) -> pb.Record:
-        """One record that replaces all earlier ones."""
-        whole = pb.WholeRecord(
+    def snapshot_record(self) -> pb.Record:
+        """Return a record that replaces all earlier ones."""
+        snapshot = pb.WholeRecord(
             view=self.view.to_message(),
             committed=self.committed.to_message(),
             term=self.term.to_message(),
@@ -172,27 +203,27 @@
             rate_lease_holders=self.rate_lease_owners.to_message(),
         )
         if self.machine is not None:
-            whole.machine.CopyFrom(
+            snapshot.machine.CopyFrom(
                 pb.MachineRecord(machine=identity_to_message(self.machine), newcomer=self.newcomer)
             )
-        if self.written is not None:
-            whole.written.CopyFrom(chain_write_message(self.written))
+        if self.uncommitted is not None:
+            snapshot.written.CopyFrom(chain_write_message(self.uncommitted))
         if self.promised is not None:
-            whole.promised.CopyFrom(self.promised.to_message())
+            snapshot.promised.CopyFrom(self.promised.to_message())
         if self.accepted is not None:
-            whole.accepted.CopyFrom(self.accepted.to_message())
-        return pb.Record(whole=whole)
+            snapshot.accepted.CopyFrom(self.accepted.to_message())
+        return pb.Record(whole=snapshot)
 
 
 def chain_write_message(state: RegisterState) -> pb.ChainWrite:
-    """The chain write that leads to this state."""
+    """Return the chain write that leads to a state of the register."""
     configuration = pb.Configuration(version=state.version, body=state.body, digest=state.digest)
     return pb.ChainWrite(epoch=state.epoch, sequence=state.sequence, configuration=configuration)
 
 
-def load_replica_state(saved: Iterable[bytes]) -> ReplicaState:
-    """The state that these records lead to."""
+def load_replica_state(records: Iterable[bytes]) -> ReplicaState:
+    """Return the state that serialized records lead to, oldest first."""
     replica_state = ReplicaState()
-    for data in saved:
+    for data in records:
         replica_state.apply(pb.Record.FromString(data))
     return replica_state
--- a/rosechute/coordination/views.py
+++ b/rosechute/coordination/views.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
+from rosechute.coordination.outcomes import CommittedConfiguration
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
 MACHINE_ID_CHARACTERS = 16  # of a machine id: 64 bits in hexadecimal
--- a/tests/fleet/coordination_parts.py
+++ b/tests/fleet/coordination_parts.py
@@ -4,21 +4,14 @@
 
 from typing import Any
 
+from rosechute.coordination.actions import Action, PersistRecords, Reply, SendMessage
 from rosechute.coordination.context import Context
 from rosechute.coordination.failure_detector import FailureDetector
 from rosechute.coordination.outbox import Outbox
+from rosechute.coordination.outcomes import Outcome, WriteRequest
 from rosechute.coordination.record_writer import RecordWriter
+from rosechute.coordination.replica_config import MachineIdentity, Timing
 from rosechute.coordination.replica_state import ReplicaState
-from rosechute.coordination.types import (
-    Action,
-    MachineIdentity,
-    Outcome,
-    PersistRecords,
-    Reply,
-    SendMessage,
-    Timing,
-    WriteRequest,
-)
 from rosechute.coordination.views import (
     Ballot,
     LeaderTerm,
@@ -136,7 +129,7 @@
     def reload(self) -> ReplicaState:
         """What a later process would find, by the whole state alone."""
         found = ReplicaState()
-        found.apply(self.replica_state.whole())
+        found.apply(self.replica_state.snapshot_record())
         return found
 
     def seal(self, round: int = 1) -> None:
@@ -167,7 +160,7 @@
 
     def answers(self) -> list[tuple[int, Outcome]]:
         """The answers to operators since the last look."""
-        return [(each.request, each.outcome) for each in self.actions() if isinstance(each, Reply)]
+        return [(each.request_id, each.outcome) for each in self.actions() if isinstance(each, Reply)]
 
 
 def order(request: int, base: int = 50, version: int = 51, note: bytes = b"") -> WriteRequest:
--- a/tests/fleet/distribution_day_world.py
+++ b/tests/fleet/distribution_day_world.py
@@ -12,7 +12,7 @@
 import math
 from dataclasses import dataclass
 
-from rosechute.coordination.types import Timing
+from rosechute.coordination.replica_config import Timing
 
 from .distribution_machines import Machine, Process
 from .distribution_world import TENANT, World
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -19,7 +19,8 @@
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.endpoint_list_page import EndpointListError, EndpointListPage, Instance
 from rosechute.control_plane.endpoint_list_reader import EndpointListReader
-from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
+from rosechute.coordination.outcomes import CommittedConfiguration
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.distribution.actions import SendMessage
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.topics import Position
--- a/tests/fleet/exploration/machine.py
+++ b/tests/fleet/exploration/machine.py
@@ -173,13 +173,13 @@
         batch = self.state.queue[0]
         self._write(batch)
         self.change(queue=self.state.queue[1:])
-        self.run(lambda replica: replica.persisted(self.now(), batch.token))
+        self.run(lambda replica: replica.on_persisted(self.now(), batch.token))
 
     def refuse(self) -> None:
         """The disk refuses the oldest batch, and all behind it: a snapshot has to come first."""
         batch = self.state.queue[0]
         self.change(queue=())
-        self.run(lambda replica: replica.persist_failed(self.now(), batch.token))
+        self.run(lambda replica: replica.on_persist_failed(self.now(), batch.token))
 
     def snapshot(self) -> None:
         """A snapshot of the whole state takes the place of the newest batch; without one, of the log at once."""
@@ -206,7 +206,7 @@
             batch = Batch(action.token, tuple(action.records), action.replaces)
             self.change(queue=(*self.state.queue, batch))
         elif isinstance(action, Reply):
-            world.answered(self, action.request, action.outcome)
+            world.answered(self, action.request_id, action.outcome)
         elif isinstance(action, ConfigurationCommitted):
             world.ledger.on_committed(self, action.configuration)
         elif isinstance(action, LeadershipGained | LeadershipLost):
--- a/tests/fleet/exploration/packing.py
+++ b/tests/fleet/exploration/packing.py
@@ -17,8 +17,9 @@
 
 from google.protobuf.message import Message
 
+from rosechute.coordination.outcomes import CommittedConfiguration, WriteRequest
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, ReplicaConfig, Timing, WriteRequest
+from rosechute.coordination.replica_config import MachineIdentity, ReplicaConfig, Timing
 from rosechute.coordination.views import Ballot, LeaderTerm, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2
 
--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -72,28 +72,27 @@
             right(self, *arguments)
 
     _replace(stack, EpochConfirmer, "on_confirmed", on_confirmed)
-    _replace(stack, Chain, "_cut_off", lambda self: False)
+    _replace(stack, Chain, "_is_partitioned", lambda self: False)
 
 
 def _deposed_tail_reads(stack: contextlib.ExitStack) -> None:
-    def next_reads(self: Chain) -> None:
-        while self._context.is_epoch_adopted and self._reads:
-            request, since = self._reads.popleft()
-            self._read(request, since, True)
+    def confirm_reads(self: Chain) -> None:
+        while self._context.is_epoch_adopted and self._pending_reads:
+            self._on_read_checked(self._pending_reads.popleft(), is_confirmed=True)
 
-    _replace(stack, Chain, "_next_reads", next_reads)
-    _replace(stack, Chain, "_cut_off", lambda self: False)
+    _replace(stack, Chain, "_confirm_reads", confirm_reads)
+    _replace(stack, Chain, "_is_partitioned", lambda self: False)
 
 
 def _taken_lost_in_a_snapshot(stack: contextlib.ExitStack) -> None:
-    right = ReplicaState.whole
+    right = ReplicaState.snapshot_record
 
-    def whole(self: ReplicaState) -> pb.Record:
+    def snapshot_record(self: ReplicaState) -> pb.Record:
         record = right(self)
         record.whole.committed.taken = b""
         return record
 
-    _replace(stack, ReplicaState, "whole", whole)
+    _replace(stack, ReplicaState, "snapshot_record", snapshot_record)
 
 
 def _epoch_not_compared(stack: contextlib.ExitStack) -> None:
@@ -120,13 +119,13 @@
 
 
 def _head_does_not_wait(stack: contextlib.ExitStack) -> None:
-    right = Chain._stored
+    right = Chain._on_stored
 
     def stored(self: Chain, epoch: int, sequence: int) -> None:
         right(self, epoch, sequence)
         self.on_committed(epoch, sequence)
 
-    _replace(stack, Chain, "_stored", stored)
+    _replace(stack, Chain, "_on_stored", stored)
 
 
 def _counts_before_the_sync(stack: contextlib.ExitStack) -> None:
@@ -134,7 +133,7 @@
 
     def store(self: Chain, write: pb.ChainWrite) -> None:
         right(self, write)
-        self._stored(write.epoch, write.sequence)
+        self._on_stored(write.epoch, write.sequence)
 
     _replace(stack, Chain, "_store", store)
 
--- a/tests/fleet/exploration/search.py
+++ b/tests/fleet/exploration/search.py
@@ -153,7 +153,7 @@
         marks = [
             f"epoch {view.epoch}",
             f"sequence {replica_state.committed.sequence}",
-            f"written {replica_state.written.sequence}" if replica_state.written is not None else "",
+            f"written {replica_state.uncommitted.sequence}" if replica_state.uncommitted is not None else "",
             f"sealed by {replica_state.promised.round}" if replica_state.promised is not None else "",
             f"leads in term {replica.term}" if replica.is_leader(machine.now()) else "",
             "frozen" if machine.frozen else "",
--- a/tests/fleet/exploration/world.py
+++ b/tests/fleet/exploration/world.py
@@ -134,7 +134,7 @@
 
     def propose_write(self, machine: Machine, order: WriteRequest) -> None:
         def call(replica: Replica) -> list[Action]:
-            self.ledger.on_request(machine, order.request, order)
+            self.ledger.on_request(machine, order.request_id, order)
             return replica.propose_write(machine.now(), order)
 
         machine.run(call)
--- a/tests/fleet/planted_faults/kinds.py
+++ b/tests/fleet/planted_faults/kinds.py
@@ -17,7 +17,7 @@
 LEASES = re.compile(r"lease")
 TIMING_CLASSES = re.compile(r"Timing|Tuning")
 SAVING_FUNCTIONS = re.compile(
-    r"^(_apply_\w+|message|whole|after|in_epoch|\w+_of|with_write|with_epoch|(\w+_)?(to|from)_message|"
+    r"^(_apply_\w+|message|whole|snapshot_record|after|in_epoch|\w+_of|with_write|with_epoch|(\w+_)?(to|from)_message|"
     r"_?encode\w*|_?decode\w*)$"
 )
 SYNCS = {"sync", "fsync", "fdatasync", "sync_entries", "_sync_entries"}
--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -9,8 +9,9 @@
 
 from rosechute.control_plane.replica_runtime import ReplicaRuntime, WriteCallback
 from rosechute.control_plane.write_requests import write_request_digest
+from rosechute.coordination.outcomes import CommittedConfiguration, Outcome, ReadResult, Redirect
 from rosechute.coordination.replica import Replica
-from rosechute.coordination.types import CommittedConfiguration, Outcome, ReadResult, Redirect, ReplicaConfig
+from rosechute.coordination.replica_config import ReplicaConfig
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.record_store import RecordStore
 
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -104,10 +104,10 @@
         self, machine: Machine, order: WriteRequest, answered: Callable[[Machine, Outcome], None]
     ) -> None:
         """An order reaches a machine; nothing comes back where no process runs."""
-        self.answers[order.request] = answered
+        self.answers[order.request_id] = answered
 
         def call(replica: Replica) -> list[Action]:
-            self.on_request(machine, order.request, order)
+            self.on_request(machine, order.request_id, order)
             return replica.propose_write(machine.now(), order)
 
         machine.request(lambda: machine.run(call))
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -10,7 +10,8 @@
 
 from rosechute.configuration.process import CloudApi, Listen, ProcessSettings
 from rosechute.control_plane.core_machine import CoreMachine
-from rosechute.coordination.types import CommittedConfiguration, MachineIdentity, OutcomeUnknown
+from rosechute.coordination.outcomes import CommittedConfiguration, OutcomeUnknown
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.distribution.values import ListedServer
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind
--- a/tests/fleet/test_control_core_report.py
+++ b/tests/fleet/test_control_core_report.py
@@ -7,7 +7,8 @@
 from unittest import TestCase
 
 from rosechute.control_plane.core_report import build_core_report
-from rosechute.coordination.types import CommittedConfiguration, MachineIdentity
+from rosechute.coordination.outcomes import CommittedConfiguration
+from rosechute.coordination.replica_config import MachineIdentity
 
 OWN = MachineIdentity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
 OTHER = MachineIdentity("b", "core-b", "z", "10.0.0.2:8367", "10.0.0.2:7500")
--- a/tests/fleet/test_control_largest_write.py
+++ b/tests/fleet/test_control_largest_write.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 
 from rosechute.control_plane.operator_api import BODY_LIMIT_BYTES
-from rosechute.coordination.types import MachineIdentity
+from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.coordination.views import (
     APPLIED_WRITE_BYTES,
     MAX_APPLIED_WRITES,
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -12,7 +12,7 @@
 from rosechute.control_plane import operator_api
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER, READ_PATH, REPLACE_PATH, OperatorApi
 from rosechute.control_plane.write_requests import write_request_digest
-from rosechute.coordination.types import (
+from rosechute.coordination.outcomes import (
     NoConfiguration,
     Outcome,
     OutcomeUnknown,
--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -220,6 +220,6 @@
         replica_state = ReplicaState()
         replica_state.apply(self.note(4, A, B))
         self.assertEqual(
-            load_replica_state([replica_state.whole().SerializeToString()]).rate_lease_owners,
+            load_replica_state([replica_state.snapshot_record().SerializeToString()]).rate_lease_owners,
             RateLeaseOwners(4, names(A, B)),
         )
--- a/tests/fleet/test_control_replica_runtime.py
+++ b/tests/fleet/test_control_replica_runtime.py
@@ -8,7 +8,7 @@
 
 from rosechute.control_plane import replica_runtime
 from rosechute.control_plane.core_report import build_core_report
-from rosechute.coordination.types import VersionConflict, WriteAcknowledged
+from rosechute.coordination.outcomes import VersionConflict, WriteAcknowledged
 from rosechute.storage.layout import encode_slot
 
 from .simulated_core import SimulatedCore, SimulatedMachine
--- a/tests/fleet/test_coordination_planted.py
+++ b/tests/fleet/test_coordination_planted.py
@@ -17,6 +17,7 @@
     ReplicaConfig,
     acceptor,
     chain,
+    commit_notifier,
     context,
     epoch_confirmer,
     freshness,
@@ -101,14 +102,14 @@
         self.objects_to("read", wiped_machine_returns_first, change)
 
     def test_reads_of_a_deposed_tail(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(is_confirmed=True))
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
         self.objects_to("read", deposed_tail_reads)
 
     def test_refusals_of_a_deposed_head(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
-        self.plant(chain.Chain, "_early", lambda self, order: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(is_confirmed=True))
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
+        self.plant(chain.Chain, "_awaits_predecessor", lambda self, order: False)
         self.objects_to("refused", deposed_head_refuses)
 
     def test_sealed_acceptor_goes_on(self) -> None:
@@ -184,7 +185,7 @@
 
         def store(self: chain.Chain, write: Any) -> None:
             right(self, write)
-            self._stored(write.epoch, write.sequence)
+            self._on_stored(write.epoch, write.sequence)
 
         def change(world: World) -> None:
             for machine in world.machines:
@@ -194,13 +195,13 @@
         self.objects({"lost", "line", "read"}, {"power_loss_all"}, change)
 
     def test_head_does_not_wait_for_the_tail(self) -> None:
-        right = chain.Chain._stored
+        right = chain.Chain._on_stored
 
         def stored(self: chain.Chain, epoch: int, sequence: int) -> None:
             right(self, epoch, sequence)
             self.on_committed(epoch, sequence)
 
-        self.plant(chain.Chain, "_stored", stored)
+        self.plant(chain.Chain, "_on_stored", stored)
         self.objects({"lost", "line", "read", "back", "fresh"}, {"freeze_one", "cut_one", "kill_one"}, troubles=8)
 
     def test_taken_orders_forgotten(self) -> None:
@@ -208,16 +209,16 @@
         self.objects({"refused"}, {"kill_one"})
 
     def test_order_taken_twice(self) -> None:
-        right = chain.Chain._next
+        right = chain.Chain._start_next_write
 
         def following(self: chain.Chain) -> None:
             for pending in self._queue:
-                object.__setattr__(pending.order, "base_version", self._context.replica_state.committed.version)
-                object.__setattr__(pending.order, "version", self._context.replica_state.committed.version + 1)
+                object.__setattr__(pending.write, "base_version", self._context.replica_state.committed.version)
+                object.__setattr__(pending.write, "version", self._context.replica_state.committed.version + 1)
             right(self)
 
         self.plant(replica_module.RegisterState, "applied_version", lambda self, digest: None)
-        self.plant(chain.Chain, "_next", following)
+        self.plant(chain.Chain, "_start_next_write", following)
         self.objects({"twice", "line", "refused"}, {"kill_one"})
 
     def test_freshness_without_a_majority(self) -> None:
@@ -231,17 +232,17 @@
         self.objects({"fresh"}, {"cut_one", "freeze_one", "cut_one_way", "cut_in_two"}, troubles=8)
 
     def test_committed_goes_back(self) -> None:
-        right = replica_module.Replica._tell_committed
+        right = commit_notifier.CommitNotifier.notify
 
-        def tell(self: Replica) -> None:
-            self._told = 0
+        def notify(self: commit_notifier.CommitNotifier) -> None:
+            self.last_sequence = 0
             right(self)
 
-        self.plant(replica_module.Replica, "_tell_committed", tell)
+        self.plant(commit_notifier.CommitNotifier, "notify", notify)
         self.objects({"back"}, {"kill_one"})
 
     def test_order_without_an_answer(self) -> None:
-        self.plant(chain.Chain, "_answer_late", lambda self, pending: None)
+        self.plant(chain.Chain, "_time_out_requests", lambda self, pending: None)
         self.objects({"answer"}, {"freeze_some", "cut_in_two", "kill_some"}, troubles=8)
 
     def test_no_view_is_proposed(self) -> None:
@@ -270,8 +271,8 @@
 
     def call(self: Any, *arguments: Any) -> None:
         known = self._context.replica_state
-        written, known.written = known.written, None
+        written, known.uncommitted = known.uncommitted, None
         right(self, *arguments)
-        known.written = written
+        known.uncommitted = written
 
     return call
--- a/tests/fleet/test_coordination_planted_worlds.py
+++ b/tests/fleet/test_coordination_planted_worlds.py
@@ -67,24 +67,24 @@
     # Answers of machines that are cut off
 
     def test_refusal_without_a_majority(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(is_confirmed=True))
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
         self.objects_to("certain", stale_order_behind_a_cut)
 
     def test_read_without_a_majority(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(is_confirmed=True))
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
         self.objects_to("certain", deposed_tail_reads)
 
     def test_acknowledgement_of_a_head_that_hears_nobody(self) -> None:
-        right = chain.Chain._stored
+        right = chain.Chain._on_stored
 
         def stored(self: chain.Chain, epoch: int, sequence: int) -> None:
             right(self, epoch, sequence)
             self.on_committed(epoch, sequence)
 
-        self.plant(chain.Chain, "_stored", stored)
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
+        self.plant(chain.Chain, "_on_stored", stored)
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
         self.objects_to("certain", acknowledged_behind_a_cut)
 
     def test_schedules_hold_without_a_fault(self) -> None:
@@ -95,10 +95,10 @@
     # Proper orders
 
     def test_proper_order_refused(self) -> None:
-        def start(self: chain.Chain, pending: chain.PendingOrder) -> None:
-            self._answer(pending, VersionConflict(self._context.replica_state.committed.version))
+        def start(self: chain.Chain, pending: chain.PendingWrite) -> None:
+            self._reply(pending, VersionConflict(self._context.replica_state.committed.version))
 
-        self.plant(chain.Chain, "_start", start)
+        self.plant(chain.Chain, "_start_write", start)
         self.objects({"proper"}, Kind.SHORT)
 
     # Members after a loss
--- a/tests/fleet/test_coordination_schedules.py
+++ b/tests/fleet/test_coordination_schedules.py
@@ -558,7 +558,7 @@
         middle.start()  # its restart seals the epoch
         first = cluster.read(tail)
         cluster.run(0.7)
-        self.assertTrue(cluster.replica(tail)._context.replica_state.sealed)
+        self.assertTrue(cluster.replica(tail)._context.replica_state.is_sealed)
         second = cluster.read(tail)  # waits for the next view; behind it the first one, once it can't be confirmed
         cluster.run(0.35)
         self.assertEqual((first, second), ([OutcomeUnknown()], []))
--- a/tests/fleet/test_coordination_snapshots.py
+++ b/tests/fleet/test_coordination_snapshots.py
@@ -275,7 +275,7 @@
                 self._found(lost)
 
     def _found(self, lost: Lost) -> None:
-        right = replica_state.ReplicaState.whole
+        right = replica_state.ReplicaState.snapshot_record
 
         def whole(known: replica_state.ReplicaState) -> pb.Record:
             record = right(known)
@@ -284,7 +284,7 @@
 
         judged = {lost.check}
         with (
-            mock.patch.object(replica_state.ReplicaState, "whole", whole),
+            mock.patch.object(replica_state.ReplicaState, "snapshot_record", whole),
             self.assertRaises(AssertionError) as caught,
         ):
             for seed in range(SEEDS):
--- a/tests/fleet/test_coordination_worst_days.py
+++ b/tests/fleet/test_coordination_worst_days.py
@@ -161,7 +161,7 @@
             for machine in cluster.machines:  # restored from a whole record alone
                 machine.kill()
                 store, records = RecordStore.open(machine.disk.folder).unwrap()
-                store.write_snapshot([load_replica_state(records).whole().SerializeToString()]).unwrap()
+                store.write_snapshot([load_replica_state(records).snapshot_record().SerializeToString()]).unwrap()
                 machine.start()
             self.assertLessEqual(cluster.operate(), ACKNOWLEDGED_WITHIN_S)
             cluster.run(1.0)
@@ -337,7 +337,7 @@
         empty = ReplicaState()
         for each in dataclasses.fields(ReplicaState):
             self.assertNotEqual(getattr(kept, each.name), getattr(empty, each.name), each.name)
-        self.assertEqual(load_replica_state([kept.whole().SerializeToString()]), kept)
+        self.assertEqual(load_replica_state([kept.snapshot_record().SerializeToString()]), kept)
 
     def test_a_grantee_noted_for_later_is_dropped_where_the_machine_joins_anew(self) -> None:
         cluster = Cluster(3)
--- a/tests/fleet/test_coordination_worst_planted.py
+++ b/tests/fleet/test_coordination_worst_planted.py
@@ -43,17 +43,17 @@
     # Point 1
 
     def test_reads_and_refusals_without_a_majority(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(is_confirmed=True))
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
         self.assert_fails(days.CutOff("test_orders_and_reads_at_a_machine_cut_off_for_twenty_seconds"))
 
     def test_buffered_reads_without_a_majority(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(True))
-        self.plant(chain.Chain, "_cut_off", lambda self: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "confirm_epoch", lambda self, done, since: done(is_confirmed=True))
+        self.plant(chain.Chain, "_is_partitioned", lambda self: False)
         self.assert_fails(days.CutOff("test_requests_in_the_buffers_of_a_machine_that_wakes"))
 
     def test_confirmations_without_an_end(self) -> None:
-        self.plant(epoch_confirmer.EpochConfirmer, "_late", lambda self, question: False)
+        self.plant(epoch_confirmer.EpochConfirmer, "_is_late", lambda self, question: False)
         self.assert_fails(days.CutOff("test_a_read_confirmed_before_a_freeze_is_not_answered_after_it"))
 
     # Point 2
@@ -63,14 +63,14 @@
         self.assert_fails(days.SameNumber("test_a_taken_order_after_many_later_ones_and_restarts"))
 
     def test_taken_orders_lost_with_a_snapshot(self) -> None:
-        right = replica_state.ReplicaState.whole
+        right = replica_state.ReplicaState.snapshot_record
 
         def whole(self: replica_state.ReplicaState) -> pb.Record:
             record = right(self)
             record.whole.committed.taken = b""
             return record
 
-        self.plant(replica_state.ReplicaState, "whole", whole)
+        self.plant(replica_state.ReplicaState, "snapshot_record", whole)
         self.assert_fails(days.SameNumber("test_a_taken_order_after_many_later_ones_and_restarts"))
 
     def test_oldest_taken_orders_refused(self) -> None:
@@ -78,19 +78,19 @@
         self.assert_fails(days.SameNumber("test_an_order_older_than_all_that_are_remembered_is_not_refused"))
 
     def test_orders_refused_that_come_before_their_base(self) -> None:
-        self.plant(chain.Chain, "_early", lambda self, order: False)
+        self.plant(chain.Chain, "_awaits_predecessor", lambda self, order: False)
         self.assert_fails(days.SameNumber("test_an_order_that_builds_on_one_under_way_waits_for_it"))
 
     def test_two_orders_under_way(self) -> None:
-        right = chain.Chain._next
+        right = chain.Chain._start_next_write
 
         def following(self: chain.Chain) -> None:
             for pending in self._queue:
-                object.__setattr__(pending.order, "base_version", self._context.replica_state.committed.version)
-                object.__setattr__(pending.order, "version", self._context.replica_state.committed.version + 1)
+                object.__setattr__(pending.write, "base_version", self._context.replica_state.committed.version)
+                object.__setattr__(pending.write, "version", self._context.replica_state.committed.version + 1)
             right(self)
 
-        self.plant(chain.Chain, "_next", following)
+        self.plant(chain.Chain, "_start_next_write", following)
         self.assert_fails(days.SameNumber("test_same_number_in_one_turn"))
 
     # Point 3
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -25,7 +25,8 @@
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.core_report import CoreReport
 from rosechute.control_plane.operator_api import BASE_VERSION_HEADER
-from rosechute.coordination.types import MachineIdentity, OutcomeUnknown, ReplicaConfig
+from rosechute.coordination.outcomes import OutcomeUnknown
+from rosechute.coordination.replica_config import MachineIdentity, ReplicaConfig
 from rosechute.distribution.actions import DialedLink, SendMessage
 from rosechute.distribution.core_directory import CoreAddress
 from rosechute.distribution.publisher import PublisherState
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -13,6 +13,7 @@
 from loguru import logger
 from returns.result import Failure, Success
 
+from rosechute import coordination as core
 from rosechute.configuration.process import Bounds
 from rosechute.control_plane import operator_api, quota_policy, rate_leases, token_bucket
 from rosechute.control_plane.operator_api import OperatorApi
@@ -35,7 +36,6 @@
 from rosechute.control_plane.replica_runtime import LOG_LIMIT_BYTES, ReplicaRuntime
 from rosechute.control_plane.token_bucket import TokenDemand
 from rosechute.control_plane.write_requests import write_request_digest
-from rosechute.coordination import types as core
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.routing.lease_exchange import LeaseGrant, LeaseReport
@@ -746,8 +746,8 @@
         self.actions: list[core.Action] = []
         replica = SimpleNamespace(
             snapshot=lambda: [b"whole"],
-            persisted=lambda now, token: self.called("persisted", token),
-            persist_failed=lambda now, token: self.called("failed", token),
+            on_persisted=lambda now, token: self.called("persisted", token),
+            on_persist_failed=lambda now, token: self.called("failed", token),
             propose_write=lambda now, order: self.called("submit", order),
             read=lambda now, request: self.called("read", request),
             resign=lambda now: self.called("resign"),
@@ -847,11 +847,12 @@
             (_, order), (_, request) = self.calls
             told = (order.base_version, order.version, order.body, order.digest)
             self.assertEqual(told, (1, 2, b"body", b"digest"))
-            self.assertNotEqual(order.request, request)
+            self.assertNotEqual(order.request_id, request)
             self.act(core.Reply(request, core.NoConfiguration()))
             self.assertEqual((first.done(), second.result()), (False, core.NoConfiguration()))
             self.act(
-                core.Reply(order.request, core.WriteAcknowledged(2)), core.Reply(order.request, core.OutcomeUnknown())
+                core.Reply(order.request_id, core.WriteAcknowledged(2)),
+                core.Reply(order.request_id, core.OutcomeUnknown()),
             )
             self.assertEqual(first.result(), core.WriteAcknowledged(2))
             await asyncio.sleep(0)
--- a/tests/fleet/test_planted_coordination_acceptor.py
+++ b/tests/fleet/test_planted_coordination_acceptor.py
@@ -100,12 +100,14 @@
         self.assertEqual(Proposal.from_message(promise.accepted), proposal(1))
 
     def test_promise_carries_a_newer_state_and_the_term(self) -> None:
-        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.replica_state.uncommitted = self.parts.replica_state.committed.with_write(
+            EPOCH, 51, b"w", b"W" * 32
+        )
         self.parts.replica_state.term = term(4)
         self.prepare(1, known=(EPOCH, 5))
         self.parts.sync()
         (promise,) = self.parts.sent("promise")
-        self.assertEqual(RegisterState.from_message(promise.state), self.parts.replica_state.written)
+        self.assertEqual(RegisterState.from_message(promise.state), self.parts.replica_state.uncommitted)
         self.assertEqual((promise.term.number, promise.term.holder, promise.term.boot), (4, "b", 8))
 
     def test_acceptance_is_sent_once_synced(self) -> None:
@@ -159,9 +161,9 @@
         self.parts.pass_time(2.0, hearing="c")
         self.prepare(1, "b")
         self.accept(proposal(1, "b"), "b")
-        self.assertFalse(self.parts.replica_state.sealed)
+        self.assertFalse(self.parts.replica_state.is_sealed)
         self.prepare(1, "c")
-        self.assertTrue(self.parts.replica_state.sealed)
+        self.assertTrue(self.parts.replica_state.is_sealed)
 
     def test_sealed_since_the_newest_record(self) -> None:
         self.parts.pass_time(1.0, hearing="bc")
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -8,25 +8,21 @@
 from typing import Any
 
 from rosechute.coordination import Replica, ReplicaConfig
+from rosechute.coordination.actions import ConfigurationCommitted, LeadershipLost, PersistRecords, SendMessage
 from rosechute.coordination.chain import SILENT_HEARTBEATS, Chain
 from rosechute.coordination.cluster_status import ClusterStatus, JoinCandidate
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
-from rosechute.coordination.planning import next_view_if_needed, next_view_of_sealed_epoch
-from rosechute.coordination.replica_state import chain_write_message, load_replica_state
-from rosechute.coordination.types import (
-    ConfigurationCommitted,
-    LeadershipLost,
-    MachineIdentity,
+from rosechute.coordination.outcomes import (
     NoConfiguration,
     OutcomeUnknown,
-    PersistRecords,
     ReadResult,
     Redirect,
-    SendMessage,
-    Timing,
     VersionConflict,
     WriteAcknowledged,
 )
+from rosechute.coordination.planning import next_view_if_needed, next_view_of_sealed_epoch
+from rosechute.coordination.replica_config import MachineIdentity, Timing
+from rosechute.coordination.replica_state import chain_write_message, load_replica_state
 from rosechute.coordination.views import (
     MAX_APPLIED_WRITES,
     RegisterState,
@@ -49,13 +45,13 @@
         super().__init__(parts.context)
         self.waiting: list[Any] = []
 
-    def confirm_epoch(self, done: Any, since: float) -> None:
-        self.waiting.append((done, since))
+    def confirm_epoch(self, callback: Any, started_at: float) -> None:
+        self.waiting.append((callback, started_at))
 
     def confirm(self, certain: bool = True) -> None:
         waiting, self.waiting = self.waiting, []
-        for done, _ in waiting:
-            done(certain)
+        for callback, _ in waiting:
+            callback(is_confirmed=certain)
 
 
 class Link:
@@ -328,9 +324,9 @@
     def test_what_was_under_way_is_settled_by_the_new_state(self) -> None:
         self.chain.propose_write(order(1))
         self.chain.propose_write(order(2, 51, 52))
-        taken = self.parts.replica_state.written
+        taken = self.parts.replica_state.uncommitted
         assert taken is not None
-        self.parts.replica_state.committed, self.parts.replica_state.written = taken, None
+        self.parts.replica_state.committed, self.parts.replica_state.uncommitted = taken, None
         self.chain.on_view_change()
         self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
         self.assertFalse(self.chain.is_active)
@@ -341,7 +337,7 @@
     def test_what_was_not_taken_is_tried_again(self) -> None:
         self.chain.propose_write(order(1))
         self.parts.sync()
-        self.parts.replica_state.written = None
+        self.parts.replica_state.uncommitted = None
         self.chain.on_view_change()
         self.assertEqual(self.parts.answers(), [])
         self.chain.activate()
@@ -359,7 +355,7 @@
     def test_what_nobody_waits_for_is_not_tried_again(self) -> None:
         self.chain.propose_write(order(1))
         self.link.pass_time(TIMING.order_deadline, hearing="bc")
-        self.parts.replica_state.written = None
+        self.parts.replica_state.uncommitted = None
         self.parts.sync()
         self.chain.on_view_change()
         self.chain.activate()
@@ -762,7 +758,7 @@
 
     def sync(self, now: float = NOW) -> list[Any]:
         (persist,) = [each for each in self.actions if isinstance(each, PersistRecords)]
-        self.actions = self.replica.persisted(now, persist.token)
+        self.actions = self.replica.on_persisted(now, persist.token)
         return self.actions
 
     def saved(self, own: str = "a", **fields: Any) -> list[bytes]:
@@ -770,7 +766,7 @@
         parts = Parts(own)
         for name, value in fields.items():
             setattr(parts.replica_state, name, value)
-        return [parts.replica_state.whole().SerializeToString()]
+        return [parts.replica_state.snapshot_record().SerializeToString()]
 
     def handle(self, kind: str, body: Any, sender: str = "b", boot: int = 8, now: float = NOW) -> list[Any]:
         message = pb.CoreMessage(**{kind: body}, boot=boot, sender=identity_to_message(identity(sender)))
@@ -831,7 +827,7 @@
     def test_a_restarted_tail_knows_that_its_write_counts(self) -> None:
         written = state().with_write(EPOCH, 51, b"w", b"W" * 32)
         for own, sequence in (("c", 6), ("a", 5), ("b", 5)):
-            replica = self.start(self.saved(own, written=written))
+            replica = self.start(self.saved(own, uncommitted=written))
             committed = replica.committed
             assert committed is not None
             self.assertEqual(committed.sequence, sequence, own)
@@ -843,7 +839,7 @@
             request = pb.LeaseRequest(epoch=EPOCH, term=3, stamp=1.0)
             actions = self.handle("lease_request", request, "c", now=now)
             for each in [each for each in actions if isinstance(each, PersistRecords)]:
-                actions = self.replica.persisted(now, each.token)
+                actions = self.replica.on_persisted(now, each.token)
             grants = [
                 each for each in actions if isinstance(each, SendMessage) and each.message.HasField("lease_grant")
             ]
@@ -861,7 +857,7 @@
             self.hear(each)
         actions = self.replica.tick(NOW + 0.01)
         for persist in [each for each in actions if isinstance(each, PersistRecords)]:
-            self.replica.persisted(NOW + 0.01, persist.token)
+            self.replica.on_persisted(NOW + 0.01, persist.token)
         grant = pb.LeaseGrant(epoch=EPOCH, term=1, stamp=NOW + 0.01, boot=2**51 + 1)
         self.handle("lease_grant", grant, now=NOW + 0.02)
         self.assertTrue(self.replica.is_leader(NOW + 0.02))
@@ -985,7 +981,7 @@
         self.hear("b")
         actions = self.handle("prepare", pb.Prepare(epoch=EPOCH, ballot=pb.Ballot(round=1, proposer="b", boot=8)))
         (persist,) = [each for each in actions if isinstance(each, PersistRecords)]
-        self.replica.persist_failed(NOW, persist.token)
+        self.replica.on_persist_failed(NOW, persist.token)
         self.assertFalse(self.replica._context.is_healthy)
 
     def test_answers_to_a_behind_machine_bring_it_forward(self) -> None:
--- a/tests/fleet/test_planted_coordination_epoch_confirmer.py
+++ b/tests/fleet/test_planted_coordination_epoch_confirmer.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
-from rosechute.coordination.types import Timing
+from rosechute.coordination.replica_config import Timing
 from rosechute.messages import coordination_pb2 as pb
 
 from .coordination_parts import EPOCH, NOW, Parts, identity, view
@@ -22,8 +22,11 @@
         self.confirmer = EpochConfirmer(self.parts.context)
         self.results: list[bool] = []
 
+    def on_result(self, *, is_confirmed: bool) -> None:
+        self.results.append(is_confirmed)
+
     def ask(self, since: float = NOW) -> int:
-        self.confirmer.confirm_epoch(self.results.append, since)
+        self.confirmer.confirm_epoch(self.on_result, since)
         (question, *_) = self.parts.sent("confirm")
         self.assertEqual(question.epoch, EPOCH)
         return int(question.round)
@@ -32,7 +35,7 @@
         self.confirmer.on_confirmed(identity(sender), pb.Confirmed(epoch=epoch, round=number))
 
     def test_prepare_is_sent_to_all_acceptors(self) -> None:
-        self.confirmer.confirm_epoch(self.results.append, NOW)
+        self.confirmer.confirm_epoch(self.on_result, NOW)
         self.assertEqual(sorted(self.parts.sent_to("confirm")), ["a", "b", "c"])
 
     def test_majority_confirms_once(self) -> None:
--- a/tests/fleet/test_planted_coordination_failure_detector.py
+++ b/tests/fleet/test_planted_coordination_failure_detector.py
@@ -5,7 +5,7 @@
 import unittest
 
 from rosechute.coordination.failure_detector import FORGET_UNKNOWN_AFTER_S, NEVER, FailureDetector
-from rosechute.coordination.types import Timing
+from rosechute.coordination.replica_config import Timing
 from rosechute.messages import coordination_pb2 as pb
 
 from .coordination_parts import NOW, OWN_INCARNATION, Parts, identity
--- a/tests/fleet/test_planted_coordination_freshness.py
+++ b/tests/fleet/test_planted_coordination_freshness.py
@@ -5,7 +5,7 @@
 import unittest
 
 from rosechute.coordination.freshness import Freshness
-from rosechute.coordination.types import Timing
+from rosechute.coordination.replica_config import Timing
 
 from .coordination_parts import EPOCH, NOW, Parts, view
 
@@ -20,15 +20,15 @@
         self.freshness = Freshness(self.parts.context)
 
     def test_fresh_by_a_majority_and_the_tail(self) -> None:
-        self.assertIsNone(self.freshness.read(NOW))
+        self.assertIsNone(self.freshness.bound(NOW))
         self.parts.hear("c", sequence=8)
         self.freshness.update()
-        self.assertEqual(self.freshness.read(NOW + 2.0), (8, 2.0))
+        self.assertEqual(self.freshness.bound(NOW + 2.0), (8, 2.0))
 
     def test_as_of_the_oldest_echo_that_is_needed(self) -> None:
         self.parts.pass_time(0.4, hearing="b")
         self.freshness.update()
-        self.assertEqual(self.freshness.read(self.parts.now), (5, self.parts.now - NOW), "the tail answered earlier")
+        self.assertEqual(self.freshness.bound(self.parts.now), (5, self.parts.now - NOW), "the tail answered earlier")
         self.parts.pass_time(0.4, hearing="c")
         self.freshness.update()
         self.assertEqual(self.freshness.as_of, self.parts.now, "own machine and tail are a majority")
@@ -98,4 +98,4 @@
         parts = Parts("c")
         freshness = Freshness(parts.context)
         freshness.update()
-        self.assertEqual(freshness.read(NOW), (5, 0.0))
+        self.assertEqual(freshness.bound(NOW), (5, 0.0))
--- a/tests/fleet/test_planted_coordination_heartbeats.py
+++ b/tests/fleet/test_planted_coordination_heartbeats.py
@@ -5,12 +5,13 @@
 import unittest
 from typing import Any
 
+from rosechute.coordination.actions import SendMessage
 from rosechute.coordination.chain import Chain
 from rosechute.coordination.epoch_confirmer import EpochConfirmer
 from rosechute.coordination.heartbeats import Heartbeats
 from rosechute.coordination.leader_lease import LeaderLease, LeaseRole
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.types import SendMessage, Timing
+from rosechute.coordination.replica_config import Timing
 from rosechute.messages import coordination_pb2 as pb
 
 from .coordination_parts import EPOCH, NOW, Parts, identity, term, view
@@ -55,7 +56,7 @@
         self.parts.context.is_leaving = True
         self.parts.context.joined_epoch = 0
         self.chain.is_active = True
-        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"", b"")
+        self.parts.replica_state.uncommitted = self.parts.replica_state.committed.with_write(EPOCH, 51, b"", b"")
         beat = self.beats()["b:7500"]
         self.assertEqual((beat.sealed, beat.joined, beat.active, beat.healthy), (True, False, True, False))
         self.assertTrue(beat.leaving)
@@ -125,12 +126,12 @@
         self.assertNotIn("a", self.parts.detector.peers)
 
     def test_heartbeat_of_the_tail_commits_writes(self) -> None:
-        written = self.parts.replica_state.written = self.parts.replica_state.committed.with_write(
+        written = self.parts.replica_state.uncommitted = self.parts.replica_state.committed.with_write(
             EPOCH, 51, b"", b""
         )
         for name, fields in (("b", {}), ("c", {"sealed": True}), ("c", {"epoch": EPOCH - 1}), ("c", {"sequence": 5})):
             self.receive(name, **fields)
-            self.assertEqual(self.parts.replica_state.written, written, (name, fields))
+            self.assertEqual(self.parts.replica_state.uncommitted, written, (name, fields))
         self.receive("c")
         self.assertEqual(self.parts.replica_state.committed, written)
 
--- a/tests/fleet/test_planted_coordination_leader_lease.py
+++ b/tests/fleet/test_planted_coordination_leader_lease.py
@@ -5,10 +5,11 @@
 import unittest
 from typing import Any
 
+from rosechute.coordination.actions import LeadershipGained, LeadershipLost
 from rosechute.coordination.leader_lease import LeaderLease, LeaseRole, count_available_grantors
 from rosechute.coordination.lease_grantor import LeaseGrantor
+from rosechute.coordination.replica_config import Timing
 from rosechute.coordination.replica_state import RateLeaseOwners
-from rosechute.coordination.types import LeadershipGained, LeadershipLost, Timing
 from rosechute.messages import coordination_pb2 as pb
 
 from .coordination_parts import EPOCH, NOW, OWN_INCARNATION, Parts, identity, term, view
--- a/tests/fleet/test_planted_coordination_lease_grantor.py
+++ b/tests/fleet/test_planted_coordination_lease_grantor.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from rosechute.coordination.lease_grantor import LeaseGrantor
-from rosechute.coordination.types import Timing
+from rosechute.coordination.replica_config import Timing
 from rosechute.coordination.views import LeaderTerm
 from rosechute.messages import coordination_pb2 as pb
 
--- a/tests/fleet/test_planted_coordination_membership.py
+++ b/tests/fleet/test_planted_coordination_membership.py
@@ -12,8 +12,8 @@
 from rosechute.coordination.leader_lease import LeaderLease
 from rosechute.coordination.lease_grantor import LeaseGrantor
 from rosechute.coordination.membership import FETCH_INTERVAL_S, Membership
+from rosechute.coordination.outcomes import WriteAcknowledged, WriteRequest
 from rosechute.coordination.proposer import Phase
-from rosechute.coordination.types import WriteAcknowledged, WriteRequest
 from rosechute.coordination.views import Ballot, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
@@ -127,7 +127,11 @@
 
     def test_adoption_ends_confirmations_and_attempts(self) -> None:
         answers: list[bool] = []
-        self.member.confirmer.confirm_epoch(answers.append, NOW)
+
+        def on_result(*, is_confirmed: bool) -> None:
+            answers.append(is_confirmed)
+
+        self.member.confirmer.confirm_epoch(on_result, NOW)
         self.membership.proposer.begin()
         self.decided(EPOCH + 1)
         self.assertEqual(answers, [False])
@@ -245,7 +249,9 @@
         self.assertEqual(self.parts.sent_to("fetch"), ["c"])
 
     def test_answers_a_fetch_with_committed_state_only(self) -> None:
-        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.replica_state.uncommitted = self.parts.replica_state.committed.with_write(
+            EPOCH, 51, b"w", b"W" * 32
+        )
         for epoch, sequence in ((EPOCH, 5), (EPOCH, 6), (EPOCH + 1, 0)):
             self.membership.on_fetch(identity("b"), pb.Fetch(epoch=epoch, sequence=sequence))
         self.assertEqual(self.parts.sent("decided"), [])
--- a/tests/fleet/test_planted_coordination_proposer.py
+++ b/tests/fleet/test_planted_coordination_proposer.py
@@ -51,7 +51,9 @@
         self.assertEqual(sorted(self.parts.sent_to("prepare")), ["a", "b", "c"])
 
     def test_prepare_carries_the_tag_of_the_own_state(self) -> None:
-        self.parts.replica_state.written = self.parts.replica_state.committed.with_write(EPOCH, 51, b"w", b"W" * 32)
+        self.parts.replica_state.uncommitted = self.parts.replica_state.committed.with_write(
+            EPOCH, 51, b"w", b"W" * 32
+        )
         self.proposer.begin()
         for each in self.parts.sent("prepare"):
             self.assertEqual((each.epoch, each.state_epoch, each.state_sequence), (EPOCH, EPOCH, 6))
--- a/tests/fleet/test_planted_coordination_records.py
+++ b/tests/fleet/test_planted_coordination_records.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from rosechute.coordination.record_writer import RecordWriter
+from rosechute.coordination.replica_config import MachineIdentity, Timing
 from rosechute.coordination.replica_state import ReplicaState, chain_write_message, load_replica_state
-from rosechute.coordination.types import MachineIdentity, Timing
 from rosechute.coordination.views import (
     APPLIED_WRITE_BYTES,
     MAX_APPLIED_WRITES,
@@ -32,7 +32,7 @@
     replica_state = ReplicaState(machine=identity("a"), newcomer=True)
     replica_state.view = view(term=term(4), size=5, base_tag=StateTag(2, 4))
     replica_state.committed = state()
-    replica_state.written = replica_state.committed.with_write(EPOCH, 51, b"written", b"W" * 32)
+    replica_state.uncommitted = replica_state.committed.with_write(EPOCH, 51, b"written", b"W" * 32)
     replica_state.promised, replica_state.accepted = ballot(9), proposal(8, "c")
     replica_state.term = LeaderTerm(6, "b", 11)
     replica_state.grantee, replica_state.grantee_number = "c", 13
@@ -68,7 +68,7 @@
         written = state().with_write(EPOCH, 51, b"new", b"W" * 32)
         replica_state = ReplicaState(view=view(), committed=state())
         replica_state.apply(pb.Record(write=chain_write_message(written)))
-        self.assertEqual(replica_state.written, written)
+        self.assertEqual(replica_state.uncommitted, written)
 
 
 class Snapshot(unittest.TestCase):
@@ -76,7 +76,7 @@
 
     def setUp(self) -> None:
         self.replica_state = full_memory()
-        self.found = load_replica_state([self.replica_state.whole().SerializeToString()])
+        self.found = load_replica_state([self.replica_state.snapshot_record().SerializeToString()])
 
     def test_snapshot_keeps_everything(self) -> None:
         self.assertEqual(self.found, self.replica_state)
@@ -88,7 +88,7 @@
         self.assertEqual(self.found.accepted, proposal(8, "c"))
 
     def test_snapshot_keeps_the_write_that_does_not_count_yet(self) -> None:
-        self.assertEqual(self.found.written, self.replica_state.written)
+        self.assertEqual(self.found.uncommitted, self.replica_state.uncommitted)
         self.assertEqual(self.found.committed, self.replica_state.committed)
 
     def test_snapshot_keeps_the_taken_orders(self) -> None:
@@ -110,12 +110,12 @@
             ReplicaState(machine=identity("a"), view=view(), committed=state()),
         ):
             known = full_memory()
-            known.apply(empty.whole())
+            known.apply(empty.snapshot_record())
             self.assertEqual(known, empty)
 
     def test_older_records_behind_a_snapshot_change_nothing(self) -> None:
         replica_state = self.replica_state
-        replica_state.written = None
+        replica_state.uncommitted = None
         replica_state.newcomer = False
         for record in (
             pb.Record(machine=pb.MachineRecord(machine=machine("a"), newcomer=True)),
@@ -140,7 +140,7 @@
             pb.Record(probe=pb.ProbeRecord()),
         ):
             with self.subTest(record=str(record)[:40]):
-                before = load_replica_state([replica_state.whole().SerializeToString()])
+                before = load_replica_state([replica_state.snapshot_record().SerializeToString()])
                 replica_state.apply(record)
                 self.assertEqual(replica_state, before)
 
@@ -157,10 +157,10 @@
         self.assertEqual((replica_state.machine, replica_state.newcomer), (identity("b"), True))
 
     def test_promise_seals_the_epoch(self) -> None:
-        self.assertFalse(self.replica_state.sealed)
+        self.assertFalse(self.replica_state.is_sealed)
         self.replica_state.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(1).to_message())))
         self.assertEqual(self.replica_state.promised, ballot(1))
-        self.assertTrue(self.replica_state.sealed)
+        self.assertTrue(self.replica_state.is_sealed)
         self.replica_state.apply(pb.Record(promise=pb.PromiseRecord(epoch=EPOCH, ballot=ballot(2).to_message())))
         self.assertEqual(self.replica_state.promised, ballot(2))
 
@@ -174,21 +174,21 @@
         self.assertEqual(self.replica_state.accepted, proposal(3))
 
     def test_learned_state_counts(self) -> None:
-        self.replica_state.written = self.replica_state.committed.with_write(EPOCH, 51, b"", b"")
+        self.replica_state.uncommitted = self.replica_state.committed.with_write(EPOCH, 51, b"", b"")
         self.replica_state.apply(pb.Record(learn=pb.LearnRecord(state=state(8).to_message())))
-        self.assertEqual((self.replica_state.committed, self.replica_state.written), (state(8), None))
+        self.assertEqual((self.replica_state.committed, self.replica_state.uncommitted), (state(8), None))
 
     def test_learned_state_older_than_a_write(self) -> None:
-        written = self.replica_state.written = self.replica_state.committed.with_write(EPOCH, 51, b"", b"")
+        written = self.replica_state.uncommitted = self.replica_state.committed.with_write(EPOCH, 51, b"", b"")
         self.replica_state.apply(pb.Record(learn=pb.LearnRecord(state=state(6).to_message())))
-        self.assertEqual((self.replica_state.committed, self.replica_state.written), (state(5), written))
+        self.assertEqual((self.replica_state.committed, self.replica_state.uncommitted), (state(5), written))
 
     def test_write_commits_the_one_before(self) -> None:
         first = self.replica_state.committed.with_write(EPOCH, 51, b"1", b"1" * 32)
         second = first.with_write(EPOCH, 52, b"2", b"2" * 32)
         for each in (first, second):
             self.replica_state.apply(pb.Record(write=chain_write_message(each)))
-        self.assertEqual((self.replica_state.committed, self.replica_state.written), (first, second))
+        self.assertEqual((self.replica_state.committed, self.replica_state.uncommitted), (first, second))
 
     def test_term_goes_up_only(self) -> None:
         self.replica_state.apply(pb.Record(term=term(6, "c").to_message()))
@@ -216,8 +216,10 @@
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
         replica_state = self.replica_state
         self.assertEqual((replica_state.view, replica_state.committed), (view(epoch=EPOCH + 1), state(9, EPOCH + 1)))
-        self.assertEqual((replica_state.written, replica_state.promised, replica_state.accepted), (None, None, None))
-        self.assertFalse(replica_state.sealed)
+        self.assertEqual(
+            (replica_state.uncommitted, replica_state.promised, replica_state.accepted), (None, None, None)
+        )
+        self.assertFalse(replica_state.is_sealed)
 
     def test_takes_the_accepted_proposal_of_the_ballot(self) -> None:
         self.replica_state.apply(pb.Record(adopt=pb.AdoptRecord(accepted=ballot(8, "c").to_message())))
@@ -259,7 +261,7 @@
 
     def test_machine_without_identity_joins(self) -> None:
         self.replica_state.machine = None
-        self.assertTrue(self.replica_state.joins(view(epoch=EPOCH + 1)))
+        self.assertTrue(self.replica_state.becomes_acceptor_in(view(epoch=EPOCH + 1)))
         self.adopt(view(epoch=EPOCH + 1), state(9, EPOCH + 1))
         self.assertTrue(self.replica_state.newcomer)
 
--- a/tests/fleet/test_planted_coordination_timing.py
+++ b/tests/fleet/test_planted_coordination_timing.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from rosechute.coordination.types import Timing
+from rosechute.coordination.replica_config import Timing
 
 TIMING = Timing()
 
--- a/tests/fleet/test_stored_data_compatibility.py
+++ b/tests/fleet/test_stored_data_compatibility.py
@@ -42,7 +42,7 @@
     def snapshot(self, directory: Path) -> pb.Record:
         """Load a directory as a core machine does at its start; return the state as a snapshot record."""
         _, records = self.load(directory)
-        return load_replica_state(records).whole()
+        return load_replica_state(records).snapshot_record()
 
     def expected(self, directory: Path, name: str = "expected-snapshot.pb") -> pb.Record:
         return pb.Record.FromString((directory / name).read_bytes())
