--- a/tests/fleet/test_wire_contract.py
+++ b/tests/fleet/test_wire_contract.py
@@ -21,12 +21,12 @@
 from aiohttp.test_utils import TestServer
 from loguru import logger
 
+from rosechute import coordination
 from rosechute.configuration import process
 from rosechute.control_plane import operator_api
 from rosechute.control_plane.core_report import CoreReport
 from rosechute.control_plane.endpoint_list_client import EndpointListClient
 from rosechute.control_plane.operator_api import OperatorApi
-from rosechute.coordination import types as coordination
 from rosechute.data_plane.client_statistics import ClientStatistics
 from rosechute.processes import edge
 from rosechute.processes.state import ProcessState
