--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -28,6 +28,7 @@
 DATA_PLANE = ROOT / "docs" / "fleet" / "data-plane.md"
 DISTRIBUTION = ROOT / "docs" / "fleet" / "distribution.md"
 PAGES = (ARCHITECTURE, GLOSSARY, CONTRIBUTING)
+PACKAGES = ("rosechute", "hollyport", "dunefield")
 BASES = (ROOT, ROOT / "rosechute")  # paths of modules are given below either
 
 MODULE_PATH = re.compile(r"[\w./-]+\.py\b")
@@ -105,14 +106,14 @@
     """Modules and commands that the pages name."""
 
     def test_module_paths_exist(self) -> None:
-        for page in PAGES:
+        for page in (*PAGES, README):
             for path in MODULE_PATH.findall(read(page)):
-                names = path if "/" in path else None
                 with self.subTest(page=page.name, path=path):
-                    if names is None:  # a file named beside its folder
-                        self.assertTrue(any(ROOT.glob(f"rosechute/**/{path}")), path)
-                    else:
+                    if "/" in path:
                         self.assertIsNotNone(module_file(path), path)
+                    else:  # a module named beside its package
+                        found = (ROOT / package for package in PACKAGES if any((ROOT / package).rglob(path)))
+                        self.assertTrue(any(found), path)
 
     def test_dotted_names_resolve(self) -> None:
         for page in (*PAGES, README):
