--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -1,8 +1,8 @@
 """Planning of the next view (reconfiguration): which acceptors, and which chain, should follow the current ones.
 
-Pure functions of the current view and of the status of the machines. One view changes at most one acceptor, so any
-majority of the old acceptors shares a machine with any majority of the new ones.
-"""
+Pure functions of the current view and of the status of the machines. One view replaces, adds or removes one acceptor
+at most. Majorities of two views need not overlap: a view is decided, together with the state that it starts from, by
+a majority of the acceptors before it (see `proposer`)."""
 
 from __future__ import annotations
 
@@ -92,11 +92,9 @@
 def _join(view: View, candidate: JoinCandidate, status: ClusterStatus) -> View | None:
     """Return the view with the candidate as an acceptor, or None where it has to wait."""
     identity = candidate.identity
-    for old in view.acceptors:
-        is_wiped = old.control_address == identity.control_address  # the same machine with a new disk
-        is_moved = bool(old.name) and old.name == identity.name  # the same machine at another address
-        if is_wiped or (status.silence_s(old.id) >= status.suspect_after_s and is_moved):
-            return _replace_acceptor(view, old, identity)
+    predecessor = _predecessor(view, identity, status)
+    if predecessor is not None:
+        return _replace_acceptor(view, predecessor, identity)
     most_silent = _most_silent(view, status)
     if not candidate.is_newcomer and status.silence_s(most_silent.id) >= status.remove_after_s:
         return _replace_acceptor(view, most_silent, identity)
@@ -106,6 +104,16 @@
     return grown if candidate.is_newcomer or len(view.acceptors) <= view.target_size else None
 
 
+def _predecessor(view: View, identity: MachineIdentity, status: ClusterStatus) -> MachineIdentity | None:
+    """Return the acceptor that a machine was before its disk or its address changed, or None."""
+    for acceptor in view.acceptors:
+        is_wiped = acceptor.control_address == identity.control_address
+        is_moved = bool(acceptor.name) and acceptor.name == identity.name
+        if is_wiped or (status.silence_s(acceptor.id) >= status.suspect_after_s and is_moved):
+            return acceptor
+    return None
+
+
 def _with_chain(view: View, status: ClusterStatus) -> View | None:
     """Return the view with its chain: remaining members in their order, then others; None without a majority.
 
