--- a/tests/fleet/simulated_core.py
+++ b/tests/fleet/simulated_core.py
@@ -62,7 +62,7 @@
 
 
 class SimulatedMachine:
-    """One core machine and the troubles that it may have."""
+    """One core machine and its faults."""
 
     def __init__(self, cluster: "SimulatedCore", number: int) -> None:
         self.cluster = cluster
@@ -73,7 +73,7 @@
         self.disk_hangs = False
         self.sync_s = SYNC_S
         self.frozen = False
-        self.life = 0  # of the process; calls that were meant for an earlier one are dropped
+        self.incarnation = 0  # of the process; calls that were meant for an earlier one are dropped
         self.runtime: ReplicaRuntime | None = None
         self.records: SimulatedRecords | None = None
         self.committed_sequences: list[int] = []
@@ -91,7 +91,7 @@
         self.runtime.start()
 
     def kill(self, power: bool = False) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.runtime = None
         self.folder = self.folder.after_power_loss(self.cluster.draw) if power else self.folder.after_kill()
 
@@ -136,7 +136,7 @@
 
     def after(self, seconds: float, machine: SimulatedMachine, call: Callable[..., None], *arguments: Any) -> None:
         self._count += 1
-        entry = (self.now + seconds, self._count, machine, machine.life, call, arguments)
+        entry = (self.now + seconds, self._count, machine, machine.incarnation, call, arguments)
         heapq.heappush(self._calls, entry)
 
     def deliver(self, source: SimulatedMachine, address: str, data: bytes) -> None:
@@ -160,10 +160,10 @@
         waiting = []
         while self._calls and self._calls[0][0] <= self.now:
             entry = heapq.heappop(self._calls)
-            _, _, machine, life, call, arguments = entry
-            if machine.frozen and machine.life == life:
+            _, _, machine, incarnation, call, arguments = entry
+            if machine.frozen and machine.incarnation == incarnation:
                 waiting.append(entry)
-            elif machine.life == life:
+            elif machine.incarnation == incarnation:
                 call(*arguments)
         for entry in waiting:
             heapq.heappush(self._calls, entry)
@@ -195,8 +195,8 @@
             await self.run_for(STEP_S)
         return answer.result() if answer.done() else None
 
-    async def order(self, base_version: int, version: int, within_s: float, note: str = "") -> Any:
-        """Send an order to one machine after the other until it has a clear answer."""
+    async def write(self, base_version: int, version: int, within_s: float, note: str = "") -> Any:
+        """Send a write to one machine after the other until its outcome is known."""
         body = f"{version} on {base_version} {note}".encode()
         digest = write_request_digest(base_version, body)
         end = self.now + within_s
@@ -209,7 +209,7 @@
         return None
 
     async def read(self, within_s: float) -> ReadResult | None:
-        """Ask one machine after the other until one answers."""
+        """Read from one machine after the other until one answers."""
         end = self.now + within_s
         while self.now < end:
             outcome = await self.call(self.draw.choice(self.machines), lambda to: to.read())
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -1,4 +1,4 @@
-"""How the parts of a core machine act on each other; replica and links are stand-ins."""
+"""How the parts of a core machine work together; replica and links are fakes."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
 
 
 def tearDownModule() -> None:
@@ -49,7 +49,7 @@
 
 
 class FakeReplica:
-    """Says what it is told to."""
+    """Returns what a test has set."""
 
     def __init__(self) -> None:
         self.leader: MachineIdentity | None = OWN
@@ -70,7 +70,7 @@
 
 
 class RecordingConnection(LinkConnection):
-    """Keeps what is sent on it."""
+    """Records the messages that are sent on it."""
 
     def __init__(self) -> None:
         super().__init__("10.0.0.9:4000", lambda *_: None, lambda *_: None)
@@ -92,16 +92,16 @@
     def run_replica(self) -> None:
         self.machine._runtime = SimpleNamespace(replica=self.replica)
 
-    def tell(self, **message: Any) -> None:
+    def receive(self, **message: Any) -> None:
         data = pb.Distribution(**message).SerializeToString()
         self.machine._links._on_frame(self.connection, MessageKind.DISTRIBUTION, data)
 
-    def told(self, kind: str) -> list[Any]:
+    def sent(self, kind: str) -> list[Any]:
         return [getattr(each, kind) for each in self.connection.sent if each.WhichOneof("body") == kind]
 
     def renew(self) -> pb.Renewed:
-        self.tell(renew=pb.Renew(request=1, edge=EDGE, boot=1))
-        return self.told("renewed")[-1]
+        self.receive(renew=pb.Renew(request=1, edge=EDGE, boot=1))
+        return self.sent("renewed")[-1]
 
     async def test_outcome_unknown_until_the_records_are_loaded(self) -> None:
         self.assertEqual(await self.machine.read(), OutcomeUnknown())
@@ -127,11 +127,11 @@
         self.machine.leadership_gained(3)
         self.machine.committed(configuration(1))
         self.now += 5.0
-        self.replica.leader = None  # the lease has run out, and the replica has not told yet
+        self.replica.leader = None  # the lease has run out, and the replica has not noticed yet
         self.assertFalse(self.renew().is_leader)
         wanted = pb.QuotaAmount(tenant="t", tokens=10, least=1)
-        self.tell(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=[wanted]))
-        self.assertEqual(self.told("quota_issue"), [])
+        self.receive(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=[wanted]))
+        self.assertEqual(self.sent("quota_issue"), [])
 
     async def test_a_list_is_published_only_under_the_lease(self) -> None:
         self.run_replica()
@@ -139,10 +139,10 @@
         self.machine._publish_servers([server])
         self.machine.leadership_gained(3)
         self.renew()
-        self.assertEqual(self.told("list"), [])
+        self.assertEqual(self.sent("list"), [])
         self.machine._publish_servers([server])
-        self.tell(fetch=pb.Fetch(topic="list/s"))
-        self.assertEqual(self.told("list")[-1].servers[0].id, "i")
+        self.receive(fetch=pb.Fetch(topic="list/s"))
+        self.assertEqual(self.sent("list")[-1].servers[0].id, "i")
 
     async def test_tokens_by_the_newest_configuration(self) -> None:
         self.run_replica()
@@ -151,8 +151,8 @@
         self.now += 1.0
         self.renew()
         wanted = [pb.QuotaAmount(tenant="t", tokens=100, least=100), pb.QuotaAmount(tenant="u", tokens=1, least=1)]
-        self.tell(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=wanted))
-        issued = {each.tenant: each.tokens for each in self.told("quota_issue")[-1].issued}
+        self.receive(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=wanted))
+        issued = {each.tenant: each.tokens for each in self.sent("quota_issue")[-1].issued}
         self.assertEqual(issued, {"t": 100, "u": 0})
 
     async def test_changed_settings_reach_the_replica(self) -> None:
--- a/tests/fleet/test_control_endpoint_list_reader.py
+++ b/tests/fleet/test_control_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""The reader of the platform's list: only under the lease, whole lists only, within its share of the rate."""
+"""The endpoint list reader: only under the leader lease, complete lists only, within its share of the rate."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
 
 
 def tearDownModule() -> None:
@@ -55,7 +55,7 @@
             EndpointListPage((Instance(f"i-{number}", "s", f"10.0.0.{number}:1", cold_remaining_ms=500),), following)
         )
 
-    def held_term(self) -> int | None:
+    def leader_term(self) -> int | None:
         if self.calls >= self.lease_ends_after_calls:
             return None
         return 7 if self.calls < self.next_term_after_calls else 9
@@ -70,7 +70,7 @@
             self.delivered.append(list(servers))
 
         return EndpointListReader(
-            platform.fetch, lambda: rate, platform.held_term, deliver, lambda: 0.5, lambda: platform.now
+            platform.fetch, lambda: rate, platform.leader_term, deliver, lambda: 0.5, lambda: platform.now
         )
 
     async def test_all_pages_are_one_list(self) -> None:
@@ -110,7 +110,7 @@
             self.assertEqual((platform.calls, self.delivered), (1, []))
 
     async def test_a_reading_that_started_in_an_earlier_term_is_dropped(self) -> None:
-        """The lease went to another machine and came back during a call: that machine may have told a newer list."""
+        """During a call the lease went to another machine and back: that machine may have published a newer list."""
         for pages in (1, 2, 4):
             platform = FakePlatform(pages)
             platform.next_term_after_calls = 1
@@ -160,10 +160,10 @@
         with mock.patch.multiple(endpoint_list_reader, INTERVAL_S=0.0, RATE_SHARE=1e9):
             while platform.calls < 1:
                 await asyncio.sleep(0)
-            with mock.patch.object(reader, "_leader_term", wraps=platform.held_term) as looked:
+            with mock.patch.object(reader, "_leader_term", wraps=platform.leader_term) as lookup:
                 for _ in range(50):
                     await asyncio.sleep(0)
-        self.assertLessEqual(looked.call_count, 2)
+        self.assertLessEqual(lookup.call_count, 2)
         task.cancel()
 
     async def test_the_rest_of_a_cold_start_becomes_a_time(self) -> None:
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's API, over loopback: which answer follows from which outcome, and that one always comes in time."""
+"""The operator's API over loopback: the response to each outcome, and that one is always sent in time."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # what is played here would be decoded at length
 
 
 def tearDownModule() -> None:
@@ -40,14 +40,14 @@
 
 
 class FakeConfigurationStore:
-    """Gives the outcome it was told, or none at all."""
+    """Returns the outcome that a test has set, or none at all."""
 
     def __init__(self) -> None:
         self.outcome: Outcome | None = None
-        self.orders: list[tuple[int, int, bytes, bytes]] = []
+        self.writes: list[tuple[int, int, bytes, bytes]] = []
 
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> "asyncio.Future[Outcome]":
-        self.orders.append((base_version, version, body, digest))
+        self.writes.append((base_version, version, body, digest))
         return self.read()
 
     def read(self) -> "asyncio.Future[Outcome]":
@@ -72,8 +72,8 @@
         headers = {} if base is None else {BASE_VERSION_HEADER: base}
         url = self.server.make_url(REPLACE_PATH)
         async with self.session.post(url, data=data, headers=headers, allow_redirects=False) as answer:
-            told = await answer.read()
-            return answer.status, json.loads(told) if told else None, answer.headers
+            decoded = await answer.read()
+            return answer.status, json.loads(decoded) if decoded else None, answer.headers
 
     async def read(self) -> tuple[int, bytes, Any]:
         async with self.session.get(self.server.make_url(READ_PATH), allow_redirects=False) as answer:
@@ -81,34 +81,34 @@
 
     async def test_acknowledged(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
-        status, told, _ = await self.replace(body(7))
-        self.assertEqual((status, told), (200, {"config_version": 7}))
-        self.assertEqual(self.configurations.orders, [(5, 7, body(7), write_request_digest(5, body(7)))])
+        status, decoded, _ = await self.replace(body(7))
+        self.assertEqual((status, decoded), (200, {"config_version": 7}))
+        self.assertEqual(self.configurations.writes, [(5, 7, body(7), write_request_digest(5, body(7)))])
 
     async def test_version_conflict(self) -> None:
         self.configurations.outcome = VersionConflict(6)
-        status, told, _ = await self.replace(body(7))
-        self.assertEqual((status, told["current_version"]), (412, 6))
+        status, decoded, _ = await self.replace(body(7))
+        self.assertEqual((status, decoded["current_version"]), (412, 6))
 
     async def test_version_not_above_the_current_one(self) -> None:
         self.configurations.outcome = VersionConflict(5)
         for version in (5, 4):
-            status, told, _ = await self.replace(body(version))
-            self.assertEqual((status, told["place"]), (400, "config_version"))
+            status, decoded, _ = await self.replace(body(version))
+            self.assertEqual((status, decoded["place"]), (400, "config_version"))
 
     async def test_invalid_ones_never_reach_the_chain(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
         cases = ((b"{", ""), (b"", ""), (body(7, timeout_ms=0), "routes[0].timeout_ms"))
         cases += ((body(7, service="other"), "routes[0].service"),)
         for data, place in cases:
-            status, told, _ = await self.replace(data)
-            self.assertEqual((status, told.get("place", "")), (400, place), data)
-        self.assertEqual(self.configurations.orders, [])
+            status, decoded, _ = await self.replace(data)
+            self.assertEqual((status, decoded.get("place", "")), (400, place), data)
+        self.assertEqual(self.configurations.writes, [])
 
     async def test_invalid_base_versions(self) -> None:
         for base in (None, "", "-1", "x", "9" * 30):
-            status, told, _ = await self.replace(body(7), base)
-            self.assertEqual((status, told["place"]), (400, BASE_VERSION_HEADER), base)
+            status, decoded, _ = await self.replace(body(7), base)
+            self.assertEqual((status, decoded["place"]), (400, BASE_VERSION_HEADER), base)
 
     async def test_redirected_to_the_machine_that_knows(self) -> None:
         self.configurations.outcome = Redirect("10.0.0.4:8367")
@@ -136,8 +136,8 @@
 
     async def test_read_is_byte_for_byte(self) -> None:
         self.configurations.outcome = ReadResult(3, 7, body(7), b"")
-        status, told, _ = await self.read()
-        self.assertEqual((status, told), (200, body(7)))
+        status, decoded, _ = await self.read()
+        self.assertEqual((status, decoded), (200, body(7)))
 
     async def test_read_before_the_first_configuration(self) -> None:
         self.configurations.outcome = NoConfiguration()
--- a/tests/fleet/test_control_replica_runtime.py
+++ b/tests/fleet/test_control_replica_runtime.py
@@ -1,4 +1,4 @@
-"""Replica, runtime and record store together: troubles of disks and processes, orders that must stay."""
+"""Replica, runtime and record store together: faults of disks and processes, and writes that must survive them."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
 
 
 def tearDownModule() -> None:
@@ -28,13 +28,13 @@
 class RuntimeTest(IsolatedAsyncioTestCase):
     async def cluster(self, machines: int = 3, seed: int = 0) -> SimulatedCore:
         core = SimulatedCore(machines, seed)
-        self.assertEqual(await core.order(0, 1, ACK_S), WriteAcknowledged(1))
+        self.assertEqual(await core.write(0, 1, ACK_S), WriteAcknowledged(1))
         return core
 
     async def test_a_write_is_acknowledged_and_read_back(self) -> None:
         for machines in (3, 4, 5):
             core = await self.cluster(machines)
-            self.assertEqual(await core.order(1, 4, ACK_S), WriteAcknowledged(4))
+            self.assertEqual(await core.write(1, 4, ACK_S), WriteAcknowledged(4))
             read = await core.read(ACK_S)
             assert read is not None
             self.assertEqual((read.version, read.body), (4, b"4 on 1 "))
@@ -56,16 +56,16 @@
 
     async def test_a_repeated_write_is_acknowledged_and_another_one_rejected(self) -> None:
         core = await self.cluster()
-        await core.order(1, 2, ACK_S)
-        await core.order(2, 3, ACK_S)
-        self.assertEqual(await core.order(1, 2, ACK_S), WriteAcknowledged(2))
-        self.assertEqual(await core.order(1, 2, ACK_S, "of another operator"), VersionConflict(3))
-        self.assertEqual(await core.order(3, 3, ACK_S), VersionConflict(3))
+        await core.write(1, 2, ACK_S)
+        await core.write(2, 3, ACK_S)
+        self.assertEqual(await core.write(1, 2, ACK_S), WriteAcknowledged(2))
+        self.assertEqual(await core.write(1, 2, ACK_S, "of another operator"), VersionConflict(3))
+        self.assertEqual(await core.write(3, 3, ACK_S), VersionConflict(3))
 
     async def test_one_of_eight_concurrent_writes_wins(self) -> None:
         core = await self.cluster()
-        orders = [core.order(1, 2 + number, ACK_S) for number in range(8)]
-        outcomes = await asyncio.gather(*orders)
+        writes = [core.write(1, 2 + number, ACK_S) for number in range(8)]
+        outcomes = await asyncio.gather(*writes)
         self.assertEqual(sum(isinstance(each, WriteAcknowledged) for each in outcomes), 1)
         self.assertEqual(sum(isinstance(each, VersionConflict) for each in outcomes), 7)
 
@@ -74,10 +74,10 @@
             core = await self.cluster(seed=number)
             machine = core.machines[number]
             machine.disk_full = True
-            self.assertEqual(await core.order(1, 2, ACK_S), WriteAcknowledged(2))
+            self.assertEqual(await core.write(1, 2, ACK_S), WriteAcknowledged(2))
             machine.disk_full = False
             await core.run_for(4.0)
-            self.assertEqual(await core.order(2, 3, ACK_S), WriteAcknowledged(3))
+            self.assertEqual(await core.write(2, 3, ACK_S), WriteAcknowledged(3))
             for each in core.machines:
                 each.kill(power=True)
                 each.start()
@@ -88,23 +88,23 @@
         for number in range(3):
             core = await self.cluster(seed=number)
             core.machines[number].disk_hangs = True
-            self.assertEqual(await core.order(1, 2, ACK_S), WriteAcknowledged(2))
+            self.assertEqual(await core.write(1, 2, ACK_S), WriteAcknowledged(2))
             core.machines[number].disk_hangs = False
             await core.run_for(4.0)
-            self.assertEqual(await core.order(2, 3, ACK_S), WriteAcknowledged(3))
+            self.assertEqual(await core.write(2, 3, ACK_S), WriteAcknowledged(3))
 
     async def test_slow_disks(self) -> None:
         core = await self.cluster()
         for machine in core.machines:
             machine.sync_s = 0.12
         for version in range(2, 6):
-            self.assertEqual(await core.order(version - 1, version, ACK_S), WriteAcknowledged(version))
+            self.assertEqual(await core.write(version - 1, version, ACK_S), WriteAcknowledged(version))
 
     async def test_all_lose_power_right_after_an_acknowledgement(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for version in range(2, 6):
-                self.assertEqual(await core.order(version - 1, version, ACK_S + 2.0), WriteAcknowledged(version))
+                self.assertEqual(await core.write(version - 1, version, ACK_S + 2.0), WriteAcknowledged(version))
                 for machine in core.machines:
                     machine.kill(power=True)
                 for machine in core.draw.sample(core.machines, 3):
@@ -117,7 +117,7 @@
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for version in range(2, 5):
-                self.assertEqual(await core.order(version - 1, version, ACK_S + 2.0), WriteAcknowledged(version))
+                self.assertEqual(await core.write(version - 1, version, ACK_S + 2.0), WriteAcknowledged(version))
                 wiped = core.draw.choice(core.machines)
                 for machine in core.machines:
                     machine.wipe() if machine is wiped else machine.kill(power=True)
@@ -132,19 +132,19 @@
             core = await self.cluster(seed=seed)
             core.answers_lost = 0.6
             for version in range(2, 12):
-                self.assertEqual(await core.order(version - 1, version, 20.0), WriteAcknowledged(version), seed)
+                self.assertEqual(await core.write(version - 1, version, 20.0), WriteAcknowledged(version), seed)
 
     async def test_a_write_whose_response_was_lost_is_acknowledged_after_later_ones(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             core.answers_lost = 1.0
-            self.assertIsNone(await core.order(1, 2, 1.0))
+            self.assertIsNone(await core.write(1, 2, 1.0))
             core.answers_lost = 0.0
-            self.assertEqual(await core.order(2, 3, ACK_S), WriteAcknowledged(3))
+            self.assertEqual(await core.write(2, 3, ACK_S), WriteAcknowledged(3))
             for machine in core.machines:
                 machine.kill(power=True)
                 machine.start()
-            self.assertEqual(await core.order(1, 2, ACK_S + 2.0), WriteAcknowledged(2), seed)
+            self.assertEqual(await core.write(1, 2, ACK_S + 2.0), WriteAcknowledged(2), seed)
             read = await core.read(ACK_S)
             self.assertEqual(read and read.version, 3, seed)
 
@@ -152,20 +152,20 @@
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for version in range(2, 8):
-                ordered = asyncio.create_task(core.order(version - 1, version, ACK_S))
+                written = asyncio.create_task(core.write(version - 1, version, ACK_S))
                 for _ in range(5):
                     await asyncio.sleep(0)
                     core.reset_links()
-                self.assertEqual(await ordered, WriteAcknowledged(version), seed)
+                self.assertEqual(await written, WriteAcknowledged(version), seed)
 
     async def test_eight_concurrent_writes_under_faults(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(4, seed)
             for version in (1, 11, 21):
-                self.trouble(core, core.draw.choice(core.machines))
-                orders = [core.order(version, version + 3 + number, 1.5) for number in range(7)]
-                outcomes = await asyncio.gather(*orders, core.order(version, version + 10, 1.5))
-                self.heal(core)
+                self.inject_fault(core, core.draw.choice(core.machines))
+                writes = [core.write(version, version + 3 + number, 1.5) for number in range(7)]
+                outcomes = await asyncio.gather(*writes, core.write(version, version + 10, 1.5))
+                self.repair(core)
                 taken = [each.version for each in outcomes if isinstance(each, WriteAcknowledged)]
                 self.assertLessEqual(len(taken), 1, seed)
                 read = await core.read(8.0)
@@ -173,7 +173,7 @@
                 self.assertTrue(not taken or read.version == taken[0], seed)
                 if read.version != version + 10:  # on to a base that is known
                     self.assertEqual(
-                        await core.order(read.version, version + 10, 8.0), WriteAcknowledged(version + 10)
+                        await core.write(read.version, version + 10, 8.0), WriteAcknowledged(version + 10)
                     )
 
     async def test_a_disk_that_hangs_for_all_and_returns(self) -> None:
@@ -181,15 +181,15 @@
             core = await self.cluster(seed=seed)
             for machine in core.machines:
                 machine.disk_hangs = True
-            self.assertIsNone(await core.order(1, 2, 3.0))
-            self.heal(core)
-            self.assertEqual(await core.order(1, 2, 6.0), WriteAcknowledged(2), seed)
+            self.assertIsNone(await core.write(1, 2, 3.0))
+            self.repair(core)
+            self.assertEqual(await core.write(1, 2, 6.0), WriteAcknowledged(2), seed)
 
     async def test_the_log_stays_short_and_the_snapshot_is_complete(self) -> None:
         with mock.patch.object(replica_runtime, "LOG_LIMIT_BYTES", 2_000):
             core = await self.cluster()
             for version in range(2, 60):
-                self.assertEqual(await core.order(version - 1, version, ACK_S), WriteAcknowledged(version))
+                self.assertEqual(await core.write(version - 1, version, ACK_S), WriteAcknowledged(version))
             for machine in core.machines:
                 assert machine.records is not None
                 self.assertLess(machine.records.log_size, 8_000)
@@ -203,17 +203,17 @@
             core = await self.cluster(random.Random(seed).choice((3, 4, 5)), seed)
             version = 1
             for _ in range(8):
-                self.trouble(core, core.draw.choice(core.machines))
-                outcome = await core.order(version, version + 1, core.draw.choice((0.3, 2.0, 6.0)))
-                self.heal(core)
+                self.inject_fault(core, core.draw.choice(core.machines))
+                outcome = await core.write(version, version + 1, core.draw.choice((0.3, 2.0, 6.0)))
+                self.repair(core)
                 if outcome is None:
-                    outcome = await core.order(version, version + 1, 8.0)
+                    outcome = await core.write(version, version + 1, 8.0)
                 self.assertEqual(outcome, WriteAcknowledged(version + 1), seed)
                 version += 1
                 read = await core.read(8.0)
                 self.assertEqual(read and read.version, version, seed)
 
-    def trouble(self, core: SimulatedCore, machine: SimulatedMachine) -> None:
+    def inject_fault(self, core: SimulatedCore, machine: SimulatedMachine) -> None:
         kind = core.draw.randrange(7)
         if kind == 0:
             machine.kill()
@@ -231,7 +231,7 @@
         else:
             machine.sync_s = 0.3
 
-    def heal(self, core: SimulatedCore) -> None:
+    def repair(self, core: SimulatedCore) -> None:
         core.cut = set()
         for machine in core.machines:
             machine.disk_full = machine.disk_hangs = machine.frozen = False
@@ -245,7 +245,7 @@
         with mock.patch.object(replica_runtime, "LOG_LIMIT_BYTES", 0):
             core = SimulatedCore(3, 1)
             for version in range(1, 8):
-                self.assertEqual(await core.order(version - 1, version, ACK_S), WriteAcknowledged(version))
+                self.assertEqual(await core.write(version - 1, version, ACK_S), WriteAcknowledged(version))
             for machine in core.machines:
                 assert machine.runtime is not None
                 self.assertLessEqual(max(machine.committed_sequences), 7)
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -1,4 +1,4 @@
-"""A core machine as a whole, alone in its core: it starts, leads, takes orders over HTTP, tells of itself, and ends.
+"""A core machine alone in its core: it starts, leads, accepts writes over HTTP, reports its state, and stops.
 
 Everything is real but the time: links, API, records on a disk. The clock of the loop moves by itself.
 """
@@ -45,7 +45,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # what is played here would be told at length
+    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
 
 
 def tearDownModule() -> None:
@@ -312,7 +312,7 @@
 
 
 class MachineParts(SiteCase):
-    """What ties the parts of a machine together, with parts that keep what they are told."""
+    """What ties the parts of a machine together, with fakes that record their calls."""
 
     def setUp(self) -> None:
         self.machine: Any = CoreMachine(SETTINGS)
