--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -237,7 +237,7 @@
     for turn in range(3 * PICKS):
         request = _request(next(tickets), draw, prefixes, sessions)
         began = time.thread_time_ns()
-        sends = [action for action in router.submit(NOW + turn / 100, request) if isinstance(action, Send)]
+        sends = [action for action in router.route(NOW + turn / 100, request) if isinstance(action, Send)]
         for send in sends:
             router.report(NOW + turn / 100, send.ticket, send.server_id, AttemptResult.HEAD, False)
             out.append(send)
@@ -294,7 +294,7 @@
     for number in range(count):
         prefixes = prefixes_of(SERVICE, "m", (PromptPart(f"{number:08x}", 800), PromptPart("t", 400)))
         for server in targets[:holders]:
-            table.note(NOW, prefixes, server)
+            table.record(NOW, prefixes, server)
     return table, targets
 
 
@@ -302,7 +302,7 @@
     table, targets = PrefixTable(1, 10**6, 1e9), _targets()
     for number in range(count):
         prefixes = prefixes_of(SERVICE, "m", (PromptPart("a", 800), PromptPart(f"{number:08x}", 400)))
-        table.note(NOW, prefixes, targets[0])
+        table.record(NOW, prefixes, targets[0])
     return table, targets
 
 
--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -37,55 +37,61 @@
 
 VARIANTS: Mapping[str, tuple[Replacement, ...]] = {
     AS_IT_IS: (),
-    "one-choice": _line(f"{ROUTING}/pick.py", "return self._lighter(now, first, server)", "return first"),
+    "one-choice": _line(f"{ROUTING}/pick.py", "return self._less_loaded(now, first, server)", "return first"),
     "no-known-prefix": _line(f"{ROUTING}/sticky.py", "if known is not None:", "if known is not None and False:"),
     "no-likely-prefix": _line(
         f"{ROUTING}/sticky.py",
-        "for server, likely in self._likely_prefix(now, pool, call):",
+        "for server, likely in self._predicted_servers(now, pool, pending):",
         "for server, likely in ():",
     ),
-    "no-second-likely": _constant(f"{ROUTING}/sticky.py", "LIKELY_SECOND", "0.0", "0.3"),
-    "reading-weight-1": _constant(f"{ROUTING}/sticky.py", "READING_WEIGHT", "1.0", "4.0"),
-    "reading-weight-2": _constant(f"{ROUTING}/sticky.py", "READING_WEIGHT", "2.0", "4.0"),
-    "reading-weight-8": _constant(f"{ROUTING}/sticky.py", "READING_WEIGHT", "8.0", "4.0"),
-    "reading-weight-16": _constant(f"{ROUTING}/sticky.py", "READING_WEIGHT", "16.0", "4.0"),
-    "reading-weight-32": _constant(f"{ROUTING}/sticky.py", "READING_WEIGHT", "32.0", "4.0"),
-    "no-holder-preference": _constant(f"{ROUTING}/sticky.py", "HOLDER_S", "0.0", "0.03"),
-    "no-ordinary-margin": _constant(f"{ROUTING}/sticky.py", "ORDINARY_S", "0.0", "0.02"),
-    "no-zone-tie-break": _line(f"{ROUTING}/pick.py", "else server.latency_s + 0.002", "else server.latency_s"),
-    "no-urgency": _line(f"{ROUTING}/router.py", "if pressure.easy(", "if True or pressure.easy("),
-    "no-level": _constant(f"{ROUTING}/pressure.py", "LEVEL_DOWN", "1.0", "0.93"),
-    "no-starvation-guard": _constant(f"{ROUTING}/pressure.py", "STARVED", "0.0", "0.6"),
+    "no-second-likely": _constant(f"{ROUTING}/sticky.py", "SECOND_CACHED_CHANCE", "0.0", "0.3"),
+    "reading-weight-1": _constant(f"{ROUTING}/sticky.py", "PREFILL_WEIGHT", "1.0", "4.0"),
+    "reading-weight-2": _constant(f"{ROUTING}/sticky.py", "PREFILL_WEIGHT", "2.0", "4.0"),
+    "reading-weight-8": _constant(f"{ROUTING}/sticky.py", "PREFILL_WEIGHT", "8.0", "4.0"),
+    "reading-weight-16": _constant(f"{ROUTING}/sticky.py", "PREFILL_WEIGHT", "16.0", "4.0"),
+    "reading-weight-32": _constant(f"{ROUTING}/sticky.py", "PREFILL_WEIGHT", "32.0", "4.0"),
+    "no-holder-preference": _constant(f"{ROUTING}/sticky.py", "OTHER_SERVER_MARGIN_S", "0.0", "0.03"),
+    "no-ordinary-margin": _constant(f"{ROUTING}/sticky.py", "LOAD_ONLY_MARGIN_S", "0.0", "0.02"),
+    "no-zone-tie-break": _constant(f"{ROUTING}/pick.py", "OTHER_ZONE_PENALTY_S", "0.0", "0.002"),
+    "no-urgency": _line(
+        f"{ROUTING}/router.py", "if admission.is_uncongested(", "if True or admission.is_uncongested("
+    ),
+    "no-level": _constant(f"{ROUTING}/admission_control.py", "DELAY_FACTOR_DECREASE", "1.0", "0.93"),
+    "no-starvation-guard": _constant(f"{ROUTING}/admission_control.py", "STARVATION_RATIO", "0.0", "0.6"),
     "no-less-waiting-pick": _line(
-        f"{ROUTING}/router.py", "other = self._picker.least_waiting(now, pool, call)", "other = None"
+        f"{ROUTING}/router.py", "other = self._picker.shortest_queue(now, pool, pending)", "other = None"
     ),
-    "no-shorter-target-bound": _constant(f"{ROUTING}/pressure.py", "MUCH_SHORTER", "1e9", "1.5"),
-    "no-lateness": _constant(f"{ROUTING}/server.py", "EXCESS_GAIN", "0.0", "0.4"),
-    "no-silence": _constant(f"{ROUTING}/server.py", "SILENT_LEAST_S", "1e9", "0.25"),
-    "no-ejection-draws": _constant(f"{ROUTING}/pick.py", "FAILING_POWER", "0", "4"),
-    "no-failing-bound": _constant(f"{ROUTING}/sticky.py", "FAILING", "1.1", "0.12"),
+    "no-shorter-target-bound": _constant(f"{ROUTING}/admission_control.py", "SHORTER_TARGET_RATIO", "1e9", "1.5"),
+    "no-lateness": _constant(f"{ROUTING}/server.py", "EXCESS_WEIGHT", "0.0", "0.4"),
+    "no-silence": _constant(f"{ROUTING}/server.py", "MIN_UNRESPONSIVE_S", "1e9", "0.25"),
+    "no-ejection-draws": _constant(f"{ROUTING}/pick.py", "ERROR_RATE_POWER", "0", "4"),
+    "no-failing-bound": _constant(f"{ROUTING}/sticky.py", "MAX_ERROR_RATE", "1.1", "0.12"),
     "no-early-refusal": _line(
         f"{ROUTING}/router.py",
-        "elif len(service.line) >= self._tuning.waiting_most or self._hopeless(now, service, call):",
-        "elif len(service.line) >= self._tuning.waiting_most:",
+        "        return self._cannot_meet_target(now, service, pending)\n",
+        "        return False\n",
     ),
     "refuse-at-first-look": _line(
         f"{ROUTING}/router.py",
-        "if not call.extended and not self._hopeless(now, service, call):",
-        "if False and not self._hopeless(now, service, call):",
+        "if not pending.is_deadline_extended and not self._cannot_meet_target(now, service, pending):",
+        "if False and not self._cannot_meet_target(now, service, pending):",
     ),
     "no-spread-retry-after": _line(
-        f"{ROUTING}/router.py", "AGAIN_SHARE * left) * (0.75 + 0.5 * self._draw()))", "AGAIN_SHARE * left))"
+        f"{ROUTING}/router.py",
+        "longest_s * (0.75 + 0.5 * self._draw()))",
+        "longest_s)",
     ),
     "first-budget-1": _line(
         f"{ROUTING}/server.py",
-        "self.k = min(self.limit, max(tuning.first_budget, self.slots // edges))",
-        "self.k = min(self.limit, 1)",
+        "self.concurrency_limit = min(self.max_concurrency, max(tuning.first_budget, self.slots // edges))",
+        "self.concurrency_limit = min(self.max_concurrency, 1)",
+    ),
+    "no-learning-down": _line(
+        f"{ROUTING}/server.py", "            self._decrease_limit(sent_at, result)", "            pass"
     ),
-    "no-learning-down": _line(f"{ROUTING}/server.py", "            self._lower(sent_at, result)", "            pass"),
     "no-repeats-first": _line(
         f"{ROUTING}/router.py",
-        "        sent = self._try(now, service, call)  # it came before all that wait\n"
+        "        sent = self._try_dispatch(now, service, pending)  # it arrived before all queued ones\n"
         "        if sent is not None:\n            return [sent]\n",
         "",
     ),
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -49,7 +49,7 @@
         tokens = sum(part.tokens for part in parts)
         request = RoutingRequest(number, "svc", "r", 1, now + 5, 0.6, now, 2, True, sticky, "m", parts, tokens, 50)
         started = time.perf_counter()
-        actions = router.submit(now, request)
+        actions = router.route(now, request)
         spent += time.perf_counter() - started
         out += [(action.ticket, action.server_id) for action in actions if isinstance(action, Send)]
         while len(out) > OUT:
@@ -86,7 +86,7 @@
     of_servers = tracemalloc.get_traced_memory()[0]
     table, draw = PrefixTable(16_384, 4_096, 60.0), random.Random(3)
     for number in range(SUBJECTS):
-        table.note(number * 0.001, prefixes_of("svc", "m", prompt(draw, number)), servers[number % len(servers)])
+        table.record(number * 0.001, prefixes_of("svc", "m", prompt(draw, number)), servers[number % len(servers)])
     of_prefixes = tracemalloc.get_traced_memory()[0]
     a_server, a_prefix = (of_servers - before) / len(servers), (of_prefixes - of_servers) / len(table)
     print(f"{a_server:.0f} B a server, {a_prefix:.0f} B a prefix")
--- a/rosechute/data_plane/dispatcher.py
+++ b/rosechute/data_plane/dispatcher.py
@@ -40,7 +40,7 @@
     def forget_services(self, now: float, keep: Collection[str]) -> list[RoutingAction]:
         """Forget all services but these."""
 
-    def submit(self, now: float, request: RoutingRequest) -> list[RoutingAction]:
+    def route(self, now: float, request: RoutingRequest) -> list[RoutingAction]:
         """Select a server for a request, queue the request, or reject it."""
 
     def report(
@@ -80,7 +80,7 @@
     def dispatch(self, request: ClientRequest) -> None:
         """Hand a request to the router."""
         self._requests[request.ticket] = request
-        self._perform(self._router.submit(self._loop.time(), request.admitted.routing))
+        self._perform(self._router.route(self._loop.time(), request.admitted.routing))
 
     def report_attempt(self, request: ClientRequest, server_id: str, result: AttemptResult, will_retry: bool) -> None:
         """Report the progress or the end of an attempt to the router."""
--- a/rosechute/processes/edge_metrics.py
+++ b/rosechute/processes/edge_metrics.py
@@ -9,7 +9,7 @@
 from rosechute.processes.edge_links import BYTES_SENT, EdgeLinks
 from rosechute.processes.metrics import Family, Values, by_kind, single
 from rosechute.processes.quota_client import QUOTA_DECISIONS
-from rosechute.routing.router import ATTEMPTS, PROMPT_TOKENS, REFUSALS, Router
+from rosechute.routing.router import ATTEMPTS, PROMPT_TOKENS, REJECTIONS, Router
 from rosechute.routing.sticky import STICKY_PICKS
 
 
@@ -49,7 +49,7 @@
             "requests_rejected_total",
             "Requests rejected by the router, by reason.",
             ("reason",),
-            by_kind(lambda: router.counts.of(REFUSALS)),
+            by_kind(lambda: router.counts.of(REJECTIONS)),
         ),
         Family(
             "prefix_affinity_selections_total",
@@ -67,7 +67,7 @@
             "requests_queued",
             "Requests that are queued for a server, by service.",
             ("service",),
-            lambda: {(name,): len(service.line) + len(service.repeats) for name, service in router.services.items()},
+            lambda: {(name,): len(service.queue) + len(service.retries) for name, service in router.services.items()},
         ),
         Family(
             "servers",
@@ -80,7 +80,7 @@
             "Connections that this edge may open to all servers of a service.",
             ("service",),
             lambda: {
-                (name,): sum(server.k for server in service.pool.servers.values())
+                (name,): sum(server.concurrency_limit for server in service.pool.servers.values())
                 for name, service in router.services.items()
             },
         ),
@@ -88,7 +88,9 @@
             "retry_budget_remaining",
             "Retries that the retry budget allows now.",
             ("service",),
-            lambda: {(name,): service.budget.left(loop.time()) for name, service in router.services.items()},
+            lambda: {
+                (name,): service.retry_budget.remaining(loop.time()) for name, service in router.services.items()
+            },
         ),
         Family(
             "quota_decisions_total",
@@ -132,6 +134,6 @@
 def _servers(router: Router) -> Values:
     found: dict[tuple[str, ...], float] = {}
     for name, service in router.services.items():
-        found[name, "up"] = service.pool.up
-        found[name, "with_budget"] = service.pool.live
+        found[name, "up"] = service.pool.available_count
+        found[name, "with_budget"] = service.pool.active_count
     return found
--- a/rosechute/routing/draw_set.py
+++ b/rosechute/routing/draw_set.py
@@ -1,4 +1,4 @@
-"""A set that a random member can be drawn from, at the same cost however large it is."""
+"""A set from which a random member is drawn in constant time."""
 
 from __future__ import annotations
 
@@ -9,46 +9,50 @@
 
 
 class DrawSet(Generic[Member]):
-    """Members in a list, and the place of each; the last member takes the place of one that leaves."""
+    """Members in a list, and the index of each. The last member takes the index of a removed one."""
 
-    __slots__ = ("_members", "_places")
+    __slots__ = ("_members", "_indices")
 
     def __init__(self) -> None:
         self._members: list[Member] = []
-        self._places: dict[Member, int] = {}
+        self._indices: dict[Member, int] = {}
 
     def __len__(self) -> int:
         return len(self._members)
 
     def __contains__(self, member: Member) -> bool:
-        return member in self._places
+        return member in self._indices
 
     def __iter__(self) -> Iterator[Member]:
         return iter(self._members)
 
     def set(self, member: Member, inside: bool) -> None:
-        """Put a member in or take it out."""
+        """Add or remove a member."""
         if inside:
             self.add(member)
         else:
             self.discard(member)
 
     def add(self, member: Member) -> None:
-        """Put a member in, where it is not yet."""
-        if member not in self._places:
-            self._places[member] = len(self._members)
+        """Add a member, if it is missing."""
+        if member not in self._indices:
+            self._indices[member] = len(self._members)
             self._members.append(member)
 
     def discard(self, member: Member) -> None:
-        """Take a member out, where it is in."""
-        place = self._places.pop(member, None)
-        if place is None:
+        """Remove a member, if it is there."""
+        index = self._indices.pop(member, None)
+        if index is None:
             return
         last = self._members.pop()
         if last is not member:
-            self._members[place] = last
-            self._places[last] = place
+            self._members[index] = last
+            self._indices[last] = index
 
     def draw(self, draw: Callable[[], float]) -> Member:
-        """A random member; there must be one."""
+        """Return a random member.
+
+        Raises:
+            IndexError: the set is empty.
+        """
         return self._members[int(draw() * len(self._members))]
--- a/rosechute/routing/model.py
+++ b/rosechute/routing/model.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingRequest:
-    """What the router needs to know of one request."""
+    """A request as the router sees it."""
 
     ticket: Ticket
     service: str
@@ -52,7 +52,7 @@
 
 
 class AttemptResult(enum.Enum):
-    """How one attempt at one server ended, or went on."""
+    """The progress or the outcome of one attempt at one server."""
 
     HEAD = "head"  # the head of a successful answer has come; the attempt still holds its connection
     DONE = "done"  # the whole answer has come; the connection is free
@@ -66,7 +66,7 @@
 
 
 class RejectReason(enum.Enum):
-    """Why the router gives a request up."""
+    """Why the router rejects a request."""
 
     NO_SERVERS = "no_servers"  # the service has none in the list
     ALL_BACKED_OFF = "all_backed_off"  # every server is at budget 0 and in backoff
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer the request now: it was given up."""
+    """Reject the request now."""
 
     ticket: Ticket
     reason: RejectReason
--- a/rosechute/routing/pick.py
+++ b/rosechute/routing/pick.py
@@ -1,64 +1,70 @@
-"""Which server of a pool a request goes to: the ordinary path of the design."""
+"""Server selection: the less loaded of two random servers (power of two choices)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from rosechute.routing.call import Call
 from rosechute.routing.draw_set import DrawSet
+from rosechute.routing.pending_request import PendingRequest
 from rosechute.routing.pool import Pool
 from rosechute.routing.server import Server
 
-DRAWS = 8  # draws before a pick looks through the whole set
-FAILING_POWER = 4  # a server that fails a share of its requests is drawn (1 - share) to this power as often
+MAX_DRAWS = 8  # before a selection searches the whole set
+OTHER_ZONE_PENALTY_S = 0.002  # added to the latency of a server in another zone
+ERROR_RATE_POWER = 4  # a drawn server is accepted with a chance of (1 - error rate) to this power
 
 
 class Picker:
-    """Draws servers of a pool."""
+    """Selects servers of a pool that the request has not tried.
+
+    Args:
+        draw: Random numbers from 0 up to 1.
+        zone: Of this edge, for ties.
+    """
 
     def __init__(self, draw: Callable[[], float], zone: str) -> None:
         self._draw, self._zone = draw, zone
 
-    def with_room(self, now: float, pool: Pool, call: Call) -> Server | None:
-        """The less loaded of two random servers under budget."""
-        return self._lighter_of_two(now, pool.room, call)
+    def with_capacity(self, now: float, pool: Pool, pending: PendingRequest) -> Server | None:
+        """Return the less loaded of two random servers with capacity; None for none."""
+        return self._less_loaded_of_two(now, pool.with_capacity, pending)
 
-    def least_waiting(self, now: float, pool: Pool, call: Call) -> Server | None:
-        """Of a few random servers under budget, the one that lets a request wait for the shortest time."""
-        drawn = [pool.room.draw(self._draw) for _ in range(min(DRAWS, len(pool.room)))]
-        usable = [server for server in drawn if server not in call.tried]
-        return min(usable, key=lambda server: server.wait_s(now), default=None)
+    def shortest_queue(self, now: float, pool: Pool, pending: PendingRequest) -> Server | None:
+        """Return the server with the shortest queue delay of a few random ones with capacity; None for none."""
+        drawn = [pool.with_capacity.draw(self._draw) for _ in range(min(MAX_DRAWS, len(pool.with_capacity)))]
+        usable = [server for server in drawn if server not in pending.tried_servers]
+        return min(usable, key=lambda server: server.queue_delay_s(now), default=None)
 
-    def growing(self, now: float, pool: Pool, call: Call) -> Server | None:
-        """A server at its full budget that may take a trial."""
-        return self._lighter_of_two(now, pool.growing, call)
+    def at_limit(self, now: float, pool: Pool, pending: PendingRequest) -> Server | None:
+        """Return a server at its concurrency limit that accepts a trial; None for none."""
+        return self._less_loaded_of_two(now, pool.accepting_trials, pending)
 
-    def returning(self, now: float, pool: Pool, call: Call) -> Server | None:
-        """A server at k = 0 whose backoff has ended."""
-        return self._lighter_of_two(now, pool.returning, call)
+    def recovering(self, now: float, pool: Pool, pending: PendingRequest) -> Server | None:
+        """Return a server with a limit of 0 whose backoff has ended; None for none."""
+        return self._less_loaded_of_two(now, pool.recovering, pending)
 
-    def _lighter_of_two(self, now: float, servers: DrawSet[Server], call: Call) -> Server | None:
+    def _less_loaded_of_two(self, now: float, servers: DrawSet[Server], pending: PendingRequest) -> Server | None:
         first: Server | None = None
         if not servers:
             return None
-        for _ in range(min(DRAWS, 4 * len(servers))):
+        for _ in range(min(MAX_DRAWS, 4 * len(servers))):
             server = servers.draw(self._draw)
-            if server is first or server in call.tried:
+            if server is first or server in pending.tried_servers:
                 continue
-            errors = server.errors(now)
-            if errors and self._draw() > (1.0 - errors) ** FAILING_POWER:
+            errors = server.current_error_rate(now)
+            if errors and self._draw() > (1.0 - errors) ** ERROR_RATE_POWER:
                 continue
             if first is None:
                 first = server
                 if len(servers) == 1:
                     break
             else:
-                return self._lighter(now, first, server)
+                return self._less_loaded(now, first, server)
         if first is None:
-            first = next((server for server in servers if server not in call.tried), None)
+            first = next((server for server in servers if server not in pending.tried_servers), None)
         return first
 
-    def _lighter(self, now: float, one: Server, other: Server) -> Server:
+    def _less_loaded(self, now: float, one: Server, other: Server) -> Server:
         load, other_load = one.load(now), other.load(now)
         if load != other_load:
             return one if load < other_load else other
@@ -66,5 +72,5 @@
         return one if latency <= other_latency else other
 
     def _latency(self, server: Server) -> float:
-        """Recent latency; a server of another zone ranks a little behind."""
-        return server.latency_s if server.zone == self._zone else server.latency_s + 0.002
+        """Return the recent latency in seconds, with a penalty for another zone."""
+        return server.latency_s if server.zone == self._zone else server.latency_s + OTHER_ZONE_PENALTY_S
--- a/rosechute/routing/prefixes.py
+++ b/rosechute/routing/prefixes.py
@@ -1,7 +1,7 @@
-"""Which servers were sent which prefixes of prompts, in bounded memory.
+"""An estimate of the prefix caches of servers, in bounded memory.
 
-A prefix is the model and the parts of a prompt from the first up to one of them, in order. Nobody tells what a server
-keeps; it follows from what was sent there, and becomes less likely with time, as other prompts take the memory.
+A prefix is the model and the parts of a prompt from the first up to one of them, in order. Servers do not report what
+they cache. It is inferred from what was sent to them, and becomes less likely with time, as other prompts evict it.
 """
 
 from __future__ import annotations
@@ -16,21 +16,26 @@
 from rosechute.routing.model import PromptPart
 from rosechute.routing.server import Server
 
-HOLDERS_MOST = 8  # servers that are remembered of one prefix; the one used longest ago gives way
-KEPT_S = 20.0  # a part that is not used is still kept after so long with a chance of 1/e
-SWEEP = 2  # entries that are looked at for their age with each new one
+MAX_SERVERS_PER_PREFIX = 8  # the least recently used one is replaced
+CACHE_DECAY_S = 20.0  # the chance that an unused prefix is still cached falls to 1/e in this time
+EXPIRY_CHECKS_PER_INSERT = 2  # of the oldest entries, with each new one
 
 
 @dataclass(frozen=True, slots=True)
 class Prefix:
-    """One prefix of a prompt."""
+    """One prefix of a prompt.
+
+    Attributes:
+        key: Hash of service, model and parts.
+        tokens: Of all its parts.
+    """
 
     key: int
-    tokens: int  # of all its parts
+    tokens: int
 
 
 def prefixes_of(service: str, model: str, parts: Sequence[PromptPart]) -> tuple[Prefix, ...]:
-    """All prefixes of a prompt, the shortest first. The last one is the whole prompt."""
+    """Return all prefixes of a prompt, the shortest first. The last one is the whole prompt."""
     key = xxhash.xxh64_intdigest(f"{service}\0{model}".encode())
     tokens = 0
     prefixes = []
@@ -41,8 +46,8 @@
     return tuple(prefixes)
 
 
-class Holders:
-    """The servers that were sent one prefix, with the time of the last sending to each."""
+class PrefixServers:
+    """The servers that were sent one prefix, and when each was last."""
 
     __slots__ = ("servers", "times")
 
@@ -50,112 +55,124 @@
         self.servers: list[Server] = []
         self.times: list[float] = []
 
-    def note(self, now: float, server: Server) -> None:
-        """It was sent there."""
+    def record(self, now: float, server: Server) -> None:
+        """Record that the prefix was sent to a server."""
         if server in self.servers:
             self.times[self.servers.index(server)] = now
-        elif len(self.servers) < HOLDERS_MOST:
+        elif len(self.servers) < MAX_SERVERS_PER_PREFIX:
             self.servers.append(server)
             self.times.append(now)
         else:
-            place = self.times.index(min(self.times))
-            self.servers[place], self.times[place] = server, now
+            index = self.times.index(min(self.times))
+            self.servers[index], self.times[index] = server, now
 
-    def drop(self, server: Server) -> None:
-        """It is not there after all."""
+    def remove(self, server: Server) -> None:
+        """Remove a server that does not have the prefix."""
         if server in self.servers:
-            place = self.servers.index(server)
-            del self.servers[place], self.times[place]
+            index = self.servers.index(server)
+            del self.servers[index], self.times[index]
 
-    def drop_gone(self) -> None:
-        """Forget servers that have left the list."""
+    def remove_unlisted(self) -> None:
+        """Remove servers that have left the endpoint list."""
         for server in [server for server in self.servers if not server.listed]:
-            self.drop(server)
+            self.remove(server)
 
-    def chance(self, now: float, server: Server) -> float:
-        """How likely the server still keeps the prefix."""
+    def cached_chance(self, now: float, server: Server) -> float:
+        """Return the chance that a server still caches the prefix."""
         if server not in self.servers:
             return 0.0
-        return math.exp((self.times[self.servers.index(server)] - now) / KEPT_S)
+        return math.exp((self.times[self.servers.index(server)] - now) / CACHE_DECAY_S)
+
 
+class RecentPrefixes:
+    """Servers by prefix, with LRU eviction and expiry.
 
-class RecentHolders:
-    """Holders by prefix; those that were used longest ago give way, and those that were not used for a time."""
+    Args:
+        max_entries: Prefixes that are kept.
+        idle_s: After which an unused one expires.
+    """
 
-    def __init__(self, most: int, idle_s: float) -> None:
-        self._most, self._idle_s = most, idle_s
-        self._holders: OrderedDict[int, Holders] = OrderedDict()
+    def __init__(self, max_entries: int, idle_s: float) -> None:
+        self._max_entries, self._idle_s = max_entries, idle_s
+        self._servers: OrderedDict[int, PrefixServers] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._holders)
-
-    def get(self, key: int) -> Holders | None:
-        """The holders of a prefix."""
-        return self._holders.get(key)
-
-    def note(self, now: float, key: int, server: Server) -> None:
-        """A prefix was sent to a server."""
-        holders = self._holders.get(key)
-        if holders is None:
-            self._sweep(now)
-            holders = self._holders[key] = Holders()
+        return len(self._servers)
+
+    def get(self, key: int) -> PrefixServers | None:
+        """Return the servers of a prefix; None where it is not known."""
+        return self._servers.get(key)
+
+    def record(self, now: float, key: int, server: Server) -> None:
+        """Record that a prefix was sent to a server."""
+        servers = self._servers.get(key)
+        if servers is None:
+            self._evict(now)
+            servers = self._servers[key] = PrefixServers()
         else:
-            self._holders.move_to_end(key)
-        holders.note(now, server)
-
-    def _sweep(self, now: float) -> None:
-        if len(self._holders) >= self._most:
-            self._holders.popitem(last=False)
-        for _ in range(SWEEP):
-            oldest = next(iter(self._holders), None)
-            if oldest is None or max(self._holders[oldest].times, default=now) > now - self._idle_s:
+            self._servers.move_to_end(key)
+        servers.record(now, server)
+
+    def _evict(self, now: float) -> None:
+        if len(self._servers) >= self._max_entries:
+            self._servers.popitem(last=False)
+        for _ in range(EXPIRY_CHECKS_PER_INSERT):
+            oldest = next(iter(self._servers), None)
+            if oldest is None or max(self._servers[oldest].times, default=now) > now - self._idle_s:
                 return
-            del self._holders[oldest]
+            del self._servers[oldest]
 
 
 class PrefixTable:
-    """What this edge has sent where. Whole prompts are kept apart: few of them come again, and they must not take the
-    place of shared prefixes."""
+    """The prompts that this edge has sent to each server.
+
+    Whole prompts are kept apart: few of them are sent again, and they must not evict shared prefixes.
+
+    Args:
+        max_shared: Shared prefixes that are kept.
+        max_whole: Whole prompts that are kept.
+        idle_s: After which an unused entry expires.
+    """
 
-    def __init__(self, most: int, most_whole: int, idle_s: float) -> None:
-        self._shared = RecentHolders(most, idle_s)
-        self._whole = RecentHolders(most_whole, idle_s)
+    def __init__(self, max_shared: int, max_whole: int, idle_s: float) -> None:
+        self._shared = RecentPrefixes(max_shared, idle_s)
+        self._whole = RecentPrefixes(max_whole, idle_s)
 
     def __len__(self) -> int:
         return len(self._shared) + len(self._whole)
 
-    def note(self, now: float, prefixes: Sequence[Prefix], server: Server) -> None:
-        """A prompt was sent to a server."""
+    def record(self, now: float, prefixes: Sequence[Prefix], server: Server) -> None:
+        """Record that a prompt was sent to a server."""
         for prefix in prefixes[:-1]:
-            self._shared.note(now, prefix.key, server)
-        self._whole.note(now, prefixes[-1].key, server)
-
-    def drop(self, prefixes: Sequence[Prefix], server: Server) -> None:
-        """A prompt did not run at a server after all."""
-        for holders in self._levels(prefixes):
-            if holders is not None:
-                holders.drop(server)
-
-    def holders(self, prefixes: Sequence[Prefix]) -> Sequence[Server]:
-        """The servers that were sent the whole prompt, or else all its shared parts."""
-        for holders in (self._whole.get(prefixes[-1].key), self._shared.get(prefixes[-2].key)):
-            if holders is not None:
-                holders.drop_gone()
-                if holders.servers:
-                    return holders.servers
+            self._shared.record(now, prefix.key, server)
+        self._whole.record(now, prefixes[-1].key, server)
+
+    def remove(self, prefixes: Sequence[Prefix], server: Server) -> None:
+        """Remove a prompt that a server did not execute."""
+        for servers in self._levels(prefixes):
+            if servers is not None:
+                servers.remove(server)
+
+    def servers_with(self, prefixes: Sequence[Prefix]) -> Sequence[Server]:
+        """Return the servers that were sent the whole prompt, or else all its shared parts."""
+        for servers in (self._whole.get(prefixes[-1].key), self._shared.get(prefixes[-2].key)):
+            if servers is not None:
+                servers.remove_unlisted()
+                if servers.servers:
+                    return servers.servers
         return ()
 
-    def kept(self, now: float, prefixes: Sequence[Prefix], server: Server) -> float:
-        """Tokens of a prompt that a server is expected to keep."""
-        kept, before = 0.0, 0
-        for prefix, holders in zip(prefixes, self._levels(prefixes), strict=True):
-            chance = holders.chance(now, server) if holders is not None else 0.0
+    def expected_cached_tokens(self, now: float, prefixes: Sequence[Prefix], server: Server) -> float:
+        """Return how many tokens of a prompt a server is expected to have cached."""
+        cached, tokens_before = 0.0, 0
+        for prefix, servers in zip(prefixes, self._levels(prefixes), strict=True):
+            chance = servers.cached_chance(now, server) if servers is not None else 0.0
             if not chance:
                 break
-            kept += chance * (prefix.tokens - before)
-            before = prefix.tokens
-        return kept
+            cached += chance * (prefix.tokens - tokens_before)
+            tokens_before = prefix.tokens
+        return cached
 
-    def _levels(self, prefixes: Sequence[Prefix]) -> list[Holders | None]:
+    def _levels(self, prefixes: Sequence[Prefix]) -> list[PrefixServers | None]:
         levels = [self._shared.get(prefix.key) for prefix in prefixes[:-1]]
         return [*levels, self._whole.get(prefixes[-1].key)]
--- a/rosechute/routing/rendezvous.py
+++ b/rosechute/routing/rendezvous.py
@@ -1,8 +1,8 @@
-"""The order in which the servers of a service stand for a key, the same at every edge that knows the same servers.
+"""Rendezvous hashing (Thaler & Ravishankar 1996): the order of servers for a key, the same at every edge.
 
-Up to `ALL` servers it is the order of rendezvous hashing among all. Above that, among a few servers that are found by
-the key on a ring, so that the cost does not grow with the number of servers. A server that comes or goes changes the
-order of few keys in both cases.
+Up to `MAX_FULLY_RANKED` servers it is the order of rendezvous hashing among all. Above that, among a few servers that
+are found by the key on a ring, so that the cost does not grow with the number of servers. A server that comes or goes
+changes the order of few keys in both cases.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 from rosechute.routing.server import Server
 
-ALL = 48  # servers up to which all are ranked
-POINTS = 8  # of each server on the ring
-CANDIDATES = 12  # places on the ring that a key looks at
-ANEW = 8  # the ring is made anew where more than one in so many servers has changed
+MAX_FULLY_RANKED = 48  # servers, up to which all are ranked
+POINTS_PER_SERVER = 8  # of each server on the ring
+CANDIDATES_PER_KEY = 12  # points on the ring that are looked up
+REBUILD_RATIO = 8  # the ring is rebuilt where more than one in so many servers has changed
 MASK = (1 << 64) - 1
 ODD = 0x9E3779B97F4A7C15
 MULTIPLIER = 0xD6E8FEB86659FD93
 
 
 def mixed(key: int, seed: int) -> int:
-    """A hash of two hashes."""
+    """Return a 64-bit hash of two hashes."""
     value = ((key ^ (seed * ODD)) * MULTIPLIER) & MASK
     value = ((value ^ (value >> 32)) * MULTIPLIER) & MASK
     return value ^ (value >> 29)
 
 
 class Rendezvous:
-    """Servers of one service by key."""
+    """The servers of one service, ordered by key."""
 
     def __init__(self) -> None:
         self._servers: dict[Server, None] = {}
-        self._pending: dict[Server, bool] = {}  # whose points the ring lacks or has in excess, with what is right
+        self._pending: dict[Server, bool] = {}  # changes that the ring lacks: whether the server belongs to it
         self._points = array("Q")
         self._owners: list[Server] = []
 
@@ -43,7 +43,7 @@
         return len(self._servers)
 
     def set(self, server: Server, inside: bool) -> None:
-        """Put a server in or take it out."""
+        """Add or remove a server."""
         if inside == (server in self._servers):
             return
         if inside:
@@ -54,7 +54,7 @@
             self._pending[server] = inside
 
     def first_two(self, key: int) -> list[Server]:
-        """The first two servers for a key; fewer where there are fewer."""
+        """Return the first two servers for a key; fewer where there are fewer."""
         best: Server | None = None
         second: Server | None = None
         best_score = second_score = -1
@@ -67,38 +67,42 @@
         return [server for server in (best, second) if server is not None]
 
     def _ranked(self, key: int) -> Iterable[Server]:
-        if len(self._servers) <= ALL:
+        if len(self._servers) <= MAX_FULLY_RANKED:
             return self._servers
-        self._settle()
+        self._update_ring()
         size = len(self._points)
-        places = (bisect_left(self._points, mixed(key, number)) for number in range(CANDIDATES))
-        return {self._owners[place % size]: None for place in places}
-
-    def _settle(self) -> None:
-        """Bring the ring up to date: one by one, or anew where much has changed."""
-        if ANEW * len(self._pending) > len(self._servers):
-            points = [(mixed(server.seed, number), server) for server in self._servers for number in range(POINTS)]
+        indexs = (bisect_left(self._points, mixed(key, number)) for number in range(CANDIDATES_PER_KEY))
+        return {self._owners[index % size]: None for index in indexs}
+
+    def _update_ring(self) -> None:
+        """Apply the pending changes: one by one, or by a rebuild where there are many."""
+        if REBUILD_RATIO * len(self._pending) > len(self._servers):
+            points = [
+                (mixed(server.seed, number), server)
+                for server in self._servers
+                for number in range(POINTS_PER_SERVER)
+            ]
             points.sort(key=itemgetter(0))
             self._points = array("Q", [point for point, _ in points])
             self._owners = [server for _, server in points]
         else:
             for server, inside in self._pending.items():
                 if inside:
-                    self._put(server)
+                    self._insert(server)
                 else:
-                    self._take(server)
+                    self._remove(server)
         self._pending.clear()
 
-    def _put(self, server: Server) -> None:
-        for number in range(POINTS):
+    def _insert(self, server: Server) -> None:
+        for number in range(POINTS_PER_SERVER):
             point = mixed(server.seed, number)
-            place = bisect_left(self._points, point)
-            self._points.insert(place, point)
-            self._owners.insert(place, server)
-
-    def _take(self, server: Server) -> None:
-        for number in range(POINTS):
-            place = bisect_left(self._points, mixed(server.seed, number))
-            while self._owners[place] is not server:  # two servers may have the same point
-                place += 1
-            del self._points[place], self._owners[place]
+            index = bisect_left(self._points, point)
+            self._points.insert(index, point)
+            self._owners.insert(index, server)
+
+    def _remove(self, server: Server) -> None:
+        for number in range(POINTS_PER_SERVER):
+            index = bisect_left(self._points, mixed(server.seed, number))
+            while self._owners[index] is not server:  # two servers may have the same point
+                index += 1
+            del self._points[index], self._owners[index]
--- a/rosechute/routing/report.py
+++ b/rosechute/routing/report.py
@@ -1,4 +1,4 @@
-"""What the router tells of itself when an operator asks. Plain data, pure."""
+"""Figures of the router for the state page. Field names are keys of that page's JSON."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 
 
 def router_report(router: Router, now: float) -> dict[str, ServiceReport]:
-    """The services by name, at a moment."""
+    """Return the figures of all services by name."""
     return {
-        name: ServiceReport(len(service.line), service.budget.left(now), _servers(service.pool, now))
+        name: ServiceReport(len(service.queue), service.retry_budget.remaining(now), _servers(service.pool, now))
         for name, service in sorted(router.services.items())
     }
 
@@ -60,9 +60,9 @@
         server.id,
         server.address,
         server.zone,
-        server.up,
-        server.k,
-        server.limit,
+        server.is_available,
+        server.concurrency_limit,
+        server.max_concurrency,
         server.in_flight,
         server.trial,
         round(max(0.0, server.retry_at - now) * MILLISECONDS),
--- a/rosechute/routing/retry_budget.py
+++ b/rosechute/routing/retry_budget.py
@@ -1,85 +1,105 @@
-"""The budget of further attempts of one service at this edge, over a sliding window.
+"""The retry budget of one service at one edge, over a sliding window.
 
-The rule sums the arrivals beyond the first of each request over all edges, in every window. Each edge keeps to the
-ratio of its own requests, and to its part of the slack. Both are taken with a margin: requests fall out of the window
-while the repeats that they allowed are still in it, and the number of edges is known late.
+The operator bounds the retries of the whole fleet in every window: a ratio of the requests, and a slack. Each edge
+keeps to the ratio of its own requests and to its share of the slack. Both are taken with a margin: requests leave the
+window while the retries that they allowed are still in it, and the number of live edges is known late.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
 RATIO_MARGIN = 0.75
 SLACK_MARGIN = 0.6
-BUCKETS = 20  # of one window
+BUCKETS_PER_WINDOW = 20
+
+
+@dataclass(slots=True)
+class Bucket:
+    """Events counted from a steady time on, for the width of a bucket."""
+
+    start: float
+    count: int = 0
 
 
 class WindowCounter:
-    """Counts of events in buckets of time."""
+    """Counts of events in buckets of time.
 
-    __slots__ = ("_width", "_buckets")
+    Args:
+        width_s: Of one bucket, in seconds.
+    """
+
+    __slots__ = ("_width_s", "_buckets")
 
     def __init__(self, width_s: float) -> None:
-        self._width = width_s
-        self._buckets: deque[list[float]] = deque()  # start, count
+        self._width_s = width_s
+        self._buckets: deque[Bucket] = deque()
 
     def add(self, now: float) -> None:
-        """One more event."""
-        if not self._buckets or now >= self._buckets[-1][0] + self._width:
-            self._buckets.append([now, 0.0])
-        self._buckets[-1][1] += 1
+        """Count one event."""
+        if not self._buckets or now >= self._buckets[-1].start + self._width_s:
+            self._buckets.append(Bucket(now))
+        self._buckets[-1].count += 1
 
-    def forget(self, before: float) -> None:
+    def expire(self, before: float) -> None:
         """Drop the buckets that ended before a time."""
-        while self._buckets and self._buckets[0][0] + self._width <= before:
+        while self._buckets and self._buckets[0].start + self._width_s <= before:
             self._buckets.popleft()
 
-    def least(self, since: float) -> int:
-        """Events that certainly came after `since`."""
-        return int(sum(count for start, count in self._buckets if start > since))
+    def count_at_least(self, since: float) -> int:
+        """Return how many events certainly happened after `since`."""
+        return sum(bucket.count for bucket in self._buckets if bucket.start > since)
 
-    def most(self, since: float) -> int:
-        """Events that may have come after `since`."""
-        return int(sum(count for start, count in self._buckets if start + self._width > since))
+    def count_at_most(self, since: float) -> int:
+        """Return how many events may have happened after `since`."""
+        return sum(bucket.count for bucket in self._buckets if bucket.start + self._width_s > since)
 
 
 class RetryBudget:
-    """Further attempts that one service of this edge may be sent."""
+    """Retries that one edge may send to the servers of one service.
+
+    Args:
+        ratio: Retries for each request in a window.
+        window_s: Length of the window in seconds.
+        slack: Retries in a window beyond the ratio, for the whole fleet.
+        edges: Live edges, which share the slack.
+    """
 
     def __init__(self, ratio: float, window_s: float, slack: float, edges: int) -> None:
-        self._requests = WindowCounter(window_s / BUCKETS)
-        self._repeats = WindowCounter(window_s / BUCKETS)
-        self._window = window_s
+        self._requests = WindowCounter(window_s / BUCKETS_PER_WINDOW)
+        self._retries = WindowCounter(window_s / BUCKETS_PER_WINDOW)
+        self._window_s = window_s
         self._ratio = ratio
-        self._floor = SLACK_MARGIN * slack / max(1, edges)
+        self._slack_share = SLACK_MARGIN * slack / max(1, edges)
 
-    def bound(self, ratio: float, window_s: float, slack: float, edges: int) -> None:
-        """Take over other figures. Counts start anew where the length of the window changes."""
+    def configure(self, ratio: float, window_s: float, slack: float, edges: int) -> None:
+        """Change the settings. Counts start anew where the length of the window changes."""
         self._ratio = ratio
-        self._floor = SLACK_MARGIN * slack / max(1, edges)
-        if window_s != self._window:
-            self._requests = WindowCounter(window_s / BUCKETS)
-            self._repeats = WindowCounter(window_s / BUCKETS)
-            self._window = window_s
-
-    def request(self, now: float) -> None:
-        """A client's request has come."""
-        self._requests.forget(now - self._window)
+        self._slack_share = SLACK_MARGIN * slack / max(1, edges)
+        if window_s != self._window_s:
+            self._requests = WindowCounter(window_s / BUCKETS_PER_WINDOW)
+            self._retries = WindowCounter(window_s / BUCKETS_PER_WINDOW)
+            self._window_s = window_s
+
+    def on_request(self, now: float) -> None:
+        """Count a client's request."""
+        self._requests.expire(now - self._window_s)
         self._requests.add(now)
 
-    def repeat(self, now: float) -> None:
-        """An attempt beyond the first that reached a server is sent."""
-        self._repeats.forget(now - self._window)
-        self._repeats.add(now)
+    def on_retry(self, now: float) -> None:
+        """Count an attempt beyond the first that may have reached a server."""
+        self._retries.expire(now - self._window_s)
+        self._retries.add(now)
 
     def allowed(self, now: float) -> float:
-        """Repeats that the window may hold now."""
-        return RATIO_MARGIN * self._ratio * self._requests.least(now - self._window) + self._floor
+        """Return how many retries the current window may hold."""
+        return RATIO_MARGIN * self._ratio * self._requests.count_at_least(now - self._window_s) + self._slack_share
 
-    def affords(self, now: float) -> bool:
-        """Whether one more repeat may be sent."""
-        return self._repeats.most(now - self._window) + 1 <= self.allowed(now)
+    def allows_retry(self, now: float) -> bool:
+        """Return whether one more retry may be sent."""
+        return self._retries.count_at_most(now - self._window_s) + 1 <= self.allowed(now)
 
-    def left(self, now: float) -> int:
-        """How many more repeats may be sent now."""
-        return max(0, int(self.allowed(now)) - self._repeats.most(now - self._window))
+    def remaining(self, now: float) -> int:
+        """Return how many more retries may be sent now."""
+        return max(0, int(self.allowed(now)) - self._retries.count_at_most(now - self._window_s))
--- a/rosechute/routing/server.py
+++ b/rosechute/routing/server.py
@@ -1,7 +1,9 @@
-"""One model server as this edge knows it: its budget of connections, its trial, its recent outcomes.
+"""One model server as this edge sees it: its concurrency limit, its trials and backoff, its recent outcomes.
 
-The budget `k` is changed by the functions of this class only. `k` is 0 to `limit`; `in_flight` is above `k` only by
-the one trial, or after `k` was lowered.
+The concurrency limit is learnt: it rises by one with each trial that succeeds, and falls by what a failure says of
+the server. Only methods of this class change it. It lies between 0 and `max_concurrency`. `in_flight` exceeds it only
+by the one trial, or after it was lowered. A server with a limit of 0 is ejected (an outlier): it is sent nothing but
+one trial at a time, with exponential backoff in between.
 """
 
 from __future__ import annotations
@@ -14,32 +16,59 @@
 from rosechute.routing.tuning import RouterTuning
 
 NANOSECONDS = 1_000_000_000
-USEFUL_SLOTS = 1.5  # connections of all edges together, over the server's slots, beyond which its queue only grows
-LEAST_LIMIT = 8  # of connections, where the share allows it: shares of few slots are too uneven to go below
-EXCESS_GAIN = 0.4  # weight of one more time by which a head came late
-EXCESS_MEMORY_S = 2.0  # such times fall to 1/e in so long
-SILENT_LEAST_S = 0.25  # a shorter silence says nothing
-SILENT_TIMES = 4.0  # over the usual latency from which a silence says something
-SILENT_CALLS = 4  # calls that a silent server counts as in addition
-RUNNING_S = 0.001  # by which one own request that runs there slows the reading of a further one
-LATENCY_GAIN = 0.3  # weight of one more time to the head
-AFTER_SILENCE_S = 0.5  # what silence adds to a backoff: a trial that is not answered costs its request the most
-UNREPEATABLE_AFTER_S = 0.5  # after a backoff, requests that may not be repeated may be trials, too
-ERROR_GAIN = 0.3  # weight of one more outcome in the rate of errors
-ERROR_MEMORY_S = 8.0  # a rate of errors falls to 1/e in so long without outcomes
-DEAD_AFTER = 2  # resets, errors or time-outs on end after which a server is taken for dead
-TOKENS_OF_A_CALL = 2_000  # prompt tokens that hold a server up as long as one usual call
-SILENT = (AttemptResult.RESET, AttemptResult.TIMEOUT)
-NOT_OF_THE_SERVER = (AttemptResult.DONE, AttemptResult.CANCELLED, AttemptResult.HEAD)
-
-
-def _fade(age_s: float, memory_s: float) -> float:
-    """What is left of 1 after an age; it falls to 1/e in `memory_s`."""
-    return math.exp(-max(0.0, age_s) / memory_s)
+SLOT_OVERCOMMIT = 1.5  # connections of all edges for each slot of a server, beyond which its queue only grows
+MIN_CONCURRENCY_LIMIT = 8  # where the share of connections allows it: smaller shares of the slots are too uneven
+EXCESS_WEIGHT = 0.4  # of a sample in the excess latency
+EXCESS_DECAY_S = 2.0  # excess latency falls to 1/e in this time
+MIN_UNRESPONSIVE_S = 0.25  # a shorter time without a response head means nothing
+UNRESPONSIVE_LATENCIES = 4.0  # times the usual latency after which a server is unresponsive
+UNRESPONSIVE_LOAD = 4  # requests that an unresponsive server counts in addition
+RESPONDING_SLOWDOWN_S = 0.001  # by which one responding request delays the prefill of another one
+LATENCY_WEIGHT = 0.3  # of a sample in the recent latency
+TIMEOUT_BACKOFF_S = 0.5  # added to a backoff after a time-out: a trial without a response costs its request the most
+NON_REPEATABLE_TRIAL_DELAY_S = 0.5  # after a backoff; then requests that may not be repeated may be trials, too
+ERROR_WEIGHT = 0.3  # of an outcome in the error rate
+ERROR_DECAY_S = 8.0  # an error rate falls to 1/e in this time
+MIN_ERROR_RATE = 0.001  # a smaller one counts as none
+DEAD_AFTER_FAILURES = 2  # consecutive resets, errors or time-outs after which a server is taken for dead
+TOKENS_PER_REQUEST_LOAD = 2_000  # pending prompt tokens that occupy a server for as long as one usual request
+UNRESPONSIVE_RESULTS = (AttemptResult.RESET, AttemptResult.TIMEOUT)
+NEUTRAL_RESULTS = (AttemptResult.DONE, AttemptResult.CANCELLED, AttemptResult.HEAD)  # no failure of the server
+
+
+def _decayed(age_s: float, decay_s: float) -> float:
+    """Return the rest of 1 after an age, which falls to 1/e in `decay_s`."""
+    return math.exp(-max(0.0, age_s) / decay_s)
 
 
 class Server:
-    """One incarnation of a server."""
+    """One incarnation of a server. Times are seconds of the steady clock.
+
+    Args:
+        entry: As the endpoint list has it.
+        tuning: Constants of the router.
+        draw: Random numbers from 0 up to 1, for backoffs.
+        seed: Hash of its id, for rendezvous hashing.
+
+    Attributes:
+        listed: Whether the endpoint list has it.
+        ready: Whether the list says that it takes new requests; False while it drains.
+        cold_until: Until when it warms up and is slow.
+        concurrency_limit: Own requests that it may be sent at the same time.
+        max_concurrency: The bound of that limit: this edge's share of its slots.
+        in_flight: Own requests at the server.
+        responding: Those of them with a response head.
+        prefill_tokens: Prompt tokens of the others.
+        trial: Whether a trial is at the server.
+        retry_at: No trial is sent before this time.
+        consecutive_failures: Since the last response.
+        last_response_at: When the head of a response arrived last.
+        unanswered_since: Since when it has owed a response head.
+        latency_s: Recent time to the head of a response; 0 while unknown.
+        excess_s: By how much heads were later than own requests explain, as of `excess_at`.
+        error_rate: Share of failures, as of `error_at`.
+        scheduled_retry_at: The `retry_at` that the pool has scheduled.
+    """
 
     __slots__ = (
         "id",
@@ -50,221 +79,238 @@
         "ready",
         "listed",
         "cold_until",
-        "limit",
-        "k",
+        "max_concurrency",
+        "concurrency_limit",
         "in_flight",
         "trial",
         "backoff",
         "retry_at",
-        "failures_on_end",
-        "heard_at",
+        "consecutive_failures",
+        "last_response_at",
         "latency_s",
         "prefill_tokens",
-        "running",
+        "responding",
         "prefill_tokens_per_s",
         "error_rate",
         "error_at",
         "seed",
-        "due_at",
+        "scheduled_retry_at",
         "excess_s",
         "excess_at",
-        "owing_since",
+        "unanswered_since",
     )
 
     def __init__(self, entry: ServerEntry, tuning: RouterTuning, draw: Callable[[], float], seed: int) -> None:
         self.id = entry.id
-        self.seed = seed  # hash of the id, for rendezvous order
+        self.seed = seed
         self.listed = True
         self.adopt(entry)
-        self.limit = 0
-        self.k = 0
+        self.max_concurrency = 0
+        self.concurrency_limit = 0
         self.in_flight = 0
-        self.trial = False  # one is out
+        self.trial = False
         self.prefill_tokens_per_s = tuning.prefill_tokens_per_s
         self.backoff = Backoff(
             int(tuning.backoff_first_s * NANOSECONDS), int(tuning.backoff_most_s * NANOSECONDS), draw
         )
-        self.retry_at = -math.inf  # no trial before this
-        self.failures_on_end = 0
-        self.heard_at = -math.inf  # when the head of an answer last came
-        self.latency_s = 0.0  # recent time to the head, 0 while unknown
-        self.prefill_tokens = 0  # of own requests whose head has not come
-        self.excess_s = 0.0  # by how much heads came late of late, as of `excess_at`
+        self.retry_at = -math.inf
+        self.consecutive_failures = 0
+        self.last_response_at = -math.inf
+        self.latency_s = 0.0
+        self.prefill_tokens = 0
+        self.excess_s = 0.0
         self.excess_at = -math.inf
-        self.owing_since = -math.inf  # since when it has owed the head of any answer
-        self.running = 0  # own requests whose head has come
-        self.error_rate = 0.0  # as of `error_at`
+        self.unanswered_since = -math.inf
+        self.responding = 0
+        self.error_rate = 0.0
         self.error_at = 0.0
-        self.due_at = -math.inf  # the end of a backoff for which the pool has noted an alarm
+        self.scheduled_retry_at = -math.inf
 
     def adopt(self, entry: ServerEntry) -> None:
-        """Take over what the list says of it."""
+        """Take over its entry in the endpoint list."""
         self.entry = entry
         self.address, self.zone, self.slots = entry.address, entry.zone, entry.slots
         self.ready, self.cold_until = entry.ready, entry.cold_until
 
-    def start(self, share: int, edges: int, tuning: RouterTuning) -> None:
-        """Set the first budget of a new server."""
-        self.limit = self._limit(share, edges)
-        self.k = min(self.limit, max(tuning.first_budget, self.slots // edges))
+    def start(self, connection_share: int, edges: int, tuning: RouterTuning) -> None:
+        """Set the first concurrency limit of a new server."""
+        self.max_concurrency = self._max_concurrency(connection_share, edges)
+        self.concurrency_limit = min(self.max_concurrency, max(tuning.first_budget, self.slots // edges))
 
-    def bound(self, share: int, edges: int) -> bool:
-        """Set the limit anew: the share of `max_connections` or the number of edges has changed. Whether the limit
-        has."""
-        before, self.limit = self.limit, self._limit(share, edges)
-        self.k = min(self.k, self.limit)
-        return self.limit != before
+    def set_limits(self, connection_share: int, edges: int) -> bool:
+        """Set the bound of the concurrency limit again; return whether it has changed."""
+        before, self.max_concurrency = self.max_concurrency, self._max_concurrency(connection_share, edges)
+        self.concurrency_limit = min(self.concurrency_limit, self.max_concurrency)
+        return self.max_concurrency != before
 
-    def _limit(self, share: int, edges: int) -> int:
+    def _max_concurrency(self, connection_share: int, edges: int) -> int:
         if self.slots <= 0:
-            return share
-        return min(share, max(LEAST_LIMIT, math.ceil(USEFUL_SLOTS * self.slots / edges)))
+            return connection_share
+        return min(connection_share, max(MIN_CONCURRENCY_LIMIT, math.ceil(SLOT_OVERCOMMIT * self.slots / edges)))
 
-    # --- where it stands
+    # --- state
 
     @property
-    def up(self) -> bool:
-        """Whether it may take new requests at all."""
+    def is_available(self) -> bool:
+        """Whether it takes new requests at all: it is listed and does not drain."""
         return self.ready and self.listed
 
-    def has_room(self) -> bool:
-        """Whether it is under its budget."""
-        return self.in_flight < self.k and self.ready and self.listed
+    def has_capacity(self) -> bool:
+        """Return whether it is available and below its concurrency limit."""
+        return self.in_flight < self.concurrency_limit and self.ready and self.listed
 
-    def may_try(self, now: float) -> bool:
-        """Whether one request may pass as a trial: at k = 0, or at a full budget below the limit."""
-        if self.trial or not self.up or now < self.retry_at or self.in_flight >= self.limit:
+    def accepts_trial(self, now: float) -> bool:
+        """Return whether one request may be sent as a trial: at a limit of 0, or at a full limit below its bound."""
+        if self.trial or not self.is_available or now < self.retry_at or self.in_flight >= self.max_concurrency:
             return False
-        return not self.k or self.in_flight == self.k
+        return not self.concurrency_limit or self.in_flight == self.concurrency_limit
 
-    def errors(self, now: float) -> float:
-        """Share of recent answers that were failures, while the server answered others; it fades with time."""
-        if self.error_rate < 0.001:
-            return 0.0
-        return self.error_rate * _fade(now - self.error_at, ERROR_MEMORY_S)
+    def accepts_trial_of(self, now: float, repeatable: bool) -> bool:
+        """Return whether a request may be the trial at a limit of 0.
+
+        A request that may not be repeated is lost where the server is still unresponsive, so the first moments after
+        a backoff are left to others.
+        """
+        return repeatable or now >= self.retry_at + NON_REPEATABLE_TRIAL_DELAY_S
 
-    def due_for(self, now: float, repeatable: bool) -> bool:
-        """Whether a request may be the trial at k = 0. One that may not be repeated is lost where the server is still
-        silent, so the first moments are left to others."""
-        return repeatable or now >= self.retry_at + UNREPEATABLE_AFTER_S
+    def current_error_rate(self, now: float) -> float:
+        """Return the share of failures among recent responses, decayed."""
+        if self.error_rate < MIN_ERROR_RATE:
+            return 0.0
+        return self.error_rate * _decayed(now - self.error_at, ERROR_DECAY_S)
 
     def load(self, now: float) -> float:
-        """Own calls in flight. Exception "long prompts": the tokens that are still to be read count as calls of the
-        usual length. A server that is slow from its start counts as one call more, one that has been silent for far
-        longer than it takes otherwise as several."""
-        more = (now < self.cold_until) + self.silent(now) * SILENT_CALLS
-        return self.in_flight + self.prefill_tokens / TOKENS_OF_A_CALL + more
-
-    def silent(self, now: float) -> bool:
-        """Whether it has been silent for far longer than it takes otherwise, and than its reading explains."""
-        silence_s = self.silence_s(now)
-        if silence_s < SILENT_LEAST_S:
+        """Return the load by own requests, in usual requests.
+
+        Pending prompt tokens count as further requests (exception "long prompts" of docs/fleet/policy.md). So does a
+        slow start, and a server that is unresponsive counts as several more.
+        """
+        more = (now < self.cold_until) + self.is_unresponsive(now) * UNRESPONSIVE_LOAD
+        return self.in_flight + self.prefill_tokens / TOKENS_PER_REQUEST_LOAD + more
+
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether it has owed a response head for far longer than usual, and than its prefill explains."""
+        unresponsive_s = self.unresponsive_for_s(now)
+        if unresponsive_s < MIN_UNRESPONSIVE_S:
             return False
-        return silence_s > SILENT_TIMES * max(self.latency_s, self.prefill_tokens / self.prefill_tokens_per_s)
+        explained_s = max(self.latency_s, self.prefill_tokens / self.prefill_tokens_per_s)
+        return unresponsive_s > UNRESPONSIVE_LATENCIES * explained_s
 
-    def silence_s(self, now: float) -> float:
-        """How long it has owed the head of an answer without sending any."""
-        if self.in_flight == self.running:
+    def unresponsive_for_s(self, now: float) -> float:
+        """Return for how long it has owed a response head without sending any."""
+        if self.in_flight == self.responding:
             return 0.0
-        return now - max(self.heard_at, self.owing_since)
+        return now - max(self.last_response_at, self.unanswered_since)
 
-    def wait_s(self, now: float) -> float:
-        """How long a request sent there now waits before it is read, as far as own requests tell: what is to be read
-        of them or how long it has been silent, and by how much heads came late."""
-        return self.owed_s(now) + self.late_s(now) + self.running * RUNNING_S
+    def queue_delay_s(self, now: float) -> float:
+        """Return how long a request sent now would be queued there, by own requests and the excess latency."""
+        return self.pending_prefill_s(now) + self.excess_latency_s(now) + self.responding * RESPONDING_SLOWDOWN_S
 
-    def owed_s(self, now: float) -> float:
-        """How long it takes to read what own requests have sent there, or how long it has been silent."""
-        return max(self.prefill_tokens / self.prefill_tokens_per_s, self.silence_s(now))
+    def pending_prefill_s(self, now: float) -> float:
+        """Return how long the prefill of own requests takes, or for how long it has been unresponsive."""
+        return max(self.prefill_tokens / self.prefill_tokens_per_s, self.unresponsive_for_s(now))
 
-    def late_s(self, now: float) -> float:
-        """By how much heads came later of late than own requests explain."""
-        return self.excess_s * _fade(now - self.excess_at, EXCESS_MEMORY_S) if self.excess_s else 0.0
+    def excess_latency_s(self, now: float) -> float:
+        """Return by how much response heads were later than own requests explain, decayed."""
+        return self.excess_s * _decayed(now - self.excess_at, EXCESS_DECAY_S) if self.excess_s else 0.0
 
-    # --- changes
+    # --- events
 
-    def sent(self, now: float, trial: bool, tokens: int) -> None:
-        """A request goes there, `tokens` of its prompt are to be read."""
-        if self.in_flight == self.running:
-            self.owing_since = now
+    def on_attempt_started(self, now: float, trial: bool, tokens: int) -> None:
+        """Count a request that is sent, `tokens` of whose prompt the server has to prefill."""
+        if self.in_flight == self.responding:
+            self.unanswered_since = now
         self.in_flight += 1
         self.prefill_tokens += tokens
         self.trial = self.trial or trial
 
-    def headed(self, now: float, took_s: float, excess_s: float, trial: bool, tokens: int) -> None:
-        """The head of a successful answer has come after `took_s`, by `excess_s` later than what is known here
-        explains."""
+    def on_response_head(self, now: float, took_s: float, excess_s: float, trial: bool, tokens: int) -> None:
+        """Take the head of a successful response, which raises the concurrency limit after a trial.
+
+        Args:
+            now: Steady time in seconds.
+            took_s: Since the request was sent.
+            excess_s: By how much it was later than own requests explain.
+            trial: Whether the request was a trial.
+            tokens: As of `on_attempt_started`.
+        """
         self.prefill_tokens -= tokens
-        self.running += 1
-        self.heard_at = now
-        if not self.k:
-            self.retry_at = now  # it answers again
-        self.failures_on_end = 0
-        self._outcome(now, False)
-        self.latency_s += (took_s - self.latency_s) * (LATENCY_GAIN if self.latency_s else 1.0)
-        self._late(now, excess_s)
+        self.responding += 1
+        self.last_response_at = now
+        if not self.concurrency_limit:
+            self.retry_at = now  # it responds again
+        self.consecutive_failures = 0
+        self._record_outcome(now, is_failure=False)
+        self.latency_s += (took_s - self.latency_s) * (LATENCY_WEIGHT if self.latency_s else 1.0)
+        self._record_excess_latency(now, excess_s)
         if trial:
             self.trial = False
-            self.k = min(self.k + 1, self.limit)
+            self.concurrency_limit = min(self.concurrency_limit + 1, self.max_concurrency)
             self.retry_at = -math.inf
             self.backoff.answered()
 
-    def ended(
-        self, now: float, sent_at: float, result: AttemptResult, trial: bool, headed: bool, tokens: int
+    def on_attempt_finished(
+        self, now: float, sent_at: float, result: AttemptResult, trial: bool, is_responding: bool, tokens: int
     ) -> None:
-        """An attempt is over and its connection free."""
+        """Take the outcome of an attempt, which may lower the concurrency limit and begin a backoff.
+
+        Args:
+            now: Steady time in seconds.
+            sent_at: When the request was sent.
+            result: Its outcome.
+            trial: Whether it was a trial.
+            is_responding: Whether `on_response_head` was called for it.
+            tokens: As of `on_attempt_started`.
+        """
         self.in_flight -= 1
-        if headed:
-            self.running -= 1
+        if is_responding:
+            self.responding -= 1
         else:
             self.prefill_tokens -= tokens
-        if trial and not headed:
+        if trial and not is_responding:
             self.trial = False
-        if result in NOT_OF_THE_SERVER:
+        if result in NEUTRAL_RESULTS:
             return
-        failed_trial = trial and not headed
-        before = self.k
-        if result is AttemptResult.SERVER_ERROR or (result in SILENT and self.heard_at > sent_at):
-            self._outcome(now, True)  # others were answered: it fails a part of its requests
+        failed_trial = trial and not is_responding
+        limit_before = self.concurrency_limit
+        others_responded = result in UNRESPONSIVE_RESULTS and self.last_response_at > sent_at
+        if result is AttemptResult.SERVER_ERROR or others_responded:
+            self._record_outcome(now, is_failure=True)
         if not failed_trial or result is not AttemptResult.NOT_EXECUTED:
-            self._lower(sent_at, result)  # a refused trial has shown that k is right as it is
-        if failed_trial or (before and not self.k) or result is AttemptResult.NOT_EXECUTED:
-            self._back_off(now, AFTER_SILENCE_S if result is AttemptResult.TIMEOUT else 0.0)
+            self._decrease_limit(sent_at, result)  # a rejected trial shows that the limit is right
+        if failed_trial or (limit_before and not self.concurrency_limit) or result is AttemptResult.NOT_EXECUTED:
+            self._back_off(now, TIMEOUT_BACKOFF_S if result is AttemptResult.TIMEOUT else 0.0)
 
-    def _lower(self, sent_at: float, result: AttemptResult) -> None:
-        """Lower k by what the outcome says of the server."""
+    def _decrease_limit(self, sent_at: float, result: AttemptResult) -> None:
+        """Lower the concurrency limit by what an outcome says of the server."""
+        limit = self.concurrency_limit
         if result is AttemptResult.NOT_EXECUTED:
-            self.k = max(0, min(self.k, self.in_flight + 1) - 1)
+            self.concurrency_limit = max(0, min(limit, self.in_flight + 1) - 1)
         elif result in (AttemptResult.CONNECT_FAILED, AttemptResult.WRONG_INSTANCE):
-            self.failures_on_end += 1
-            self.k = 0
+            self.consecutive_failures += 1
+            self.concurrency_limit = 0
         elif result is AttemptResult.SERVER_ERROR:
-            self.failures_on_end += 1
-            self.k = max(min(1, self.k), self.k - 1)
-        elif self.heard_at > sent_at:
-            self.k = max(min(1, self.k), self.k - 1)  # others were answered meanwhile: one connection broke
+            self.consecutive_failures += 1
+            self.concurrency_limit = max(min(1, limit), limit - 1)
+        elif self.last_response_at > sent_at:
+            # Others had a response meanwhile: one connection broke.
+            self.concurrency_limit = max(min(1, limit), limit - 1)
         else:
-            self.failures_on_end += 1
-            dead = self.failures_on_end >= DEAD_AFTER or result is AttemptResult.TIMEOUT
-            self.k = 0 if dead else self.k // 2
+            self.consecutive_failures += 1
+            is_dead = self.consecutive_failures >= DEAD_AFTER_FAILURES or result is AttemptResult.TIMEOUT
+            self.concurrency_limit = 0 if is_dead else limit // 2
 
     def _back_off(self, now: float, least_s: float = 0.0) -> None:
-        """No trial for a while; failures of one moment count once."""
+        """Send no trial for a while. Failures during a backoff do not extend it."""
         if now >= self.retry_at:
             self.retry_at = now + least_s + self.backoff.failed(0) / NANOSECONDS
 
-    def eject(self, now: float) -> None:
-        """Set k to 0: it fails most of its requests."""
-        if self.k:
-            self.k = 0
-            self._back_off(now)
-
-    def _late(self, now: float, excess_s: float) -> None:
-        """Note by how much a head came later than reading alone explains. Older ones count for less."""
-        weight = 1.0 - (1.0 - EXCESS_GAIN) * _fade(now - self.excess_at, EXCESS_MEMORY_S)
+    def _record_excess_latency(self, now: float, excess_s: float) -> None:
+        """Add a sample to the excess latency. Older samples count for less."""
+        weight = 1.0 - (1.0 - EXCESS_WEIGHT) * _decayed(now - self.excess_at, EXCESS_DECAY_S)
         self.excess_s += (excess_s - self.excess_s) * weight
         self.excess_at = now
 
-    def _outcome(self, now: float, failed: bool) -> None:
-        rate = self.errors(now)
-        self.error_rate, self.error_at = rate + (failed - rate) * ERROR_GAIN, now
+    def _record_outcome(self, now: float, *, is_failure: bool) -> None:
+        rate = self.current_error_rate(now)
+        self.error_rate, self.error_at = rate + (is_failure - rate) * ERROR_WEIGHT, now
--- a/rosechute/routing/service.py
+++ b/rosechute/routing/service.py
@@ -1,37 +1,45 @@
-"""All that the router keeps of one service."""
+"""The router's state of one service."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+from rosechute.routing.admission_control import AdmissionController
 from rosechute.routing.model import Ticket
 from rosechute.routing.pool import Pool
-from rosechute.routing.pressure import Pressure
+from rosechute.routing.request_queue import RequestQueue
 from rosechute.routing.retry_budget import RetryBudget
 from rosechute.routing.tuning import RouterTuning
-from rosechute.routing.waiting import WaitingLine
 
 
 class Service:
-    """One service: its servers, the requests that wait for them, its pressure and its retry budget."""
+    """One service: its servers, its queued requests, its admission control and its retry budget.
 
-    def __init__(self, draw: Callable[[], float], tuning: RouterTuning, budget: RetryBudget) -> None:
+    Attributes:
+        pool: Its servers.
+        queue: Requests that were never sent.
+        retries: Requests that are queued for a server that they have not tried.
+        admission: How long requests may be queued at a server.
+        retry_budget: How many retries may be sent.
+    """
+
+    def __init__(self, draw: Callable[[], float], tuning: RouterTuning, retry_budget: RetryBudget) -> None:
         self.pool = Pool(draw, tuning)
-        self.line = WaitingLine()  # requests that were never sent
-        self.repeats = WaitingLine()  # requests that wait for a server that has not failed them yet
-        self.pressure = Pressure(tuning.prefill_tokens_per_s)
-        self.budget = budget
+        self.queue = RequestQueue()
+        self.retries = RequestQueue()
+        self.admission = AdmissionController(tuning.prefill_tokens_per_s)
+        self.retry_budget = retry_budget
 
     @property
-    def waits(self) -> bool:
-        """Whether any request waits."""
-        return bool(self.line or self.repeats)
+    def has_queued(self) -> bool:
+        """Whether any request is queued."""
+        return bool(self.queue or self.retries)
 
-    def waiting(self) -> list[Ticket]:
-        """All requests that wait, in no order."""
-        return [*self.repeats, *self.line]
+    def queued_tickets(self) -> list[Ticket]:
+        """Return all queued requests, in no order."""
+        return [*self.retries, *self.queue]
 
     def discard(self, ticket: Ticket) -> None:
-        """Take a request out, where it waits."""
-        self.line.discard(ticket)
-        self.repeats.discard(ticket)
+        """Remove a request from its queue, if it is queued."""
+        self.queue.discard(ticket)
+        self.retries.discard(ticket)
--- a/rosechute/routing/tuning.py
+++ b/rosechute/routing/tuning.py
@@ -1,4 +1,4 @@
-"""Figures of the router that a deployment may set; the defaults are the project's."""
+"""Constants of the router that a deployment may set."""
 
 from __future__ import annotations
 
@@ -17,4 +17,4 @@
     prefix_entries: int = 16_384  # prefixes that are remembered
     session_entries: int = 4_096  # whole prompts that are remembered
     prefix_idle_s: float = 60.0  # a prefix that was not sent for so long is forgotten
-    waiting_most: int = 4_096  # requests of one service that may wait
+    max_queued_requests: int = 4_096  # requests of one service that may wait
--- a/tests/fleet/data_model.py
+++ b/tests/fleet/data_model.py
@@ -774,7 +774,7 @@
         plane, router = self.site.plane, self.site.router
         held: dict[str, Any] = {
             "requests": len(plane.front.requests),
-            "calls": len(router._calls),
+            "calls": len(router._pending),
             "bytes": plane.budget.used,
         }
         for server in plane.pool._servers.values():
--- a/tests/fleet/routing_fleet.py
+++ b/tests/fleet/routing_fleet.py
@@ -41,17 +41,17 @@
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._made = 0
 
-    def at(self, time: float, call: Callable[..., None], *arguments: Any) -> None:
+    def at(self, time: float, pending: Callable[..., None], *arguments: Any) -> None:
         self._made += 1
-        heapq.heappush(self._heap, (max(time, self.now), self._made, call, arguments))
+        heapq.heappush(self._heap, (max(time, self.now), self._made, pending, arguments))
 
-    def after(self, span: float, call: Callable[..., None], *arguments: Any) -> None:
-        self.at(self.now + span, call, *arguments)
+    def after(self, span: float, pending: Callable[..., None], *arguments: Any) -> None:
+        self.at(self.now + span, pending, *arguments)
 
     def run(self, until: float) -> None:
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, call, arguments = heapq.heappop(self._heap)
-            call(*arguments)
+            self.now, _, pending, arguments = heapq.heappop(self._heap)
+            pending(*arguments)
         self.now = until
 
 
@@ -162,7 +162,7 @@
         self.jobs.append(job)
         self.clock.after(0.045 * self.draw.lognormvariate(-0.125, 0.5) / self.speed, self._end, job)
 
-    def _end(self, job: Job) -> None:
+    def _finish_attempt(self, job: Job) -> None:
         if job not in self.jobs:
             return
         self.jobs.remove(job)
@@ -300,7 +300,7 @@
     def submit(self, kind: Kind, request: RoutingRequest, tries: int) -> None:
         self.open[request.ticket] = (kind, request, tries, None)
         self.clock.at(request.deadline, self._deadline, request.ticket)
-        self._act(self.router.submit(self.clock.now, request))
+        self._act(self.router.route(self.clock.now, request))
 
     def _deadline(self, ticket: int) -> None:
         if ticket in self.open:
@@ -313,7 +313,7 @@
     def _act(self, actions: list[RoutingAction]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self._send(action)
+                self._start_attempt(action)
             elif isinstance(action, Reject):
                 self._reject(action)
         wake = self.router.next_wake()
@@ -325,7 +325,7 @@
         self.woken = math.inf
         self._act(self.router.tick(self.clock.now))
 
-    def _send(self, send: Send) -> None:
+    def _start_attempt(self, send: Send) -> None:
         kind, request, tries, _ = self.open[send.ticket]
         job = Job(send.ticket, request, 0, self.clock.now)
         self.open[send.ticket] = (kind, request, tries, job)
--- a/tests/fleet/test_data_plane_checkers.py
+++ b/tests/fleet/test_data_plane_checkers.py
@@ -172,7 +172,7 @@
 
     def test_part_of_an_event_kept_for_the_next_run(self) -> None:
         def start_next_response(self: EventStream) -> None:
-            self._may_repeat_events = self._begun
+            self._may_repeat_events = self._has_forwarded
 
         self.found(
             data_judges.judge_streams, mock.patch.object(EventStream, "start_next_response", start_next_response)
@@ -209,12 +209,12 @@
             self.found(data_judges.judge_at_most_once, mock.patch.object(ClientResponse, "start", begin))
 
     def test_attempts_not_counted(self) -> None:
-        def again(self: Router, now: float, service: Any, call: Any, result: AttemptResult) -> Any:
-            call.runs = 0
-            return original(self, now, service, call, result)
+        def again(self: Router, now: float, service: Any, pending: Any) -> Any:
+            pending.executed_attempts = 0
+            return original(self, now, service, pending)
 
-        original = Router._again
-        self.found(data_judges.judge_attempts, mock.patch.object(Router, "_again", again))
+        original = Router._retry
+        self.found(data_judges.judge_attempts, mock.patch.object(Router, "_retry", again))
 
     def test_fields_of_the_client_dropped(self) -> None:
         self.found(data_judges.judge_unchanged, mock.patch.object(server_request, "END_TO_END", frozenset()))
--- a/tests/fleet/test_data_plane_protocol.py
+++ b/tests/fleet/test_data_plane_protocol.py
@@ -416,7 +416,7 @@
                         else:
                             getattr(client, leave)()
                         await asyncio.sleep(0.1)
-                        self.assertFalse(site.plane.front.requests or site.router._calls)
+                        self.assertFalse(site.plane.front.requests or site.router._pending)
                         servers = site.plane.pool._servers.values()
                         self.assertEqual(sum(server.open_count - len(server.idle) for server in servers), 0)
                         await asyncio.sleep(1.0)
@@ -457,7 +457,7 @@
             client = await site.client()
             client.send("/again/1")
             await asyncio.sleep(0.2)
-            site.router._try = lambda *_: None  # type: ignore[method-assign]  # no server has room for a repeat
+            site.router._try_dispatch = lambda *_: None  # type: ignore[method-assign]  # no server has room for a repeat
             await asyncio.sleep(0.2)
             (request,) = site.plane.front.requests.values()
             self.assertIs(request.state, RequestState.QUEUED)
@@ -465,7 +465,7 @@
             client.close()
             await asyncio.sleep(0.1)
             calls = len(site.calls)
-            self.assertFalse(site.plane.front.requests or site.router._calls)
+            self.assertFalse(site.plane.front.requests or site.router._pending)
             await asyncio.sleep(3.0)
             self.assertEqual(len(site.calls), calls)
             site.close()
--- a/tests/fleet/test_data_plane_races.py
+++ b/tests/fleet/test_data_plane_races.py
@@ -56,7 +56,7 @@
                     client.send(path)
                     await asyncio.sleep(0.1)
                     self.assertEqual(len(site.servers["s1"].closed), 1)
-                    self.assertFalse(site.plane.front.requests or site.router._calls)
+                    self.assertFalse(site.plane.front.requests or site.router._pending)
                     site.close()
 
         self.play(scene)
@@ -358,7 +358,7 @@
             for client in clients:
                 client.reset()
             await asyncio.sleep(0.2)
-            self.assertFalse(site.plane.front.requests or site.router._calls)
+            self.assertFalse(site.plane.front.requests or site.router._pending)
             self.assertEqual(len(site.calls), sum(len(server.closed) for server in site.servers.values()))
             site.close()
 
--- a/tests/fleet/test_data_plane_random_schedules.py
+++ b/tests/fleet/test_data_plane_random_schedules.py
@@ -199,7 +199,7 @@
         await asyncio.gather(*asking)
         await asyncio.sleep(1.0)
         self.assertEqual(day.broken_rules(), [])
-        self.assertEqual((len(site.plane.front.requests), len(site.router._calls)), (0, 0))
+        self.assertEqual((len(site.plane.front.requests), len(site.router._pending)), (0, 0))
         self.assertEqual(site.plane.budget.used, 0)
         for server in site.plane.pool._servers.values():
             self.assertEqual(server.open_count, len(server.idle), server.id)
--- a/tests/fleet/test_processes_metrics.py
+++ b/tests/fleet/test_processes_metrics.py
@@ -91,7 +91,7 @@
         router.apply_limits(0.0, "llm", 10, 1)
         router.apply_servers(0.0, "llm", [ServerEntry("i", "a:1", "z", 8, True)])
         parts = (PromptPart("p", 10), PromptPart("o", 90))
-        router.submit(0.0, RoutingRequest(1, "llm", "r", 0, 9.0, 1.0, 0.0, 1, False, True, "m", parts, 100, 5))
+        router.route(0.0, RoutingRequest(1, "llm", "r", 0, 9.0, 1.0, 0.0, 1, False, True, "m", parts, 100, 5))
         text = self.check(families)
         self.assertIn('rosechute_prompt_tokens_total{state="read"} 100', text)
         self.assertIn('rosechute_servers{service="llm",state="up"} 1', text)
--- a/tests/fleet/test_routing_fleet.py
+++ b/tests/fleet/test_routing_fleet.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from unittest import mock
 
-from rosechute.routing.sticky import StickyPicker
+from rosechute.routing.sticky import PrefixAffinity
 from tests.fleet.routing_fleet import LETTERS, Engine, Fleet
 
 LENGTH_S = 12.0
@@ -37,7 +37,7 @@
     def test_prefixes_spare_reading(self) -> None:
         with_prefixes, without = fleet(2, 1.0), fleet(2, 1.0)
         with_prefixes.play()
-        with mock.patch.object(StickyPicker, "pick", lambda self, now, pool, call, ordinary: ordinary):
+        with mock.patch.object(PrefixAffinity, "pick", lambda self, now, pool, pending, ordinary: ordinary):
             without.play()
         self.assertLess(with_prefixes.read_tokens(), 0.95 * without.read_tokens())
 
--- a/tests/fleet/test_routing_prefixes.py
+++ b/tests/fleet/test_routing_prefixes.py
@@ -8,8 +8,8 @@
 from collections import Counter
 
 from rosechute.routing.model import AttemptResult, PromptPart, RoutingRequest, Send, ServerEntry
-from rosechute.routing.prefixes import HOLDERS_MOST, PrefixTable, prefixes_of
-from rosechute.routing.rendezvous import ALL, Rendezvous
+from rosechute.routing.prefixes import MAX_SERVERS_PER_PREFIX, PrefixTable, prefixes_of
+from rosechute.routing.rendezvous import MAX_FULLY_RANKED, Rendezvous
 from rosechute.routing.router import Router
 from rosechute.routing.server import Server
 from rosechute.routing.tuning import RouterTuning
@@ -36,44 +36,46 @@
 
     def test_kept_counts_the_known_levels_and_fades(self) -> None:
         table, first = PrefixTable(100, 100, 60.0), server(1)
-        table.note(0.0, prefixes_of("svc", "m", parts("a", "x")), first)
+        table.record(0.0, prefixes_of("svc", "m", parts("a", "x")), first)
         same_subject = prefixes_of("svc", "m", parts("a", "y"))
-        self.assertAlmostEqual(table.kept(0.0, same_subject, first), 6_000)
-        self.assertAlmostEqual(table.kept(0.0, prefixes_of("svc", "m", parts("b", "y")), first), 2_000)
-        self.assertEqual(table.kept(0.0, same_subject, server(2)), 0.0)
-        self.assertLess(table.kept(20.0, same_subject, first), 3_000)
-        self.assertEqual(list(table.holders(same_subject)), [first])
+        self.assertAlmostEqual(table.expected_cached_tokens(0.0, same_subject, first), 6_000)
+        self.assertAlmostEqual(
+            table.expected_cached_tokens(0.0, prefixes_of("svc", "m", parts("b", "y")), first), 2_000
+        )
+        self.assertEqual(table.expected_cached_tokens(0.0, same_subject, server(2)), 0.0)
+        self.assertLess(table.expected_cached_tokens(20.0, same_subject, first), 3_000)
+        self.assertEqual(list(table.servers_with(same_subject)), [first])
 
     def test_a_server_that_is_gone_is_forgotten(self) -> None:
         table, first = PrefixTable(100, 100, 60.0), server(1)
         prefixes = prefixes_of("svc", "m", parts("a", "x"))
-        table.note(0.0, prefixes, first)
+        table.record(0.0, prefixes, first)
         first.listed = False
-        self.assertEqual(list(table.holders(prefixes)), [])
+        self.assertEqual(list(table.servers_with(prefixes)), [])
 
     def test_bounded(self) -> None:
         table = PrefixTable(500, 100, 60.0)
         servers = [server(number) for number in range(30)]
         for number in range(5_000):
             prefixes = prefixes_of("svc", "m", parts(f"s{number}", f"o{number}"))
-            table.note(number * 0.001, prefixes, servers[number % 30])
+            table.record(number * 0.001, prefixes, servers[number % 30])
         self.assertLessEqual(len(table), 600)
         holders = table._shared.get(prefixes_of("svc", "m", parts("s4999", "x"))[0].key)
         assert holders is not None
-        self.assertLessEqual(len(holders.servers), HOLDERS_MOST)
+        self.assertLessEqual(len(holders.servers), MAX_SERVERS_PER_PREFIX)
 
     def test_what_is_not_used_is_forgotten(self) -> None:
         table, first = PrefixTable(10_000, 10_000, 60.0), server(1)
         for number in range(100):
-            table.note(0.0, prefixes_of("svc", "m", parts(f"s{number}", f"o{number}")), first)
+            table.record(0.0, prefixes_of("svc", "m", parts(f"s{number}", f"o{number}")), first)
         for number in range(100):
-            table.note(100.0, prefixes_of("svc", "m", parts(f"t{number}", f"p{number}")), first)
+            table.record(100.0, prefixes_of("svc", "m", parts(f"t{number}", f"p{number}")), first)
         self.assertLessEqual(len(table), 202)
 
     def test_memory_of_a_prefix_is_small(self) -> None:
         table = PrefixTable(11_000, 10, 60.0)
         first = server(1)
-        table.note(0.0, prefixes_of("svc", "m", parts("a", "x")), first)
+        table.record(0.0, prefixes_of("svc", "m", parts("a", "x")), first)
         holders = table._shared.get(prefixes_of("svc", "m", parts("a", "x"))[1].key)
         assert holders is not None
         size = sys.getsizeof(holders) + sys.getsizeof(holders.servers) + sys.getsizeof(holders.times) + 24 + 32
@@ -102,7 +104,7 @@
         rendezvous.set(gone, False)
         for key in keys:  # who loses the first one goes to the second one
             first, second = before[key]
-            if first is gone and count <= ALL:
+            if first is gone and count <= MAX_FULLY_RANKED:
                 self.assertIs(rendezvous.first_two(key)[0], second)
         moved = sum(rendezvous.first_two(key)[0] is not before[key][0] for key in keys)
         self.assertLessEqual(moved, moved_most * len(keys))
@@ -149,7 +151,7 @@
             sum(part.tokens for part in prompt),
             50,
         )
-        actions = router.submit(now, request)
+        actions = router.route(now, request)
         assert isinstance(actions[0], Send), actions
         return actions[0].server_id
 
--- a/tests/fleet/test_routing_properties.py
+++ b/tests/fleet/test_routing_properties.py
@@ -16,7 +16,7 @@
     ServerEntry,
     Ticket,
 )
-from rosechute.routing.router import SPARE_ATTEMPTS, Router
+from rosechute.routing.router import EXTRA_UNEXECUTED_ATTEMPTS, Router
 from rosechute.routing.server import Server
 from rosechute.routing.tuning import RouterTuning
 
@@ -104,7 +104,7 @@
             sum(part.tokens for part in parts),
         )
         self.known[request.ticket] = Known(request)
-        actions = self.router.submit(self.now, request)
+        actions = self.router.route(self.now, request)
         if not any(isinstance(action, Reject) and action.reason.value == "no_servers" for action in actions):
             self.requests_at.append(self.now)
         self.take(actions)
@@ -177,10 +177,10 @@
                 self.take(self.router.report(self.now, ticket, server, AttemptResult.DONE, False))
         assert not self.known, f"left without an answer: {list(self.known)}"
         service = self.router._services["svc"]
-        assert not self.router._calls and not service.line
-        assert service.pressure._out == 0 and service.pressure._unread == 0
+        assert not self.router._pending and not service.queue
+        assert service.admission._in_flight == 0 and service.admission._pending_prefill_tokens == 0
         for server in service.pool.servers.values():
-            assert (server.in_flight, server.running, server.prefill_tokens, server.trial) == (0, 0, 0, False)
+            assert (server.in_flight, server.responding, server.prefill_tokens, server.trial) == (0, 0, 0, False)
 
     # --- checks
 
@@ -201,8 +201,8 @@
             trials = sum(known.trial for known in outside)
             assert trials <= 1, "more than one trial"
             if not action.trial:
-                assert len(outside) <= server.k + trials, "above the budget"
-            assert len(outside) <= max(server.limit, 1), "above the limit"
+                assert len(outside) <= server.concurrency_limit + trials, "above the budget"
+            assert len(outside) <= max(server.max_concurrency, 1), "above the limit"
 
     def check_send(self, send: Send) -> None:
         known = self.known[send.ticket]
@@ -220,7 +220,7 @@
         known.server, known.headed, known.trial = send.server_id, False, send.trial
         known.servers.append(send.server_id)
         known.sends += 1
-        assert known.sends <= known.request.max_attempts + SPARE_ATTEMPTS
+        assert known.sends <= known.request.max_attempts + EXTRA_UNEXECUTED_ATTEMPTS
 
     def check_order(self, sent: Known) -> None:
         """Nobody who was never sent and came earlier waits."""
@@ -239,23 +239,31 @@
 
     def check(self) -> None:
         pool = self.router._services["svc"].pool
-        line, repeats = self.router._services["svc"].line, self.router._services["svc"].repeats
+        line, repeats = self.router._services["svc"].queue, self.router._services["svc"].retries
         for server in pool.servers.values():
             out = [known for known in self.known.values() if known.server == server.id]
             assert server.in_flight == len(out), (server.id, server.in_flight, len(out))
-            assert server.running == sum(known.headed for known in out)
+            assert server.responding == sum(known.headed for known in out)
             assert server.trial == any(known.trial for known in out)
-            assert 0 <= server.k <= server.limit <= max(1, self.connections // self.edges)
-            assert (server in pool.room) == server.has_room()
-            assert (server in pool.growing) <= (server.up and not server.trial and server.in_flight == server.k > 0)
-            assert (server in pool.returning) <= (server.up and not server.trial and server.k == 0)
-        assert pool.up == sum(server.up for server in pool.servers.values())
-        assert pool.live == sum(server.up and server.k > 0 for server in pool.servers.values())
+            assert 0 <= server.concurrency_limit <= server.max_concurrency <= max(1, self.connections // self.edges)
+            assert (server in pool.with_capacity) == server.has_capacity()
+            assert (server in pool.accepting_trials) <= (
+                server.is_available and not server.trial and server.in_flight == server.concurrency_limit > 0
+            )
+            assert (server in pool.recovering) <= (
+                server.is_available and not server.trial and server.concurrency_limit == 0
+            )
+        assert pool.available_count == sum(server.is_available for server in pool.servers.values())
+        assert pool.active_count == sum(
+            server.is_available and server.concurrency_limit > 0 for server in pool.servers.values()
+        )
         waiting = {ticket for ticket, known in self.known.items() if known.server is None}
         assert set(repeats) == {ticket for ticket in waiting if self.known[ticket].sends}
         assert set(line) == waiting - set(repeats)
         if self.patient and line and not self.draining:
-            assert not pool.room and not pool.returning and pool.live, "waits although it could be sent"
+            assert not pool.with_capacity and not pool.recovering and pool.active_count, (
+                "waits although it could be sent"
+            )
 
 
 class RandomScheduleTest(unittest.TestCase):
--- a/tests/fleet/test_routing_report.py
+++ b/tests/fleet/test_routing_report.py
@@ -6,7 +6,7 @@
 
 from rosechute.routing.model import AttemptResult
 from rosechute.routing.report import router_report
-from tests.fleet.test_routing_ordinary import entry, make, request, sends
+from tests.fleet.test_routing_router import entry, make, request, sends
 
 
 class RouterReportTest(unittest.TestCase):
@@ -14,7 +14,7 @@
 
     def test_servers(self) -> None:
         router = make("a1 a2")
-        (sent,) = sends(router.submit(0.0, request(1)))
+        (sent,) = sends(router.route(0.0, request(1)))
         report = router_report(router, 0.0)["svc"]
         self.assertEqual([server.id for server in report.servers], ["a1", "a2"])
         by_id = {server.id: server for server in report.servers}
@@ -31,7 +31,7 @@
     def test_what_waits(self) -> None:
         router = make("a1")
         ticket = 0
-        while sends(router.submit(0.0, request(ticket := ticket + 1))):
+        while sends(router.route(0.0, request(ticket := ticket + 1))):
             self.assertLess(ticket, 200)
         self.assertEqual(router_report(router, 0.0)["svc"].waiting, 1)
 
@@ -40,7 +40,7 @@
         left = router_report(router, 0.0)["svc"].repeats_left
         self.assertGreater(left, 0)
         for ticket in range(1, 40):
-            for sent in sends(router.submit(0.0, request(ticket, repeatable=False, max_attempts=1))):
+            for sent in sends(router.route(0.0, request(ticket, repeatable=False, max_attempts=1))):
                 router.report(0.0, sent.ticket, sent.server_id, AttemptResult.RESET, False)
         (server,) = router_report(router, 0.0)["svc"].servers
         self.assertEqual(server.budget, 0)
--- a/tests/fleet/test_routing_retry_budget.py
+++ b/tests/fleet/test_routing_retry_budget.py
@@ -12,19 +12,19 @@
     def test_slack_alone(self) -> None:
         budget = RetryBudget(0.2, 10.0, 60.0, 6)
         spent = 0
-        while budget.affords(1.0):
-            budget.repeat(1.0)
+        while budget.allows_retry(1.0):
+            budget.on_retry(1.0)
             spent += 1
         self.assertEqual(spent, int(SLACK_MARGIN * 60 / 6))
-        self.assertFalse(budget.affords(10.9))
-        self.assertTrue(budget.affords(11.6))
+        self.assertFalse(budget.allows_retry(10.9))
+        self.assertTrue(budget.allows_retry(11.6))
 
     def test_requests_allow_repeats(self) -> None:
         budget = RetryBudget(0.2, 10.0, 0.0, 6)
-        self.assertFalse(budget.affords(0.0))
+        self.assertFalse(budget.allows_retry(0.0))
         for number in range(100):
-            budget.request(number * 0.01)
-        self.assertTrue(budget.affords(1.0))
+            budget.on_request(number * 0.01)
+        self.assertTrue(budget.allows_retry(1.0))
         self.assertAlmostEqual(budget.allowed(1.0), RATIO_MARGIN * 0.2 * 100)
         self.assertEqual(budget.allowed(11.5), 0.0)
 
@@ -39,10 +39,10 @@
             for _ in range(600):
                 now += draw.expovariate(draw.choice([5.0, 30.0]))
                 if draw.random() < 0.6:
-                    budget.request(now)
+                    budget.on_request(now)
                     requests.append(now)
-                elif budget.affords(now):
-                    budget.repeat(now)
+                elif budget.allows_retry(now):
+                    budget.on_retry(now)
                     repeats.append(now)
             for at in repeats:
                 asked = sum(at - 10.0 < when <= at for when in requests)
@@ -61,10 +61,10 @@
             for _ in range(900):
                 now += draw.expovariate(40.0 if int(now) % 8 < 2 else 3.0)
                 if int(now) % 8 < 2 or draw.random() < 0.3:
-                    budget.request(now)
+                    budget.on_request(now)
                     requests.append(now)
-                elif budget.affords(now):
-                    budget.repeat(now)
+                elif budget.allows_retry(now):
+                    budget.on_retry(now)
                     repeats.append(now)
             for at in repeats:
                 for end in (at, at + 2.5, at + 5.0, at + 9.9):
