--- a/rosechute/distribution/endpoint_lists.py
+++ b/rosechute/distribution/endpoint_lists.py
@@ -32,9 +32,11 @@
             by_service.setdefault(entry.service, []).append(entry)
         known = {value.service for value in self._store.lists()}
         self._is_read = True
-        services = sorted(known | by_service.keys())
-        topics = [self._apply_service(now, service, by_service.get(service, [])) for service in services]
-        return [topic for topic in topics if topic is not None]
+        return [
+            list_topic(service)
+            for service in sorted(known | by_service.keys())
+            if self._apply_service(now, service, by_service.get(service, []))
+        ]
 
     def empty_unlisted(self, now: float, reported: Iterable[str]) -> list[str]:
         """Store an empty list for each service that an edge reports but no reading of this term contains.
@@ -44,11 +46,11 @@
         """
         if not self._is_read:
             return []
-        topics = []
-        for service in reported:
-            if self._store.position(list_topic(service)).term != self._term:
-                topics.append(self._apply_service(now, service, []))
-        return [topic for topic in topics if topic is not None]
+        return [
+            list_topic(service)
+            for service in reported
+            if self._store.position(list_topic(service)).term != self._term and self._apply_service(now, service, [])
+        ]
 
     def of_this_term(self) -> list[ServiceList]:
         """Return the lists that the leader may send: those read in this term."""
@@ -61,11 +63,12 @@
             return value
         return value if is_leader and value.position.term == self._term else None
 
-    def _apply_service(self, now: float, service: str, servers: list[ListedServer]) -> str | None:
+    def _apply_service(self, now: float, service: str, servers: list[ListedServer]) -> bool:
+        """Store the servers of one service; return whether the list has a new revision."""
         old = self._store.service_list(service)
         is_same_term = old is not None and old.position.term == self._term
         revision = old.position.revision + 1 if old is not None and is_same_term else 1
         value = next_service_list(old, service, Position(self._term, revision), servers, now)
         if is_same_term and value.is_unchanged:
-            return None
-        return value.topic if self._store.put(value) is UpdateResult.APPLIED else None
+            return False
+        return self._store.put(value) is UpdateResult.APPLIED
--- a/rosechute/distribution/subscriber.py
+++ b/rosechute/distribution/subscriber.py
@@ -9,31 +9,22 @@
 
 from collections.abc import Iterable
 
-from rosechute.distribution.actions import (
-    Action,
-    ConfigurationChanged,
-    Connection,
-    DialedLink,
-    EdgesTotalChanged,
-    SendMessage,
-    ServersChanged,
-)
-from rosechute.distribution.catch_up import PATIENCE_PER_EDGE_S, PATIENCE_S, CatchUp, DueFetch
+from rosechute.distribution.actions import Action, Connection, DialedLink, EdgesTotalChanged, SendMessage
+from rosechute.distribution.catch_up import CatchUp, DueFetch
 from rosechute.distribution.confirmation import Confirmation
 from rosechute.distribution.home_subscriptions import HomeSubscriptions, SubscriptionRequest, SubscriptionState
 from rosechute.distribution.leader_search import LeaderSearch, SearchState
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.requests import EdgeRequests, fetch
-from rosechute.distribution.store import TopicStore, UpdateResult
+from rosechute.distribution.store import TopicStore
+from rosechute.distribution.topic_updates import TopicUpdates
 from rosechute.distribution.topics import (
     CONFIG_TOPIC,
-    NO_POSITION,
     Position,
     configuration_position,
     list_topic,
     reported_positions,
 )
-from rosechute.distribution.values import Configuration
 from rosechute.distribution.zone_relay import ZoneRelay
 from rosechute.messages import distribution_pb2 as pb
 
@@ -53,6 +44,7 @@
         self._catch_up = CatchUp()
         self._homes = HomeSubscriptions(edge.name)
         self._homes.add_topic(now, CONFIG_TOPIC)
+        self._updates = TopicUpdates(self._store, self._homes, self._relay, self._catch_up, self._confirmation)
         self._edges_total = 0
         self._attached_term = 0  # of the leader that the subscriptions were made at
         self._expire_at = now
@@ -144,9 +136,11 @@
             case "renewed":
                 actions = self._on_renewed(now, connection, message.renewed)
             case "config":
-                actions = self._on_configuration(now, connection, message.config)
+                self._on_home_message(now, connection, CONFIG_TOPIC)
+                actions = self._updates.on_configuration(now, message.config)
             case "list":
-                actions = self._on_list(now, connection, message.list)
+                self._on_home_message(now, connection, list_topic(message.list.position.service))
+                actions = self._updates.on_list(now, connection, message.list)
             case "subscribed":
                 self._on_home_message(now, connection, message.subscribed.topic)
                 actions = []
@@ -212,7 +206,7 @@
     def _on_follower_answer(self, now: float, address: str, answer: pb.Renewed) -> None:
         if answer.core and not self._search.has_core():
             self._search.set_core(machine.address for machine in answer.core)
-        self._on_reported_position(now, CONFIG_TOPIC, configuration_position(answer.config_sequence), address)
+        self._updates.on_reported_position(now, CONFIG_TOPIC, configuration_position(answer.config_sequence), address)
 
     def _on_leader_answer(self, now: float, address: str, answer: pb.Renewed) -> list[Action]:
         if self._attached_term != answer.members_term:
@@ -225,7 +219,7 @@
             self._set_zone_edges(now, answer)
         for topic, position in reported_positions(answer).items():
             self._homes.add_topic(now, topic)
-            self._on_reported_position(now, topic, position, address)
+            self._updates.on_reported_position(now, topic, position, address)
         if answer.edges_total and answer.edges_total != self._edges_total:
             self._edges_total = answer.edges_total
             return [EdgesTotalChanged(answer.edges_total)]
@@ -236,52 +230,12 @@
         self._homes.set_zone_edges(now, [EdgeIdentity(one.name, one.zone, one.address) for one in answer.zone_edges])
         self._search.set_peers(one.address for one in answer.zone_edges if one.name != self._edge.name)
 
-    def _on_reported_position(self, now: float, topic: str, position: Position, source: str) -> None:
-        """Schedule a fetch where a core machine reports a newer position; the home has a head start to relay it."""
-        held = self._store.position(topic)
-        if position <= held:
-            return
-        patience_s = PATIENCE_S + PATIENCE_PER_EDGE_S * self._homes.zone_size()
-        if held == NO_POSITION and self._homes.state(topic) is SubscriptionState.LOCAL:
-            patience_s = 0.0  # nothing to serve with yet, and no home that might relay it
-        self._catch_up.on_newer_position(topic, position, source, now + patience_s)
-
-    # --- updates
-
-    def _on_configuration(self, now: float, connection: Connection, update: pb.ConfigUpdate) -> list[Action]:
-        self._on_home_message(now, connection, CONFIG_TOPIC)
-        if self._store.apply_configuration(update) is not UpdateResult.APPLIED:
-            return []
-        configuration = self._store.configuration()
-        assert isinstance(configuration, Configuration)
-        self._confirmation.on_configuration_applied(configuration.sequence)
-        changed = ConfigurationChanged(configuration.sequence, configuration.version, configuration.body)
-        return [changed, *self._on_applied(now, CONFIG_TOPIC)]
-
-    def _on_list(self, now: float, connection: Connection, update: pb.ListUpdate) -> list[Action]:
-        service = update.position.service
-        topic = list_topic(service)
-        self._on_home_message(now, connection, topic)
-        result = self._store.apply_list(update, now)
-        if result is UpdateResult.GAP:
-            return [SendMessage(connection, fetch(topic))]
-        held = self._store.service_list(service)
-        if result is not UpdateResult.APPLIED or held is None:
-            return []
-        self._homes.add_topic(now, topic)
-        changed = ServersChanged(service, held.position, tuple(held.servers.values()))
-        return [changed, *self._on_applied(now, topic)]
-
-    def _on_applied(self, now: float, topic: str) -> list[SendMessage]:
-        self._catch_up.on_position_applied(topic, self._store.position(topic))
-        return self._relay.relay(now, topic)
+    # --- messages of home edges and of other edges
 
     def _on_home_message(self, now: float, connection: Connection, topic: str) -> None:
         if isinstance(connection, DialedLink):
             self._homes.on_home_message(now, topic, connection.address)
 
-    # --- requests of other edges
-
     def _on_renew_request(self, connection: Connection, renew: pb.Renew) -> list[Action]:
         """Name the leader to an edge of the zone that searches for it, while the leader answers here.
 
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -130,9 +130,9 @@
     def test_the_list_is_pushed_only_once(self) -> None:
         original = EndpointLists._apply_service
 
-        def apply_service(self: EndpointLists, now: float, service: str, servers: list[object]) -> str | None:
+        def apply_service(self: EndpointLists, now: float, service: str, servers: list[object]) -> bool:
             if self._store.service_list(service) is not None:
-                return None
+                return False
             return original(self, now, service, servers)  # type: ignore[arg-type]
 
         def play() -> None:
