--- a/tests/fleet/test_coordination_worst_days.py
+++ b/tests/fleet/test_coordination_worst_days.py
@@ -315,7 +315,7 @@
             self.assertGreater(cluster.version(), newest)
 
     def test_a_whole_record_keeps_every_durable_field(self) -> None:
-        machine = views.Identity("i", "n", "z", "10.0.0.1:1", "10.0.0.1:2")
+        machine = views.MachineIdentity("i", "n", "z", "10.0.0.1:1", "10.0.0.1:2")
         term = views.LeaderTerm(4, "i", 5)
         view = views.View(7, (machine,), ("i",), 3, views.StateTag(6, 2), term)
         state = views.RegisterState(7, 2, 3, b"body", b"d" * 16, b"t" * views.APPLIED_WRITE_BYTES)
@@ -326,7 +326,7 @@
             newcomer=True,
             view=view,
             committed=state,
-            written=state.with_write(7, 4, b"next", b"e" * 16),
+            uncommitted=state.with_write(7, 4, b"next", b"e" * 16),
             promised=ballot,
             accepted=views.Proposal(ballot, later, state.with_epoch(8)),
             term=term,
--- a/tests/fleet/test_planted_coordination_heartbeats.py
+++ b/tests/fleet/test_planted_coordination_heartbeats.py
@@ -34,7 +34,7 @@
         seeds = [("s:8367", "s:7500"), ("b:8367", "b:7500")]
         self.heartbeats = Heartbeats(parts.context, self.chain, self.lease_grantor, self.leader_lease, seeds)
 
-    def beats(self) -> dict[str, Any]:
+    def sent_heartbeats(self) -> dict[str, Any]:
         self.heartbeats.send()
         return {
             each.address: each.message.heartbeat for each in self.parts.actions() if isinstance(each, SendMessage)
@@ -43,13 +43,17 @@
     def test_reported_state(self) -> None:
         self.parts.replica_state.newcomer = True
         self.parts.replica_state.term = term(4)
-        beat = self.beats()["b:7500"]
-        self.assertEqual((beat.stamp, beat.epoch, beat.sequence, beat.committed), (NOW, EPOCH, 5, 5))
-        self.assertEqual((beat.sealed, beat.joined, beat.active, beat.healthy), (False, True, False, True))
-        self.assertFalse(beat.leaving)
-        self.assertEqual((list(beat.reached), beat.term, beat.leads), (["b", "c"], 4, False))
-        self.assertEqual((beat.lease_free, beat.lease_kept_for, beat.newcomer), (True, "", True))
-        self.assertEqual((beat.echo, beat.echo_boot), (NOW, 8))
+        heartbeat = self.sent_heartbeats()["b:7500"]
+        self.assertEqual(
+            (heartbeat.stamp, heartbeat.epoch, heartbeat.sequence, heartbeat.committed), (NOW, EPOCH, 5, 5)
+        )
+        self.assertEqual(
+            (heartbeat.sealed, heartbeat.joined, heartbeat.active, heartbeat.healthy), (False, True, False, True)
+        )
+        self.assertFalse(heartbeat.leaving)
+        self.assertEqual((list(heartbeat.reached), heartbeat.term, heartbeat.leads), (["b", "c"], 4, False))
+        self.assertEqual((heartbeat.lease_free, heartbeat.lease_kept_for, heartbeat.newcomer), (True, "", True))
+        self.assertEqual((heartbeat.echo, heartbeat.echo_boot), (NOW, 8))
 
     def test_reported_state_in_other_conditions(self) -> None:
         self.parts.seal()
@@ -57,50 +61,54 @@
         self.parts.context.joined_epoch = 0
         self.chain.is_active = True
         self.parts.replica_state.uncommitted = self.parts.replica_state.committed.with_write(EPOCH, 51, b"", b"")
-        beat = self.beats()["b:7500"]
-        self.assertEqual((beat.sealed, beat.joined, beat.active, beat.healthy), (True, False, True, False))
-        self.assertTrue(beat.leaving)
-        self.assertEqual((beat.sequence, beat.committed, beat.lease_free, beat.newcomer), (6, 5, False, False))
+        heartbeat = self.sent_heartbeats()["b:7500"]
+        self.assertEqual(
+            (heartbeat.sealed, heartbeat.joined, heartbeat.active, heartbeat.healthy), (True, False, True, False)
+        )
+        self.assertTrue(heartbeat.leaving)
+        self.assertEqual(
+            (heartbeat.sequence, heartbeat.committed, heartbeat.lease_free, heartbeat.newcomer), (6, 5, False, False)
+        )
 
     def test_not_joined_before_the_first_epoch(self) -> None:
         self.parts.context.joined_epoch = self.parts.context.adopted_epoch = 0
-        self.assertFalse(self.beats()["b:7500"].joined)
+        self.assertFalse(self.sent_heartbeats()["b:7500"].joined)
 
     def test_reported_epoch_is_the_synced_one(self) -> None:
         self.parts.context.adopted_epoch = EPOCH - 1
-        beat = self.beats()["b:7500"]
-        self.assertEqual((beat.epoch, beat.sealed, beat.joined), (EPOCH - 1, True, False))
+        heartbeat = self.sent_heartbeats()["b:7500"]
+        self.assertEqual((heartbeat.epoch, heartbeat.sealed, heartbeat.joined), (EPOCH - 1, True, False))
 
     def test_leader_reports_its_term(self) -> None:
         self.parts.replica_state.term = term(4)
         self.leader_lease.role, self.leader_lease.term, self.leader_lease.valid_until = LeaseRole.LEADER, 9, NOW + 1.0
-        beat = self.beats()["b:7500"]
-        self.assertEqual((beat.term, beat.leads), (9, True))
+        heartbeat = self.sent_heartbeats()["b:7500"]
+        self.assertEqual((heartbeat.term, heartbeat.leads), (9, True))
         self.leader_lease.valid_until = NOW
-        beat = self.beats()["b:7500"]
-        self.assertEqual((beat.term, beat.leads), (4, False))
+        heartbeat = self.sent_heartbeats()["b:7500"]
+        self.assertEqual((heartbeat.term, heartbeat.leads), (4, False))
 
     def test_reports_for_whom_the_lease_is_reserved(self) -> None:
         self.lease_grantor.granted_until, self.lease_grantor.granted_term = NOW + 1.0, term(1, "c")
-        beat = self.beats()["b:7500"]
-        self.assertEqual((beat.lease_free, beat.lease_kept_for), (False, "c"))
+        heartbeat = self.sent_heartbeats()["b:7500"]
+        self.assertEqual((heartbeat.lease_free, heartbeat.lease_kept_for), (False, "c"))
 
     def test_targets_are_acceptors_and_known_peers(self) -> None:
         self.parts.hear("z")
-        self.assertEqual(sorted(self.beats()), ["b:7500", "c:7500", "z:7500"])
+        self.assertEqual(sorted(self.sent_heartbeats()), ["b:7500", "c:7500", "z:7500"])
         self.assertEqual(self.heartbeats.next_at, NOW + TIMING.heartbeat)
 
     def test_seeds_are_targets_while_isolated_only(self) -> None:
-        self.assertNotIn("s:7500", self.beats())
+        self.assertNotIn("s:7500", self.sent_heartbeats())
         self.parts.pass_time(2.0, hearing="b")
-        self.assertIn("s:7500", self.beats())
+        self.assertIn("s:7500", self.sent_heartbeats())
         self.make(Parts("z", "abc"))
-        self.assertIn("s:7500", self.beats(), "outside of the view")
+        self.assertIn("s:7500", self.sent_heartbeats(), "outside of the view")
 
     def test_heartbeat_to_a_seed_echoes_nothing(self) -> None:
         self.parts.pass_time(2.0)
-        beat = self.beats()["s:7500"]
-        self.assertEqual((beat.stamp, beat.echo, beat.echo_boot), (NOW + 2.0, 0.0, 0))
+        heartbeat = self.sent_heartbeats()["s:7500"]
+        self.assertEqual((heartbeat.stamp, heartbeat.echo, heartbeat.echo_boot), (NOW + 2.0, 0.0, 0))
 
     def test_each_target_is_sent_one_heartbeat(self) -> None:
         self.parts.pass_time(2.0)
@@ -110,7 +118,7 @@
 
     def test_send_clears_the_due_heartbeat(self) -> None:
         self.parts.context.heartbeat_due = True
-        self.beats()
+        self.sent_heartbeats()
         self.assertFalse(self.parts.context.heartbeat_due)
 
     def receive(self, name: str, boot: int = 8, **fields: Any) -> Any:
--- a/tests/fleet/test_planted_coordination_lease_grantor.py
+++ b/tests/fleet/test_planted_coordination_lease_grantor.py
@@ -187,6 +187,7 @@
         grantor.on_request(identity("b"), 8, pb.LeaseRequest(epoch=EPOCH, term=1))
         parts.sync()
         self.assertEqual((parts.sent("lease_grant"), grantor.is_free(), grantor.reserved_for()), ([], False, ""))
+        self.assertFalse(LeaseGrantor(parts.context, NOW - 1.0).is_free(), "it isn't bound, but no acceptor")
 
     def test_no_grant_to_an_unreachable_machine(self) -> None:
         self.parts.pass_time(1.0, hearing="c")
--- a/tests/fleet/test_planted_coordination_membership.py
+++ b/tests/fleet/test_planted_coordination_membership.py
@@ -223,8 +223,8 @@
 
     def fetched(self, member: Member, **fields: Any) -> list[Any]:
         member.parts.pass_time(FETCH_INTERVAL_S)
-        beat = pb.Heartbeat(**({"epoch": EPOCH, "committed": 5} | fields))
-        member.membership.fetch_if_behind(identity("b"), beat)
+        heartbeat = pb.Heartbeat(**({"epoch": EPOCH, "committed": 5} | fields))
+        member.membership.fetch_if_behind(identity("b"), heartbeat)
         return member.parts.sent("fetch")
 
     def test_fetches_when_behind(self) -> None:
@@ -240,12 +240,12 @@
         self.assertEqual((fetch.epoch, fetch.sequence), (EPOCH, 5))
 
     def test_fetches_are_spaced(self) -> None:
-        beat = pb.Heartbeat(epoch=EPOCH + 1)
+        heartbeat = pb.Heartbeat(epoch=EPOCH + 1)
         for _ in range(2):
-            self.membership.fetch_if_behind(identity("b"), beat)
+            self.membership.fetch_if_behind(identity("b"), heartbeat)
         self.assertEqual(self.parts.sent_to("fetch"), ["b"])
         self.parts.pass_time(FETCH_INTERVAL_S)
-        self.membership.fetch_if_behind(identity("c"), beat)
+        self.membership.fetch_if_behind(identity("c"), heartbeat)
         self.assertEqual(self.parts.sent_to("fetch"), ["c"])
 
     def test_answers_a_fetch_with_committed_state_only(self) -> None:
@@ -355,6 +355,8 @@
         wiped = identity("c")
         new = type(wiped)("n", wiped.name, wiped.zone, wiped.control_address, wiped.peer_address)
         self.parts.detector.on_heartbeat(NOW, new, 1, stranger)
+        found = self.proposed_view(self.member, "ab")
+        self.assertEqual([each.id for each in found.acceptors], ["a", "b", "c"], "it waits to be readmittable")
         self.parts.pass_time(self.parts.timing.readmit + 0.01, hearing="b")
         found = self.proposed_view(self.member, "ab")
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "n"])
