--- a/rosechute/control_plane/endpoint_list_client.py
+++ b/rosechute/control_plane/endpoint_list_client.py
@@ -7,7 +7,7 @@
 
 from .endpoint_list_page import EndpointListError, EndpointListPage, decode_endpoint_list_page
 
-CALL_TIMEOUT_S = 0.7  # below the 1.2 s of a leader lease: a call that hangs doesn't outlast it
+CALL_TIMEOUT_S = 0.7  # a call that takes longer has failed
 KEEP_ALIVE_S = 30.0  # how long an idle connection stays open; far above the interval between two readings
 STEP = "fetch a page of the list"
 
--- a/rosechute/control_plane/endpoint_list_reader.py
+++ b/rosechute/control_plane/endpoint_list_reader.py
@@ -7,6 +7,7 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
+from typing import NamedTuple
 
 from loguru import logger
 from returns.result import Failure, Result, Success
@@ -18,13 +19,20 @@
 INTERVAL_S = 0.5  # from the start of a reading to that of the next
 JITTER = 0.1  # share of the interval, to either side
 RETRY_S = 0.25  # after a reading that failed
-RATE_SHARE = 0.4  # of the calls that the platform accepts from all machines; the rest is for others and retries
+RATE_SHARE = 0.4  # of the calls that the platform accepts from all machines together
 MIN_RATE_PER_S = 0.2  # so that the list is read also where the settings name no rate
 MAX_PAGES = 10_000  # bounds a reading of a platform whose pages never end
 
 FetchPage = Callable[[str | None], Awaitable[Result[EndpointListPage, EndpointListError]]]
 
 
+class _PagesRead(NamedTuple):
+    """The outcome of one reading, and what it cost of the rate of calls."""
+
+    calls: int
+    servers: Result[list[ListedServer], EndpointListError]
+
+
 class EndpointListReader:
     """Reads the list again and again; `read_once` does one reading and returns the pause before the next."""
 
@@ -94,24 +102,23 @@
         interval = max(INTERVAL_S * self._jitter(), self._rate_limit_pause_s(calls))
         return max(0.0, interval - (self._clock() - started_at))
 
-    async def _read_pages(self, term: int) -> tuple[int, Result[list[ListedServer], EndpointListError]]:
-        """Fetch all pages; return the number of calls made, and the servers or the error."""
+    async def _read_pages(self, term: int) -> _PagesRead:
+        """Fetch all pages while the leader lease is held for one term."""
         servers: list[ListedServer] = []
         token: str | None = None
         for calls in range(1, MAX_PAGES):
             fetched = await self._fetch_page(token)
             if isinstance(fetched, Failure):
-                return calls, Failure(fetched.failure())
+                return _PagesRead(calls, Failure(fetched.failure()))
             page, now = fetched.unwrap(), self._clock()
             servers += [instance.to_listed_server(now) for instance in page.instances]
             token = page.next_token
             if not token:
-                return calls, Success(servers)
+                return _PagesRead(calls, Success(servers))
             if self._leader_term() != term:
-                return calls, Failure(
-                    EndpointListError("read the list", "", "the leader lease ended between two pages")
-                )
-        return MAX_PAGES, Failure(EndpointListError("read the list", "", "the pages don't end"))
+                error = EndpointListError("read the list", "", "the leader lease ended between two pages")
+                return _PagesRead(calls, Failure(error))
+        return _PagesRead(MAX_PAGES, Failure(EndpointListError("read the list", "", "the pages don't end")))
 
     def _rate_limit_pause_s(self, calls: int) -> float:
         """Return the seconds over which so many calls have to be spread to stay within the rate."""
--- a/rosechute/control_plane/operator_api.py
+++ b/rosechute/control_plane/operator_api.py
@@ -34,7 +34,7 @@
 MIN_OUTCOME_TIMEOUT_S = 0.5  # for the outcome, also after a body that arrived slowly
 RETRY_AFTER_S = 0.2
 BODY_LIMIT_BYTES = 8 * 1024 * 1024
-MAX_VERSION = 2**63 - 1  # versions are stored as signed 64-bit numbers
+MAX_VERSION = 2**63 - 1  # fits into the 8 bytes in which a version is stored
 
 
 class ApiError(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/rosechute/processes/core_metrics.py
+++ b/rosechute/processes/core_metrics.py
@@ -8,6 +8,7 @@
 
 import math
 from collections.abc import Callable
+from typing import NamedTuple
 
 from rosechute.control_plane.core_machine import CoreMachine
 from rosechute.control_plane.core_report import CoreReport
@@ -17,33 +18,46 @@
 
 ReportValue = Callable[[CoreReport], float | None]
 
-REPORT_METRICS: tuple[tuple[str, str, ReportValue], ...] = (
-    ("is_leader", "Whether this machine holds the leader lease: 1 or 0.", lambda report: report.leader),
-    ("leader_lease_term", "Highest term of the leader lease that is known here.", lambda report: report.term),
-    ("view_epoch", "Epoch of the agreed view.", lambda report: report.epoch),
-    ("view_acceptors", "Acceptors of the view.", lambda report: len(report.acceptors)),
-    ("chain_replicas", "Replicas of the chain.", lambda report: len(report.chain)),
-    ("config_version", "Version of the newest committed configuration.", lambda report: report.config_version),
-    ("config_sequence", "Sequence number of the newest committed write.", lambda report: report.config_sequence),
-    (
+
+class ReportMetric(NamedTuple):
+    """A metric whose value stands in the core's report; a value of None is left out."""
+
+    name: str
+    help_text: str
+    value: ReportValue
+
+
+REPORT_METRICS = (
+    ReportMetric("is_leader", "Whether this machine holds the leader lease: 1 or 0.", lambda report: report.leader),
+    ReportMetric("leader_term", "Highest term of the leader lease that is known here.", lambda report: report.term),
+    ReportMetric("view_epoch", "Epoch of the agreed view.", lambda report: report.epoch),
+    ReportMetric("view_acceptors", "Acceptors of the view.", lambda report: len(report.acceptors)),
+    ReportMetric("chain_replicas", "Replicas of the chain.", lambda report: len(report.chain)),
+    ReportMetric(
+        "config_version", "Version of the newest committed configuration.", lambda report: report.config_version
+    ),
+    ReportMetric(
+        "config_sequence", "Sequence number of the newest committed write.", lambda report: report.config_sequence
+    ),
+    ReportMetric(
         "config_confirmed_age_seconds",
         "Time since the configuration was confirmed to be the newest.",
         lambda report: _seconds(report.config_age_ms),
     ),
-    (
+    ReportMetric(
         "disk_oldest_pending_write_seconds",
         "Age of the oldest write that the disk has not finished.",
         lambda report: _seconds(report.write_age_ms),
     ),
-    ("edges", "Live edges; 0 where this machine is not the leader.", lambda report: report.edges),
+    ReportMetric("live_edges", "Live edges; 0 where this machine is not the leader.", lambda report: report.edges),
 )
-"""Name, help and value of each metric that the core's report gives; a value of None is left out."""
 
 
 def core_families(machine: CoreMachine) -> list[Family]:
     """Return the metrics of a core machine; those of its report are left out until its records are loaded."""
     families = [
-        Family(name, help_text, (), single(_reported(machine, value))) for name, help_text, value in REPORT_METRICS
+        Family(metric.name, metric.help_text, (), single(_reported(machine, metric.value)))
+        for metric in REPORT_METRICS
     ]
     families.append(
         Family(
--- a/tests/fleet/test_processes_metrics.py
+++ b/tests/fleet/test_processes_metrics.py
@@ -100,7 +100,7 @@
     async def test_core(self) -> None:
         machine = CoreMachine(settings())
         text = self.check(core_families(machine))
-        self.assertNotIn("rosechute_leader_lease_term 0", text, "not known before the records are loaded")
+        self.assertNotIn("rosechute_leader_term 0", text, "not known before the records are loaded")
 
     async def test_served_at_its_port(self) -> None:
         server = MetricsServer("127.0.0.1", 0, [Family("one", "One.", (), single(lambda: 1.0))])
