--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -104,7 +104,13 @@
                 "lease_exchange",
             )
         ],
-        ["test_planted_token_cache*", "test_quota_rate_leases", "test_distribution_token_cache", "test_quota_*"],
+        [
+            "test_planted_token_cache*",
+            "test_routing_waiting_queue",
+            "test_quota_rate_leases",
+            "test_distribution_token_cache",
+            "test_quota_*",
+        ],
         ["test_quota_sum"],
     ),
     Area(
--- a/tests/fleet/test_planted_token_cache.py
+++ b/tests/fleet/test_planted_token_cache.py
@@ -510,6 +510,17 @@
         self.cache.on_leases_granted(1.1, 7, 4, [])
         self.assertEqual((self.cache.term, self.cache.next_report_at(1.1)), (4, 1.1))
 
+    def test_the_first_report_to_a_new_leader_passes_on_a_no_lease_promise(self) -> None:
+        self.spend(0.0, "a", 8)
+        self.cache.next_lease_reports(0.0, 1)
+        self.cache.on_leases_granted(0.0, 1, 0, [grant(0.0, 0.0, no_lease_s=9.0)])
+        self.assertEqual(self.cache.next_lease_reports(6.0, 2), [], "the leader that promised it knows")
+        self.cache.on_leader_known(6.0, 3)
+        (report,) = self.cache.next_lease_reports(6.0, 3)
+        self.assertEqual((report.tenant, report.rate, report.no_lease_s), ("t", 0.0, 3.0))
+        self.cache.on_leader_known(9.0, 4)
+        self.assertEqual(self.cache.next_lease_reports(9.0, 4), [], "the promise has expired")
+
     def test_a_term_that_is_not_newer_makes_no_report_due(self) -> None:
         self.cache.on_leader_known(1.0, 3)
         self.cache.next_lease_reports(1.0, 7)
