--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -43,6 +43,11 @@
         self.assertIsNone(self.owners.to_persist(GAIN))
         self.assertFalse(self.owners.has_all_reported)
 
+    def test_once_complete_no_edge_is_granted_before_the_first_set(self) -> None:
+        self.owners.on_earlier_leases_known()
+        self.assertFalse(self.owners.try_grant(GAIN, A))
+        self.assertEqual(self.owners.to_persist(GAIN), names(A))
+
     def test_the_first_set_has_the_edges_that_were_granted(self) -> None:
         self.owners.try_grant(GAIN, A)
         self.owners.on_earlier_leases_known()
@@ -183,6 +188,25 @@
         self.gain(None)
         self.assertEqual(first, self.issued_by(GAIN + 1.0))
 
+    def test_a_promise_for_a_tenant_without_a_limit_has_to_expire(self) -> None:
+        self.gain(names(A))
+        self.renew(GAIN + 0.1, A, report(no_lease_s=3.0, tenant="free"))
+        self.assertFalse(self.allocator.all_leases_known(GAIN + 0.1))
+
+    def test_an_empty_report_for_a_tenant_without_a_limit_is_usable(self) -> None:
+        self.gain(names(A))
+        self.renew(GAIN + 0.1, A, report(tenant="free"))
+        self.assertTrue(self.allocator.all_leases_known(GAIN + 0.1))
+
+    def test_later_reports_do_not_change_when_all_were_known(self) -> None:
+        self.gain(names(A))
+        self.renew(GAIN + 0.1, A)
+        issued = self.issued_by(GAIN + 1.0)
+        self.gain(names(A))
+        self.renew(GAIN + 0.1, A)
+        self.renew(GAIN + 0.9, A)
+        self.assertEqual(self.issued_by(GAIN + 1.0), issued)
+
     def test_an_edge_that_is_not_persisted_is_granted_nothing(self) -> None:
         self.gain(names(A))
         self.renew(GAIN + 0.1, A, report())
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -587,6 +587,21 @@
         self.assertEqual(allocator._late_rate_from, 10.0 + FULL_RATE_EXPIRY_S)
         self.assertEqual(allocator._leases_known_at, 10.0 + LEASE_EXPIRY_S)
 
+    def test_an_empty_report_is_answered_with_the_term(self) -> None:
+        self.service.leadership_gained(0.0, 4)
+        for term in (3, 4):
+            issue = self.service.answer(0.1, pb.QuotaRequest(request=term, edge="e", boot=1, term=term))
+            self.assertEqual((issue.term, len(issue.granted)), (4, 0))
+
+    def test_names_persisted_for_another_term_are_ignored(self) -> None:
+        self.service.leadership_gained(0.0, 4, frozenset("a"))
+        self.assertEqual(self.service.rate_lease_owners_to_persist(0.0), frozenset("a"))
+        self.service.answer(0.1, pb.QuotaRequest(request=1, edge="b", boot=1, term=4))
+        self.service.rate_lease_owners_persisted(3, frozenset("a"))
+        self.assertIsNone(self.service.rate_lease_owners_to_persist(0.2), "the set of this term is being written")
+        self.service.rate_lease_owners_persisted(4, frozenset("a"))
+        self.assertEqual(self.service.rate_lease_owners_to_persist(0.3), frozenset("ab"))
+
     def test_an_answer_names_its_request_and_term(self) -> None:
         self.commit({"name": "f", "api_keys": ["f"]})
         self.service.leadership_gained(0.0, 4)
