--- a/rosechute/routing/admission_control.py
+++ b/rosechute/routing/admission_control.py
@@ -1,6 +1,6 @@
 """Admission control of one service at one edge: how long a request may be queued at a server.
 
-This is the exception "urgency" of docs/fleet/policy.md. It applies where the server that a request would go to is
+This is the exception "urgency" of docs/design-fleet.md. It applies where the server that a request would go to is
 expected to queue it for a good part of its latency target. Less urgent requests are then held back first: the allowed
 queue delay of a request falls with the share of recent demand that is more urgent. A route that is dispatched far
 less often than all routes counts as urgent, so that none starves. Where responses are late all the same, the allowed
--- a/rosechute/routing/router.py
+++ b/rosechute/routing/router.py
@@ -5,7 +5,7 @@
 queued request may be sent to a full server as a trial, which raises its limit if it succeeds, while no other trial
 and no backoff is under way there. Requests are rejected at once where the limit of every server is 0.
 
-docs/fleet/policy.md describes the policy and its exceptions.
+docs/design-fleet.md describes the policy and its exceptions.
 """
 
 from __future__ import annotations
@@ -383,7 +383,7 @@
     ) -> Server | None:
         """Return this server, or a less loaded one, if the request would not be queued there for too long.
 
-        This is the exception "urgency" of docs/fleet/policy.md.
+        This is the exception "urgency" of docs/design-fleet.md.
         """
         request, admission, pool = pending.request, service.admission, service.pool
         delay_s = admission.estimated_queue_delay_s(now, server, pool)
--- a/rosechute/routing/server.py
+++ b/rosechute/routing/server.py
@@ -182,7 +182,7 @@
     def load(self, now: float) -> float:
         """Return the load by own requests, in usual requests.
 
-        Pending prompt tokens count as further requests (exception "long prompts" of docs/fleet/policy.md). So does a
+        Pending prompt tokens count as further requests (exception "long prompts" of docs/design-fleet.md). So does a
         slow start, and a server that is unresponsive counts as several more.
         """
         more = (now < self.cold_until) + self.is_unresponsive(now) * UNRESPONSIVE_LOAD
--- a/rosechute/routing/sticky.py
+++ b/rosechute/routing/sticky.py
@@ -1,6 +1,6 @@
 """Prefix affinity: requests go to servers whose prefix cache most likely has their prompt.
 
-These are the exceptions "known prefix" and "likely prefix" of docs/fleet/policy.md.
+These are the exceptions "known prefix" and "likely prefix" of docs/design-fleet.md.
 
 Condition of both: the route is `sticky`, the prompt shares a part with others, and the server has capacity or accepts
 a trial, has not failed this request and does not fail many others.
--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -21,6 +21,7 @@
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
 GLOSSARY = ROOT / "docs" / "glossary.md"
 CONTRIBUTING = ROOT / "CONTRIBUTING.md"
+DESIGN = ROOT / "docs" / "design-fleet.md"
 CHANGELOG = ROOT / "CHANGELOG.md"
 METRICS = ROOT / "docs" / "fleet" / "metrics.md"
 README = ROOT / "README.md"
@@ -95,6 +96,12 @@
     raise LookupError(name)
 
 
+def fleet_sources() -> Iterator[Path]:
+    """Yield the modules of the fleet's packages."""
+    for package in FLEET_PACKAGES:
+        yield from sorted((ROOT / "rosechute" / package).glob("*.py"))
+
+
 def anchors(page: Path) -> set[str]:
     """Return the anchors of a page's headings, as the usual renderers make them."""
     headings = re.findall(r"^#+ (.*)$", read(page), re.MULTILINE)
@@ -210,6 +217,25 @@
         self.assertEqual(sorted(set(words)), sorted(words))
 
 
+class References(unittest.TestCase):
+    """What comments and docstrings of the fleet refer to."""
+
+    def test_pages_named_in_the_code_exist(self) -> None:
+        for path in fleet_sources():
+            for page in re.findall(r"\bdocs/[\w/-]+\.md", read(path)):
+                with self.subTest(module=path.name, page=page):
+                    self.assertTrue((ROOT / page).is_file(), page)
+
+    def test_exceptions_named_in_the_code_stand_in_the_design(self) -> None:
+        section = read(DESIGN).partition("\n## Routing")[2].partition("\n## ")[0]
+        described = {row[0].strip("*") for row in table_rows(section)}
+        named: set[str] = set()
+        for path in (ROOT / "rosechute" / "routing").glob("*.py"):
+            for text in re.findall(r'[Ee]xceptions? ("[a-z ]+"(?: and "[a-z ]+")*)', read(path)):
+                named.update(re.findall(r'"([a-z ]+)"', text))
+        self.assertEqual(named, described)
+
+
 class Changelog(unittest.TestCase):
     """The tables of names, before and now."""
 
@@ -280,12 +306,11 @@
 def logged() -> set[tuple[str, str, str]]:
     """Return message, level and module of every log call in the fleet's packages."""
     found = set()
-    for package in FLEET_PACKAGES:
-        for path in sorted((ROOT / "rosechute" / package).glob("*.py")):
-            module = path.relative_to(ROOT / "rosechute").as_posix()
-            for call in ast.walk(ast.parse(read(path))):
-                if isinstance(call, ast.Call) and (level := _level(call)) is not None:
-                    found.add((_message(call), level, module))
+    for path in fleet_sources():
+        module = path.relative_to(ROOT / "rosechute").as_posix()
+        for call in ast.walk(ast.parse(read(path))):
+            if isinstance(call, ast.Call) and (level := _level(call)) is not None:
+                found.add((_message(call), level, module))
     return found
 
 
