--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -300,7 +300,7 @@
 
 def _demand(edge: str, tenant: str) -> bytes:
     request = pb.QuotaRequest(request=1, edge=edge)
-    request.wanted.add(tenant=tenant, tokens=1500, least=400)
+    request.wanted.add(tenant=tenant, tokens=1500, min_tokens=400)
     return pb.Distribution(quota_request=request).SerializeToString()
 
 
@@ -336,7 +336,7 @@
                 stored=1000.0,
                 lifetime_ms=4500,
                 demand=234.0,
-                request_mean=1700.0,
+                mean_request_tokens=1700.0,
             )
         data = pb.Distribution(quota_request=request).SerializeToString()
         began = time.thread_time_ns()
--- a/rosechute/control_plane/quota_service.py
+++ b/rosechute/control_plane/quota_service.py
@@ -88,7 +88,7 @@
 
     def _issue(self, now: float, request: pb.QuotaRequest) -> pb.QuotaIssue:
         """Return an answer with the tokens that an edge requests, as far as it may have them."""
-        demands = [TokenDemand(each.tenant, each.tokens, each.least) for each in request.wanted]
+        demands = [TokenDemand(each.tenant, each.tokens, each.min_tokens) for each in request.wanted]
         self.counts.add(QUOTA_TOKENS, "asked", sum(each.tokens for each in demands))
         issue = pb.QuotaIssue(request=request.request)
         for grant in self._allocator.issue(now, request.edge, demands):
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -214,7 +214,7 @@
         """
         self._begin_call(now)
         if self._leader_lease.is_held(now) and self._leader_lease.term == term:
-            record = pb.Record(rate_lease_holders=RateLeaseOwners(term, edges).to_message())
+            record = pb.Record(rate_lease_owners=RateLeaseOwners(term, edges).to_message())
             persisted = RateLeaseOwnersPersisted(term, edges)
             self._context.record_writer.write(record, partial(self._context.outbox.actions.append, persisted))
         return self._end_call()
--- a/rosechute/coordination/replica_state.py
+++ b/rosechute/coordination/replica_state.py
@@ -44,9 +44,9 @@
     term: int = 0
     edges: frozenset[str] = frozenset()
 
-    def to_message(self) -> pb.RateLeaseHoldersRecord:
+    def to_message(self) -> pb.RateLeaseOwnersRecord:
         """Return the owners as a message."""
-        return pb.RateLeaseHoldersRecord(term=self.term, edges=sorted(self.edges))
+        return pb.RateLeaseOwnersRecord(term=self.term, edges=sorted(self.edges))
 
 
 @dataclass(slots=True)
@@ -121,10 +121,10 @@
             self._apply_term(LeaderTerm.from_message(record.term))
         elif kind == "grantee":
             self._apply_grantee(record.grantee)
-        elif kind == "rate_lease_holders":
-            self._apply_rate_lease_owners(record.rate_lease_holders)
-        elif kind == "whole":
-            self._apply_snapshot(record.whole)
+        elif kind == "rate_lease_owners":
+            self._apply_rate_lease_owners(record.rate_lease_owners)
+        elif kind == "snapshot":
+            self._apply_snapshot(record.snapshot)
 
     def _apply_machine(self, record: pb.MachineRecord) -> None:
         if self.machine is None:  # a log may repeat its first record behind a snapshot, which knows more
@@ -176,11 +176,11 @@
         if record.number > self.grantee_number:
             self.grantee, self.grantee_number = record.holder, record.number
 
-    def _apply_rate_lease_owners(self, record: pb.RateLeaseHoldersRecord) -> None:
+    def _apply_rate_lease_owners(self, record: pb.RateLeaseOwnersRecord) -> None:
         if record.term >= self.rate_lease_owners.term:
             self.rate_lease_owners = RateLeaseOwners(record.term, frozenset(record.edges))
 
-    def _apply_snapshot(self, record: pb.WholeRecord) -> None:
+    def _apply_snapshot(self, record: pb.SnapshotRecord) -> None:
         self.machine, self.newcomer = identity_from_message(record.machine.machine), record.machine.newcomer
         self.view = View.from_message(record.view)
         self.committed, self.uncommitted = RegisterState.from_message(record.committed), None
@@ -190,17 +190,17 @@
         self.accepted = Proposal.from_message(record.accepted) if record.HasField("accepted") else None
         self.term = LeaderTerm.from_message(record.term)
         self.grantee, self.grantee_number = record.grantee.holder, record.grantee.number
-        owners = record.rate_lease_holders
+        owners = record.rate_lease_owners
         self.rate_lease_owners = RateLeaseOwners(owners.term, frozenset(owners.edges))
 
     def snapshot_record(self) -> pb.Record:
         """Return a record that replaces all earlier ones."""
-        snapshot = pb.WholeRecord(
+        snapshot = pb.SnapshotRecord(
             view=self.view.to_message(),
             committed=self.committed.to_message(),
             term=self.term.to_message(),
             grantee=pb.GranteeRecord(holder=self.grantee, number=self.grantee_number),
-            rate_lease_holders=self.rate_lease_owners.to_message(),
+            rate_lease_owners=self.rate_lease_owners.to_message(),
         )
         if self.machine is not None:
             snapshot.machine.CopyFrom(
@@ -212,7 +212,7 @@
             snapshot.promised.CopyFrom(self.promised.to_message())
         if self.accepted is not None:
             snapshot.accepted.CopyFrom(self.accepted.to_message())
-        return pb.Record(whole=snapshot)
+        return pb.Record(snapshot=snapshot)
 
 
 def chain_write_message(state: RegisterState) -> pb.ChainWrite:
--- a/rosechute/processes/quota_client.py
+++ b/rosechute/processes/quota_client.py
@@ -154,7 +154,7 @@
         if not token_requests:
             return
         wanted = [
-            pb.QuotaAmount(tenant=each.tenant, tokens=each.tokens, least=each.minimum) for each in token_requests
+            pb.QuotaAmount(tenant=each.tenant, tokens=each.tokens, min_tokens=each.minimum) for each in token_requests
         ]
         self._send(pb.Distribution(quota_request=pb.QuotaRequest(request=request, edge=self._name, wanted=wanted)))
 
--- a/rosechute/routing/lease_exchange.py
+++ b/rosechute/routing/lease_exchange.py
@@ -46,9 +46,9 @@
             depth=self.depth,
             stored=self.level,
             demand=self.demand,
-            request_mean=self.mean_request_tokens,
+            mean_request_tokens=self.mean_request_tokens,
             lifetime_ms=math.ceil(self.remaining_s * MS_PER_S),
-            bare_ms=to_milliseconds(self.no_lease_s),
+            no_lease_ms=to_milliseconds(self.no_lease_s),
         )
 
     @staticmethod
@@ -61,8 +61,8 @@
             remaining_s=message.lifetime_ms / MS_PER_S,
             level=message.stored,
             demand=message.demand,
-            mean_request_tokens=message.request_mean,
-            no_lease_s=message.bare_ms / MS_PER_S,
+            mean_request_tokens=message.mean_request_tokens,
+            no_lease_s=message.no_lease_ms / MS_PER_S,
         )
 
 
@@ -98,12 +98,12 @@
             tenant=self.tenant,
             rate=self.rate,
             depth=self.depth,
-            full_ms=to_milliseconds(self.full_rate_s),
-            late_share=self.late_rate_share,
+            full_rate_ms=to_milliseconds(self.full_rate_s),
+            late_rate_share=self.late_rate_share,
             lifetime_ms=to_milliseconds(self.lifetime_s),
             deposit=self.deposit,
-            deposit_ms=to_milliseconds(self.deposit_lifetime_s),
-            bare_ms=to_milliseconds(self.no_lease_s),
+            deposit_lifetime_ms=to_milliseconds(self.deposit_lifetime_s),
+            no_lease_ms=to_milliseconds(self.no_lease_s),
         )
 
     @staticmethod
@@ -113,12 +113,12 @@
             message.tenant,
             rate=message.rate,
             depth=message.depth,
-            full_rate_s=message.full_ms / MS_PER_S,
-            late_rate_share=message.late_share,
+            full_rate_s=message.full_rate_ms / MS_PER_S,
+            late_rate_share=message.late_rate_share,
             lifetime_s=message.lifetime_ms / MS_PER_S,
             deposit=message.deposit,
-            deposit_lifetime_s=message.deposit_ms / MS_PER_S,
-            no_lease_s=message.bare_ms / MS_PER_S,
+            deposit_lifetime_s=message.deposit_lifetime_ms / MS_PER_S,
+            no_lease_s=message.no_lease_ms / MS_PER_S,
         )
 
 
--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -89,7 +89,7 @@
 
     def snapshot_record(self: ReplicaState) -> pb.Record:
         record = right(self)
-        record.whole.committed.taken = b""
+        record.snapshot.committed.taken = b""
         return record
 
     _replace(stack, ReplicaState, "snapshot_record", snapshot_record)
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -129,7 +129,7 @@
         self.now += 5.0
         self.replica.leader = None  # the lease has run out, and the replica has not noticed yet
         self.assertFalse(self.renew().is_leader)
-        wanted = pb.QuotaAmount(tenant="t", tokens=10, least=1)
+        wanted = pb.QuotaAmount(tenant="t", tokens=10, min_tokens=1)
         self.receive(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=[wanted]))
         self.assertEqual(self.sent("quota_issue"), [])
 
@@ -150,7 +150,7 @@
         self.machine.committed(configuration(1))
         self.now += 1.0
         self.renew()
-        wanted = [pb.QuotaAmount(tenant="t", tokens=100, least=100), pb.QuotaAmount(tenant="u", tokens=1, least=1)]
+        wanted = [pb.QuotaAmount(tenant="t", tokens=100, min_tokens=100), pb.QuotaAmount(tenant="u", tokens=1, min_tokens=1)]
         self.receive(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=wanted))
         issued = {each.tenant: each.tokens for each in self.sent("quota_issue")[-1].issued}
         self.assertEqual(issued, {"t": 100, "u": 0})
--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -228,7 +228,7 @@
     """The newest set of a disk counts; one of an earlier term changes nothing."""
 
     def note(self, term: int, *edges: str) -> pb.Record:
-        return pb.Record(rate_lease_holders=pb.RateLeaseHoldersRecord(term=term, edges=edges))
+        return pb.Record(rate_lease_owners=pb.RateLeaseOwnersRecord(term=term, edges=edges))
 
     def test_a_later_set_replaces(self) -> None:
         records = [self.note(3, A).SerializeToString(), self.note(3, A, B).SerializeToString()]
--- a/tests/fleet/test_coordination_snapshots.py
+++ b/tests/fleet/test_coordination_snapshots.py
@@ -223,16 +223,16 @@
 class Lost:
     """A field that snapshots leave out, the schedule that shows it, and who objects."""
 
-    clear: Callable[[pb.WholeRecord], None]
+    clear: Callable[[pb.SnapshotRecord], None]
     schedule: Callable[[Cluster], object]
     size: int
     check: str  # of a Violation; empty where the schedule itself misses its end
 
 
-def clear(*path: str) -> Callable[[pb.WholeRecord], None]:
+def clear(*path: str) -> Callable[[pb.SnapshotRecord], None]:
     """Leave out the field at this path."""
 
-    def call(whole: pb.WholeRecord) -> None:
+    def call(whole: pb.SnapshotRecord) -> None:
         at: Any = whole
         for name in path[:-1]:
             at = getattr(at, name)
@@ -279,7 +279,7 @@
 
         def whole(known: replica_state.ReplicaState) -> pb.Record:
             record = right(known)
-            lost.clear(record.whole)
+            lost.clear(record.snapshot)
             return record
 
         judged = {lost.check}
--- a/tests/fleet/test_coordination_worst_planted.py
+++ b/tests/fleet/test_coordination_worst_planted.py
@@ -67,7 +67,7 @@
 
         def whole(self: replica_state.ReplicaState) -> pb.Record:
             record = right(self)
-            record.whole.committed.taken = b""
+            record.snapshot.committed.taken = b""
             return record
 
         self.plant(replica_state.ReplicaState, "snapshot_record", whole)
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -605,7 +605,7 @@
     def test_an_answer_names_its_request_and_term(self) -> None:
         self.commit({"name": "f", "api_keys": ["f"]})
         self.service.leadership_gained(0.0, 4)
-        wanted = [pb.QuotaAmount(tenant="f", tokens=7, least=3)]
+        wanted = [pb.QuotaAmount(tenant="f", tokens=7, min_tokens=3)]
         issue = self.service.answer(0.0, pb.QuotaRequest(request=9, edge="e", wanted=wanted))
         (issued,) = issue.issued
         self.assertEqual((issue.request, issue.term), (9, 0))
--- a/tests/fleet/test_planted_token_cache.py
+++ b/tests/fleet/test_planted_token_cache.py
@@ -42,9 +42,9 @@
 
     def test_what_is_held_is_rounded_up_and_what_is_granted_down(self) -> None:
         held = LeaseReport("t", 1.0, 1.0, 1.0001, 0.0, 0.0, 0.0, 1.0009).to_message()
-        self.assertEqual((held.lifetime_ms, held.bare_ms), (1001, 1000))
+        self.assertEqual((held.lifetime_ms, held.no_lease_ms), (1001, 1000))
         granted = LeaseGrant("t", 1.0, 1.0, 1.0009, 0.5, 1.0009, 0, 1.0009, 1.0009).to_message()
-        times = (granted.full_ms, granted.lifetime_ms, granted.deposit_ms, granted.bare_ms)
+        times = (granted.full_rate_ms, granted.lifetime_ms, granted.deposit_lifetime_ms, granted.no_lease_ms)
         self.assertEqual(times, (1000, 1000, 1000, 1000))
 
 
--- a/tests/fleet/test_quota_rate_leases.py
+++ b/tests/fleet/test_quota_rate_leases.py
@@ -228,7 +228,7 @@
         service.configuration_committed(0.0, json.dumps(body).encode())
         service.leadership_gained(0.0, 7)
         request = pb.QuotaRequest(request=1, edge="e", boot=1, term=6)
-        request.held.add(tenant="t", rate=100.0, depth=100.0, lifetime_ms=4000, demand=100.0, request_mean=5.0)
+        request.held.add(tenant="t", rate=100.0, depth=100.0, lifetime_ms=4000, demand=100.0, mean_request_tokens=5.0)
         answer = service.answer(0.1, request)
         self.assertEqual((answer.term, len(answer.granted)), (7, 0))
         request.term, request.request = 7, 2
--- a/tests/fleet/test_wire_compatibility.py
+++ b/tests/fleet/test_wire_compatibility.py
@@ -206,11 +206,11 @@
         1: "string",
         2: "uint64",
     },
-    "RateLeaseHoldersRecord": {
+    "RateLeaseOwnersRecord": {
         1: "uint64",
         2: "repeated string",
     },
-    "WholeRecord": {
+    "SnapshotRecord": {
         1: "MachineRecord",
         2: "View",
         3: "State",
@@ -219,7 +219,7 @@
         6: "Proposal",
         7: "Term",
         8: "GranteeRecord",
-        9: "RateLeaseHoldersRecord",
+        9: "RateLeaseOwnersRecord",
     },
     "Record": {
         1: "oneof MachineRecord",
@@ -230,9 +230,9 @@
         6: "oneof LearnRecord",
         7: "oneof Term",
         8: "oneof ProbeRecord",
-        9: "oneof WholeRecord",
+        9: "oneof SnapshotRecord",
         10: "oneof GranteeRecord",
-        11: "oneof RateLeaseHoldersRecord",
+        11: "oneof RateLeaseOwnersRecord",
     },
 }
 
