--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -150,7 +150,10 @@
         self.machine.committed(configuration(1))
         self.now += 1.0
         self.renew()
-        wanted = [pb.QuotaAmount(tenant="t", tokens=100, min_tokens=100), pb.QuotaAmount(tenant="u", tokens=1, min_tokens=1)]
+        wanted = [
+            pb.QuotaAmount(tenant="t", tokens=100, min_tokens=100),
+            pb.QuotaAmount(tenant="u", tokens=1, min_tokens=1),
+        ]
         self.receive(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=wanted))
         issued = {each.tenant: each.tokens for each in self.sent("quota_issue")[-1].issued}
         self.assertEqual(issued, {"t": 100, "u": 0})
