--- a/tests/fleet/coordination_parts.py
+++ b/tests/fleet/coordination_parts.py
@@ -1,4 +1,4 @@
-"""One core machine's parts without a cluster: a context in a known state, its disk and the messages it sends."""
+"""Parts of one replica without a cluster: a context in a known state, its record writer and its outbox."""
 
 from __future__ import annotations
 
@@ -31,36 +31,36 @@
 
 
 def identity(name: str) -> MachineIdentity:
-    """The machine of this id."""
+    """Return the identity of a machine by its id."""
     return MachineIdentity(name, f"name-{name}", f"zone-{name}", f"{name}:8367", f"{name}:7500")
 
 
 def view(
     members: str = "abc", epoch: int = EPOCH, chain: str | None = None, size: int | None = None, **fields: Any
 ) -> View:
-    """A view whose acceptors have ids of one letter."""
+    """Return a view whose acceptors have ids of one letter."""
     fields["target_size"] = len(members) if size is None else size
     fields.setdefault("base_tag", StateTag(epoch, 0))
     return View(epoch, tuple(map(identity, members)), tuple(members if chain is None else chain), **fields)
 
 
 def state(sequence: int = 5, epoch: int = EPOCH, version: int = 50) -> RegisterState:
-    """A state some orders after the start."""
+    """Return a register state after a few writes."""
     return RegisterState(epoch, sequence, version, b"body %d" % version, DIGEST, TAKEN)
 
 
 def ballot(round: int, proposer: str = "b", incarnation: int = 8) -> Ballot:
-    """A ballot of another machine."""
+    """Return a ballot of another machine."""
     return Ballot(round, proposer, incarnation)
 
 
 def proposal(round: int, proposer: str = "b", epoch: int = EPOCH + 1, sequence: int = 5) -> Proposal:
-    """A proposal for the view that follows."""
+    """Return a proposal for the next view."""
     return Proposal(ballot(round, proposer), view(epoch=epoch), state(sequence, epoch))
 
 
 class Parts:
-    """A machine, by default the head of three, that adopted its epoch and has synced everything."""
+    """A machine, by default the head of three, that has adopted its epoch and synced everything."""
 
     def __init__(self, own: str = "a", members: str = "abc", chain: str | None = None) -> None:
         self.own = identity(own)
@@ -86,21 +86,21 @@
         )
         for each in members:
             if each != own:
-                self.hear(each)
+                self.receive_heartbeat(each)
 
     @property
     def now(self) -> float:
         return self.context.now
 
-    def pass_time(self, seconds: float, hearing: str = "") -> None:
-        """Time passes; from these machines a heartbeat comes at its end."""
+    def advance(self, seconds: float, heartbeats_of: str = "") -> None:
+        """Advance the time; these machines send a heartbeat at its end."""
         self.context.now += seconds
-        for each in hearing:
-            self.hear(each)
+        for each in heartbeats_of:
+            self.receive_heartbeat(each)
 
-    def hear(self, name: str, **fields: Any) -> None:
-        """A heartbeat of another machine, which has answered the newest one of this."""
-        boot = fields.pop("boot", 8)
+    def receive_heartbeat(self, name: str, **fields: Any) -> None:
+        """Receive a heartbeat of another machine, which echoes the newest one of this machine."""
+        incarnation = fields.pop("incarnation", 8)
         beat: dict[str, Any] = {
             "stamp": self.now,
             "epoch": EPOCH,
@@ -113,10 +113,10 @@
             "echo": self.now,
             "echo_boot": OWN_INCARNATION,
         }
-        self.detector.on_heartbeat(self.now, identity(name), boot, pb.Heartbeat(**(beat | fields)))
+        self.detector.on_heartbeat(self.now, identity(name), incarnation, pb.Heartbeat(**(beat | fields)))
 
     def sync(self) -> list[pb.Record]:
-        """The disk syncs what is to be written; the records."""
+        """Sync everything that is to be written; return the records."""
         written: list[pb.Record] = []
         while (persist := self.flush()) is not None:
             written += [pb.Record.FromString(data) for data in persist.records]
@@ -127,54 +127,54 @@
         return self.disk.flush(self.now)
 
     def reload(self) -> ReplicaState:
-        """What a later process would find, by the whole state alone."""
+        """Return the state that a later process restores from a snapshot."""
         found = ReplicaState()
         found.apply(self.replica_state.snapshot_record())
         return found
 
     def seal(self, round: int = 1) -> None:
-        """Another machine has a promise for the next view."""
+        """Promise a ballot for the next view to another machine."""
         self.replica_state.promised = ballot(round)
 
-    # What was done
+    # Actions
 
     def actions(self) -> list[Action]:
-        """All actions since the last look; messages to this machine are dropped."""
+        """Return the actions since the last call; drop messages of this machine to itself."""
         self.outbox.local_messages.clear()
         return self.outbox.drain()
 
     def messages(self, kind: str) -> list[tuple[str, Any]]:
-        """Target and message for each of a kind since the last look, this machine as a target included."""
+        """Return target and message of a kind since the last call, messages to this machine included."""
         found = [(each.address[0], each.message) for each in self.outbox.actions if isinstance(each, SendMessage)]
         found += [(self.own.id, message) for message in self.outbox.local_messages]
         self.actions()
         return [(to, getattr(message, kind)) for to, message in found if message.WhichOneof("body") == kind]
 
     def sent(self, kind: str) -> list[Any]:
-        """The messages of a kind since the last look."""
+        """Return the messages of a kind since the last call."""
         return [message for _, message in self.messages(kind)]
 
     def sent_to(self, kind: str) -> list[str]:
-        """To whom messages of a kind went since the last look."""
+        """Return the targets of messages of a kind since the last call."""
         return [target for target, _ in self.messages(kind)]
 
-    def answers(self) -> list[tuple[int, Outcome]]:
-        """The answers to operators since the last look."""
+    def replies(self) -> list[tuple[int, Outcome]]:
+        """Return request id and outcome of the replies since the last call."""
         return [(each.request_id, each.outcome) for each in self.actions() if isinstance(each, Reply)]
 
 
-def order(request: int, base: int = 50, version: int = 51, note: bytes = b"") -> WriteRequest:
-    """An order of an operator; another note makes it another order."""
+def write_request(request_id: int, base: int = 50, version: int = 51, note: bytes = b"") -> WriteRequest:
+    """Return a write request; another note makes it another write."""
     return WriteRequest(
-        request, base, version, b"body" + note, (b"%d on %d" % (version, base) + note).ljust(32, b"-")
+        request_id, base, version, b"body" + note, (b"%d on %d" % (version, base) + note).ljust(32, b"-")
     )
 
 
 def machine(name: str) -> pb.Machine:
-    """The message for a machine."""
+    """Return the message for a machine."""
     return identity_to_message(identity(name))
 
 
 def term(number: int, holder: str = "b", incarnation: int = 8) -> LeaderTerm:
-    """A term of another machine."""
+    """Return a leader term of another machine."""
     return LeaderTerm(number, holder, incarnation)
--- a/tests/fleet/test_planted_coordination_acceptor.py
+++ b/tests/fleet/test_planted_coordination_acceptor.py
@@ -148,7 +148,7 @@
         self.assertEqual(self.parts.actions(), [])
 
     def test_only_acceptors_of_the_view_take_part(self) -> None:
-        self.parts.hear("z")
+        self.parts.receive_heartbeat("z")
         self.prepare(1, "z")
         self.accept(proposal(1, "z"), "z")
         self.assertEqual((self.parts.replica_state.promised, self.parts.sync()), (None, []))
@@ -158,7 +158,7 @@
         self.assertEqual((outside.replica_state.promised, outside.sync()), (None, []))
 
     def test_unreachable_proposer_does_not_seal_the_epoch(self) -> None:
-        self.parts.pass_time(2.0, hearing="c")
+        self.parts.advance(2.0, heartbeats_of="c")
         self.prepare(1, "b")
         self.accept(proposal(1, "b"), "b")
         self.assertFalse(self.parts.replica_state.is_sealed)
@@ -166,10 +166,10 @@
         self.assertTrue(self.parts.replica_state.is_sealed)
 
     def test_sealed_since_the_newest_record(self) -> None:
-        self.parts.pass_time(1.0, hearing="bc")
+        self.parts.advance(1.0, heartbeats_of="bc")
         self.prepare(1)
         self.assertEqual(self.acceptor.sealed_since, NOW + 1.0)
-        self.parts.pass_time(1.0, hearing="bc")
+        self.parts.advance(1.0, heartbeats_of="bc")
         self.prepare(1)
         self.assertEqual(self.acceptor.sealed_since, NOW + 1.0)
         self.accept(proposal(1))
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -20,7 +20,7 @@
 from rosechute.coordination.replica_state import chain_write_message
 from rosechute.coordination.views import MAX_APPLIED_WRITES, RegisterState
 
-from .coordination_parts import EPOCH, NOW, Parts, identity, order, state, view
+from .coordination_parts import EPOCH, NOW, Parts, identity, state, view, write_request
 
 TIMING = Timing()
 
@@ -55,8 +55,8 @@
     def _on_committed(self) -> None:
         self.notified.append(self.parts.replica_state.committed.sequence)
 
-    def pass_time(self, seconds: float, hearing: str = "") -> None:
-        self.parts.pass_time(seconds, hearing)
+    def advance(self, seconds: float, heartbeats_of: str = "") -> None:
+        self.parts.advance(seconds, heartbeats_of)
         self.chain.tick()
 
     def write(self, sequence: int = 6, sender: str = "a", epoch: int = EPOCH) -> None:
@@ -72,51 +72,51 @@
         self.parts, self.chain = self.member.parts, self.member.chain
 
     def test_write_is_forwarded_once_synced(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.assertEqual(self.parts.sent("chain_write"), [])
         self.parts.sync()
         ((to, write),) = self.parts.messages("chain_write")
         self.assertEqual((to, write.epoch, write.sequence), ("b", EPOCH, 6))
-        self.assertEqual((write.configuration.version, write.configuration.body), (51, order(1).body))
-        self.assertEqual(write.configuration.digest, order(1).digest)
+        self.assertEqual((write.configuration.version, write.configuration.body), (51, write_request(1).body))
+        self.assertEqual(write.configuration.digest, write_request(1).digest)
 
     def test_acknowledged_once_the_tail_has_committed(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.parts.sync()
-        self.assertEqual(self.parts.answers(), [])
+        self.assertEqual(self.parts.replies(), [])
         self.chain.on_committed(EPOCH, 5)
         self.chain.on_committed(EPOCH - 1, 6)
-        self.assertEqual((self.parts.answers(), self.parts.replica_state.committed.sequence), ([], 5))
+        self.assertEqual((self.parts.replies(), self.parts.replica_state.committed.sequence), ([], 5))
         self.chain.on_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
+        self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(51))])
         self.assertEqual((self.parts.replica_state.committed.version, self.member.notified), (51, [6]))
         self.chain.on_committed(EPOCH, 6)
-        self.assertEqual((self.parts.answers(), self.member.notified), ([], [6]))
+        self.assertEqual((self.parts.replies(), self.member.notified), ([], [6]))
 
     def test_repeated_write_gets_the_same_outcome(self) -> None:
-        self.chain.propose_write(order(1))
-        self.chain.propose_write(order(2))
+        self.chain.propose_write(write_request(1))
+        self.chain.propose_write(write_request(2))
         self.parts.sync()
         self.chain.on_committed(EPOCH, 6)
-        self.chain.propose_write(order(3))
-        self.assertEqual(self.parts.answers(), [(each, WriteAcknowledged(51)) for each in (1, 2, 3)])
+        self.chain.propose_write(write_request(3))
+        self.assertEqual(self.parts.replies(), [(each, WriteAcknowledged(51)) for each in (1, 2, 3)])
         self.assertEqual(self.parts.replica_state.committed.sequence, 6, "taken once")
 
     def test_repeated_queued_write_gets_the_same_outcome(self) -> None:
-        self.chain.propose_write(order(1))
-        self.chain.propose_write(order(2, 51, 52))
-        self.chain.propose_write(order(3, 51, 52))
+        self.chain.propose_write(write_request(1))
+        self.chain.propose_write(write_request(2, 51, 52))
+        self.chain.propose_write(write_request(3, 51, 52))
         self.parts.sync()
         self.chain.on_committed(EPOCH, 6)
         self.parts.sync()
         self.chain.on_committed(EPOCH, 7)
         self.assertEqual(
-            self.parts.answers(), [(1, WriteAcknowledged(51)), (2, WriteAcknowledged(52)), (3, WriteAcknowledged(52))]
+            self.parts.replies(), [(1, WriteAcknowledged(51)), (2, WriteAcknowledged(52)), (3, WriteAcknowledged(52))]
         )
 
     def test_one_write_at_a_time(self) -> None:
-        self.chain.propose_write(order(1))
-        self.chain.propose_write(order(2, 51, 52))
+        self.chain.propose_write(write_request(1))
+        self.chain.propose_write(write_request(2, 51, 52))
         self.parts.sync()
         self.assertEqual([each.sequence for each in self.parts.sent("chain_write")], [6])
         self.chain.on_committed(EPOCH, 6)
@@ -124,39 +124,39 @@
         self.assertEqual([each.sequence for each in self.parts.sent("chain_write")], [7])
 
     def test_another_write_of_the_same_version_conflicts(self) -> None:
-        self.chain.propose_write(order(1))
-        self.chain.propose_write(order(2, note=b" "))
+        self.chain.propose_write(write_request(1))
+        self.chain.propose_write(write_request(2, note=b" "))
         self.parts.sync()
         self.chain.on_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
+        self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(51))])
         self.member.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(2, VersionConflict(51))])
+        self.assertEqual(self.parts.replies(), [(2, VersionConflict(51))])
 
     def test_conflict_only_once_the_epoch_is_confirmed(self) -> None:
         for base, version in ((49, 60), (50, 50), (50, 49)):
             self.setUp()
-            self.chain.propose_write(order(1, base, version))
-            self.assertEqual(self.parts.answers(), [])
+            self.chain.propose_write(write_request(1, base, version))
+            self.assertEqual(self.parts.replies(), [])
             self.member.confirmer.confirm()
-            self.assertEqual(self.parts.answers(), [(1, VersionConflict(50))], (base, version))
+            self.assertEqual(self.parts.replies(), [(1, VersionConflict(50))], (base, version))
             self.assertEqual(self.parts.sync(), [])
 
     def test_write_waits_for_its_predecessor(self) -> None:
-        self.chain.propose_write(order(1, 51, 52))
-        self.chain.propose_write(order(2, 52, 53))
+        self.chain.propose_write(write_request(1, 51, 52))
+        self.chain.propose_write(write_request(2, 52, 53))
         self.assertEqual((self.member.confirmer.waiting, self.parts.sync()), ([], []))
-        self.chain.propose_write(order(3))
+        self.chain.propose_write(write_request(3))
         for sequence in (6, 7, 8):
             self.parts.sync()
             self.chain.on_committed(EPOCH, sequence)
         self.assertEqual(
-            self.parts.answers(), [(3, WriteAcknowledged(51)), (1, WriteAcknowledged(52)), (2, WriteAcknowledged(53))]
+            self.parts.replies(), [(3, WriteAcknowledged(51)), (1, WriteAcknowledged(52)), (2, WriteAcknowledged(53))]
         )
 
     def test_writes_without_predecessor_keep_their_order(self) -> None:
-        self.chain.propose_write(order(1, 51, 60))
-        self.chain.propose_write(order(2, 51, 52))
-        self.chain.propose_write(order(3))
+        self.chain.propose_write(write_request(1, 51, 60))
+        self.chain.propose_write(write_request(2, 51, 52))
+        self.chain.propose_write(write_request(3))
         self.parts.sync()
         self.chain.on_committed(EPOCH, 6)
         self.parts.sync()
@@ -165,48 +165,48 @@
     def test_write_that_may_be_evicted_has_no_conflict(self) -> None:
         taken = b"".join(b"o" * 16 + (41 + number).to_bytes(8, "big") for number in range(MAX_APPLIED_WRITES))
         self.parts.replica_state.committed = replace(self.parts.replica_state.committed, applied_writes=taken)
-        self.chain.propose_write(order(1, 39, 40))
-        self.assertEqual((self.parts.answers(), self.member.confirmer.waiting), ([(1, OutcomeUnknown())], []))
-        self.chain.propose_write(order(2, 39, 41))
+        self.chain.propose_write(write_request(1, 39, 40))
+        self.assertEqual((self.parts.replies(), self.member.confirmer.waiting), ([(1, OutcomeUnknown())], []))
+        self.chain.propose_write(write_request(2, 39, 41))
         self.member.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(2, VersionConflict(50))])
+        self.assertEqual(self.parts.replies(), [(2, VersionConflict(50))])
         self.parts.replica_state.committed = replace(self.parts.replica_state.committed, applied_writes=taken[24:])
-        self.chain.propose_write(order(3, 39, 40))
+        self.chain.propose_write(write_request(3, 39, 40))
         self.member.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(3, VersionConflict(50))], "not so many were taken")
+        self.assertEqual(self.parts.replies(), [(3, VersionConflict(50))], "not so many were taken")
 
     def test_no_conflict_while_the_epoch_is_unconfirmed(self) -> None:
-        self.chain.propose_write(order(1, 49, 60))
+        self.chain.propose_write(write_request(1, 49, 60))
         self.member.confirmer.confirm(False)
-        self.assertEqual(self.parts.answers(), [])
-        self.member.pass_time(0.1, hearing="bc")
+        self.assertEqual(self.parts.replies(), [])
+        self.member.advance(0.1, heartbeats_of="bc")
         self.member.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(1, VersionConflict(50))], "asked again")
+        self.assertEqual(self.parts.replies(), [(1, VersionConflict(50))], "asked again")
 
     def test_unconfirmed_conflict_that_turns_out_committed(self) -> None:
-        given = order(1, 49, 60)
+        given = write_request(1, 49, 60)
         self.chain.propose_write(given)
         self.parts.replica_state.committed = self.parts.replica_state.committed.with_write(
             EPOCH, 60, given.body, given.digest
         )
         self.member.confirmer.confirm(False)
-        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(60))])
+        self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(60))])
 
     def test_repeated_write_with_an_unconfirmed_conflict(self) -> None:
-        self.chain.propose_write(order(1, 49, 60))
-        self.chain.propose_write(order(2, 49, 60))
+        self.chain.propose_write(write_request(1, 49, 60))
+        self.chain.propose_write(write_request(2, 49, 60))
         self.member.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [(1, VersionConflict(50)), (2, VersionConflict(50))])
+        self.assertEqual(self.parts.replies(), [(1, VersionConflict(50)), (2, VersionConflict(50))])
 
     def test_unconfirmed_conflicts_end_with_the_view(self) -> None:
-        self.chain.propose_write(order(1, 49, 60))
+        self.chain.propose_write(write_request(1, 49, 60))
         self.chain.on_view_change()
         self.member.confirmer.confirm()
-        self.assertEqual(self.parts.answers(), [])
+        self.assertEqual(self.parts.replies(), [])
 
     def test_no_write_before_all_members_have_adopted(self) -> None:
         self.chain.is_active = False
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.assertEqual(self.parts.sync(), [])
         self.parts.context.heartbeat_due = False
         self.chain.activate()
@@ -215,133 +215,133 @@
 
     def test_no_write_at_the_head_in_a_sealed_epoch(self) -> None:
         self.parts.seal()
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.assertEqual(self.parts.sync(), [])
 
     def test_no_next_write_in_an_epoch_sealed_meanwhile(self) -> None:
-        self.chain.propose_write(order(1))
-        self.chain.propose_write(order(2, 51, 52))
+        self.chain.propose_write(write_request(1))
+        self.chain.propose_write(write_request(2, 51, 52))
         self.parts.sync()
         self.parts.seal()
         self.chain.on_committed(EPOCH, 6)
         self.assertEqual(self.parts.sync(), [])
 
     def test_nothing_is_forwarded_once_sealed(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.parts.seal()
         self.parts.sync()
         self.assertEqual(self.parts.sent("chain_write"), [])
 
     def test_nothing_is_forwarded_of_an_epoch_that_ended(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.parts.replica_state.view = view(epoch=EPOCH + 1)
         self.parts.context.adopted_epoch = EPOCH + 1
         self.parts.sync()
         self.assertEqual(self.parts.sent("chain_write"), [])
 
     def test_resends_a_write_with_backoff(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.parts.sync()
         self.parts.actions()
         resend, times = TIMING.resend_write, []
         for step in range(1, 80):
-            self.member.pass_time(0.01, hearing="bc")
+            self.member.advance(0.01, heartbeats_of="bc")
             times += [step / 100] * len(self.parts.sent("chain_write"))
         self.assertEqual(len(times), 2)
         self.assertAlmostEqual(times[0], resend, delta=0.02)
         self.assertAlmostEqual(times[1], 3 * resend, delta=0.03)
 
     def test_request_deadline_of_a_write(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.parts.sync()
-        self.member.pass_time(0.5, hearing="bc")
-        self.chain.propose_write(order(2))
-        self.member.pass_time(TIMING.order_deadline - 0.5 - 0.01, hearing="bc")
-        self.assertEqual(self.parts.answers(), [])
-        self.member.pass_time(0.02, hearing="bc")
-        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown())])
+        self.member.advance(0.5, heartbeats_of="bc")
+        self.chain.propose_write(write_request(2))
+        self.member.advance(TIMING.order_deadline - 0.5 - 0.01, heartbeats_of="bc")
+        self.assertEqual(self.parts.replies(), [])
+        self.member.advance(0.02, heartbeats_of="bc")
+        self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown())])
         self.chain.on_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(2, WriteAcknowledged(51))])
+        self.assertEqual(self.parts.replies(), [(2, WriteAcknowledged(51))])
 
     def test_timed_out_queued_write_is_not_started_later(self) -> None:
         self.chain.is_active = False
-        self.chain.propose_write(order(1))
-        self.member.pass_time(TIMING.order_deadline, hearing="bc")
-        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown())])
+        self.chain.propose_write(write_request(1))
+        self.member.advance(TIMING.order_deadline, heartbeats_of="bc")
+        self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown())])
         self.chain.activate()
         self.assertEqual(self.parts.sync(), [])
 
     def test_partitioned_from_the_majority(self) -> None:
-        self.chain.propose_write(order(1))
-        self.member.pass_time(TIMING.suspect + TIMING.heartbeat - 0.01)
-        self.assertEqual(self.parts.answers(), [])
-        self.chain.propose_write(order(2, 51, 52))
-        self.assertEqual(self.parts.answers(), [])
-        self.member.pass_time(0.02)
-        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
-        self.chain.propose_write(order(3, 51, 52))
+        self.chain.propose_write(write_request(1))
+        self.member.advance(TIMING.suspect + TIMING.heartbeat - 0.01)
+        self.assertEqual(self.parts.replies(), [])
+        self.chain.propose_write(write_request(2, 51, 52))
+        self.assertEqual(self.parts.replies(), [])
+        self.member.advance(0.02)
+        self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
+        self.chain.propose_write(write_request(3, 51, 52))
         self.chain.read(4)
-        self.assertEqual(self.parts.answers(), [(3, OutcomeUnknown()), (4, OutcomeUnknown())])
+        self.assertEqual(self.parts.replies(), [(3, OutcomeUnknown()), (4, OutcomeUnknown())])
 
     def test_write_completed_while_partitioned_is_not_started_later(self) -> None:
-        self.parts.pass_time(2.0)
-        self.chain.propose_write(order(1))
-        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown())])
+        self.parts.advance(2.0)
+        self.chain.propose_write(write_request(1))
+        self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown())])
         for each in "bc":
-            self.parts.hear(each)
-        self.chain.propose_write(order(2, 51, 52))
+            self.parts.receive_heartbeat(each)
+        self.chain.propose_write(write_request(2, 51, 52))
         self.assertEqual(self.parts.sync(), [])
 
     def test_not_partitioned_with_one_peer_of_three(self) -> None:
-        self.member.pass_time(2.0, hearing="b")
-        self.chain.propose_write(order(1))
-        self.assertEqual(self.parts.answers(), [])
+        self.member.advance(2.0, heartbeats_of="b")
+        self.chain.propose_write(write_request(1))
+        self.assertEqual(self.parts.replies(), [])
 
     def test_not_partitioned_right_after_the_start(self) -> None:
         self.parts.detector.started_at = NOW
         self.parts.detector.peers.clear()
-        self.chain.propose_write(order(1))
-        self.assertEqual(self.parts.answers(), [])
+        self.chain.propose_write(write_request(1))
+        self.assertEqual(self.parts.replies(), [])
         self.parts.detector.started_at = NOW - TIMING.order_deadline - 0.01
-        self.chain.propose_write(order(2))
-        self.assertEqual(self.parts.answers(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
+        self.chain.propose_write(write_request(2))
+        self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
 
     # Another view
 
     def test_view_change_completes_committed_writes(self) -> None:
-        self.chain.propose_write(order(1))
-        self.chain.propose_write(order(2, 51, 52))
+        self.chain.propose_write(write_request(1))
+        self.chain.propose_write(write_request(2, 51, 52))
         taken = self.parts.replica_state.uncommitted
         assert taken is not None
         self.parts.replica_state.committed, self.parts.replica_state.uncommitted = taken, None
         self.chain.on_view_change()
-        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
+        self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(51))])
         self.assertFalse(self.chain.is_active)
         self.chain.activate()
         (record,) = self.parts.sync()[-1:]
         self.assertEqual(record.write.configuration.version, 52)
 
     def test_view_change_requeues_writes(self) -> None:
-        self.chain.propose_write(order(1))
+        self.chain.propose_write(write_request(1))
         self.parts.sync()
         self.parts.replica_state.uncommitted = None
         self.chain.on_view_change()
-        self.assertEqual(self.parts.answers(), [])
+        self.assertEqual(self.parts.replies(), [])
         self.chain.activate()
         self.parts.sync()
         self.chain.on_committed(EPOCH, 6)
-        self.assertEqual(self.parts.answers(), [(1, WriteAcknowledged(51))])
+        self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(51))])
 
     def test_view_change_requeues_each_write_once(self) -> None:
         self.chain.is_active = False
-        self.chain.propose_write(order(1, 49, 60))
+        self.chain.propose_write(write_request(1, 49, 60))
         self.chain.on_view_change()
         self.chain.activate()
         self.assertEqual(len(self.member.confirmer.waiting), 1)
 
     def test_view_change_drops_writes_without_requests(self) -> None:
-        self.chain.propose_write(order(1))
-        self.member.pass_time(TIMING.order_deadline, hearing="bc")
+        self.chain.propose_write(write_request(1))
+        self.member.advance(TIMING.order_deadline, heartbeats_of="bc")
         self.parts.replica_state.uncommitted = None
         self.parts.sync()
         self.chain.on_view_change()
@@ -352,51 +352,51 @@
 
     def test_writes_are_redirected_to_the_head(self) -> None:
         member = ChainMember("b")
-        member.chain.propose_write(order(1))
-        self.assertEqual(member.parts.answers(), [(1, Redirect("a:8367"))])
+        member.chain.propose_write(write_request(1))
+        self.assertEqual(member.parts.replies(), [(1, Redirect("a:8367"))])
         self.assertEqual(member.parts.sync(), [])
 
     def test_committed_writes_are_acknowledged_at_any_member(self) -> None:
         member = ChainMember("b")
-        given = order(1, 49, 50)
+        given = write_request(1, 49, 50)
         member.parts.replica_state.committed = member.parts.replica_state.committed.with_write(
             EPOCH, 50, given.body, given.digest
         )
         member.chain.propose_write(given)
-        self.assertEqual(member.parts.answers(), [(1, WriteAcknowledged(50))])
+        self.assertEqual(member.parts.replies(), [(1, WriteAcknowledged(50))])
 
     def test_queued_write_that_another_head_commits(self) -> None:
-        member, given = ChainMember("b"), order(1)
+        member, given = ChainMember("b"), write_request(1)
         del member.parts.detector.peers["a"]
         member.parts.detector.started_at = NOW
         member.chain.propose_write(given)
-        self.assertEqual(member.parts.answers(), [])
+        self.assertEqual(member.parts.replies(), [])
         member.parts.replica_state.committed = member.parts.replica_state.committed.with_write(
             EPOCH, 51, given.body, given.digest
         )
-        member.pass_time(0.1, hearing="c")
-        self.assertEqual(member.parts.answers(), [(1, WriteAcknowledged(51))])
+        member.advance(0.1, heartbeats_of="c")
+        self.assertEqual(member.parts.replies(), [(1, WriteAcknowledged(51))])
 
     def test_no_redirect_to_a_silent_machine(self) -> None:
         for silence, there in ((2, True), (SILENT_HEARTBEATS - 0.1, True), (SILENT_HEARTBEATS + 0.1, False)):
             member = ChainMember("b")
-            member.parts.pass_time(silence * TIMING.heartbeat, hearing="c")
-            member.chain.propose_write(order(1))
-            self.assertEqual(len(member.parts.answers()), int(there), silence)
+            member.parts.advance(silence * TIMING.heartbeat, heartbeats_of="c")
+            member.chain.propose_write(write_request(1))
+            self.assertEqual(len(member.parts.replies()), int(there), silence)
 
     def test_no_redirect_to_an_unreachable_machine(self) -> None:
         member = ChainMember("b")
         member.parts.detector.peers["a"].last_answered_at = NOW - 2.0
-        member.chain.propose_write(order(1))
-        self.assertEqual(member.parts.answers(), [])
+        member.chain.propose_write(write_request(1))
+        self.assertEqual(member.parts.replies(), [])
 
     def test_redirect_to_a_head_that_only_a_peer_reaches(self) -> None:
         for reached, there in ((["a"], True), ([], False)):
             member = ChainMember("b")
-            member.parts.pass_time(TIMING.lease + 0.1)
-            member.parts.hear("c", reached=reached)
-            member.chain.propose_write(order(1))
-            self.assertEqual(len(member.parts.answers()), int(there), reached)
+            member.parts.advance(TIMING.lease + 0.1)
+            member.parts.receive_heartbeat("c", reached=reached)
+            member.chain.propose_write(write_request(1))
+            self.assertEqual(len(member.parts.replies()), int(there), reached)
 
 
 class TailTest(unittest.TestCase):
@@ -494,11 +494,11 @@
     def test_reads_wait_for_the_majority(self) -> None:
         member = ChainMember("c")
         member.chain.read(1)
-        self.assertEqual(member.parts.answers(), [])
+        self.assertEqual(member.parts.replies(), [])
         ((_, since),) = member.confirmer.waiting
         self.assertEqual(since, NOW)
         member.confirmer.confirm()
-        ((request, outcome),) = member.parts.answers()
+        ((request, outcome),) = member.parts.replies()
         self.assertEqual((request, outcome), (1, ReadResult(5, 50, b"body 50", state().digest)))
 
     def test_reads_return_committed_state_only(self) -> None:
@@ -506,7 +506,7 @@
         member.write(sender="b")
         member.chain.read(1)
         member.confirmer.confirm()
-        ((_, outcome),) = member.parts.answers()
+        ((_, outcome),) = member.parts.replies()
         assert isinstance(outcome, ReadResult)
         self.assertEqual(outcome.sequence, 5)
 
@@ -515,43 +515,43 @@
         member.parts.replica_state.committed = RegisterState(epoch=EPOCH)
         member.chain.read(1)
         member.confirmer.confirm()
-        self.assertEqual(member.parts.answers(), [(1, NoConfiguration())])
+        self.assertEqual(member.parts.replies(), [(1, NoConfiguration())])
 
     def test_unconfirmed_reads_are_repeated_until_their_deadline(self) -> None:
         member = ChainMember("c")
         member.chain.read(1)
         member.confirmer.confirm(False)
-        self.assertEqual(member.parts.answers(), [])
-        member.pass_time(0.4, hearing="ab")
+        self.assertEqual(member.parts.replies(), [])
+        member.advance(0.4, heartbeats_of="ab")
         ((_, since),) = member.confirmer.waiting
         self.assertEqual(since, NOW)
         member.confirmer.confirm(False)
-        member.pass_time(TIMING.order_deadline - 0.39, hearing="ab")
-        self.assertEqual(member.parts.answers(), [(1, OutcomeUnknown())])
+        member.advance(TIMING.order_deadline - 0.39, heartbeats_of="ab")
+        self.assertEqual(member.parts.replies(), [(1, OutcomeUnknown())])
         member.confirmer.confirm()
-        self.assertEqual(member.parts.answers(), [])
+        self.assertEqual(member.parts.replies(), [])
 
     def test_no_read_in_a_sealed_epoch(self) -> None:
         member = ChainMember("c")
         member.parts.seal()
         member.chain.read(1)
-        self.assertEqual((member.confirmer.waiting, member.parts.answers()), ([], []))
+        self.assertEqual((member.confirmer.waiting, member.parts.replies()), ([], []))
 
     def test_reads_are_redirected_to_the_tail(self) -> None:
         for own in "ab":
             member = ChainMember(own)
             member.chain.read(1)
-            self.assertEqual((member.parts.answers(), member.confirmer.waiting), ([(1, Redirect("c:8367"))], []))
+            self.assertEqual((member.parts.replies(), member.confirmer.waiting), ([(1, Redirect("c:8367"))], []))
 
     def test_reads_wait_for_a_silent_tail(self) -> None:
         member = ChainMember("a")
-        member.parts.pass_time(0.6, hearing="b")
+        member.parts.advance(0.6, heartbeats_of="b")
         member.chain.read(1)
-        self.assertEqual(member.parts.answers(), [])
+        self.assertEqual(member.parts.replies(), [])
 
     def test_without_a_chain_requests_wait(self) -> None:
         member = ChainMember("b")
         member.parts.replica_state.view = view(chain="")
         member.chain.read(1)
-        member.chain.propose_write(order(2))
-        self.assertEqual(member.parts.answers(), [])
+        member.chain.propose_write(write_request(2))
+        self.assertEqual(member.parts.replies(), [])
--- a/tests/fleet/test_planted_coordination_failure_detector.py
+++ b/tests/fleet/test_planted_coordination_failure_detector.py
@@ -22,11 +22,11 @@
 
     def test_healthy_while_heartbeats_are_echoed(self) -> None:
         limit = TIMING.suspect + TIMING.heartbeat
-        self.parts.pass_time(limit - 0.01)
+        self.parts.advance(limit - 0.01)
         self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertTrue(self.detector.is_healthy("b"))
         self.assertEqual(sorted(self.detector.reachable_ids(self.parts.now)), ["b", "c"])
-        self.parts.pass_time(0.02, hearing="c")
+        self.parts.advance(0.02, heartbeats_of="c")
         self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertEqual([self.detector.is_healthy(each) for each in "bcz"], [False, True, False])
         self.assertEqual(self.detector.reachable_ids(self.parts.now), ["c"])
@@ -34,38 +34,38 @@
         self.assertFalse(self.detector.is_reachable(self.parts.now, "z"))
 
     def test_heartbeats_without_a_recent_echo_do_not_count(self) -> None:
-        self.parts.pass_time(1.0)
+        self.parts.advance(1.0)
         for fields in ({"echo_boot": OWN_INCARNATION + 1}, {"echo": self.parts.now + 5.0}, {"echo": NOW}):
-            self.parts.hear("b", **fields)
+            self.parts.receive_heartbeat("b", **fields)
             self.assertFalse(self.detector.is_healthy("b"), fields)
             self.assertFalse(self.detector.is_reachable(self.parts.now, "b"), fields)
 
     def test_peer_that_reports_itself_unhealthy(self) -> None:
-        self.parts.hear("b", healthy=False)
+        self.parts.receive_heartbeat("b", healthy=False)
         self.assertFalse(self.detector.is_healthy("b"))
         self.assertTrue(self.detector.is_reachable(NOW, "b"))
 
     def test_outdated_heartbeats_are_ignored(self) -> None:
-        self.parts.hear("b", boot=9, sequence=7)
+        self.parts.receive_heartbeat("b", incarnation=9, sequence=7)
         peer = self.detector.peers["b"]
-        self.parts.hear("b", boot=8, sequence=9, stamp=NOW + 1)
-        self.parts.hear("b", boot=9, sequence=9, stamp=NOW - 1)
+        self.parts.receive_heartbeat("b", incarnation=8, sequence=9, stamp=NOW + 1)
+        self.parts.receive_heartbeat("b", incarnation=9, sequence=9, stamp=NOW - 1)
         self.assertEqual((peer.incarnation, peer.heartbeat.sequence), (9, 7))
 
     def test_past_incarnation_is_accepted_after_the_silence_of_its_successor(self) -> None:
         silence = self.parts.context.timing.suspect + self.parts.context.timing.heartbeat
-        self.parts.hear("b", boot=9)
-        self.parts.pass_time(silence - 0.01)
-        self.parts.hear("b", boot=8, stamp=NOW + 1)
+        self.parts.receive_heartbeat("b", incarnation=9)
+        self.parts.advance(silence - 0.01)
+        self.parts.receive_heartbeat("b", incarnation=8, stamp=NOW + 1)
         self.assertEqual(self.detector.peers["b"].incarnation, 9)
-        self.parts.pass_time(0.02)
-        self.parts.hear("b", boot=8, stamp=NOW + 2)
+        self.parts.advance(0.02)
+        self.parts.receive_heartbeat("b", incarnation=8, stamp=NOW + 2)
         peer = self.detector.peers["b"]
         self.assertEqual((peer.incarnation, peer.past_incarnations, peer.last_received_at), (8, {9}, self.parts.now))
 
     def test_new_incarnation_starts_without_echoes(self) -> None:
-        self.parts.pass_time(0.1)
-        self.parts.hear("b", boot=9, echo_boot=0, echo=0.0, stamp=1.0)
+        self.parts.advance(0.1)
+        self.parts.receive_heartbeat("b", incarnation=9, echo_boot=0, echo=0.0, stamp=1.0)
         peer = self.detector.peers["b"]
         self.assertEqual(
             (peer.incarnation, peer.echoed_stamp, peer.last_answered_at, peer.is_healthy), (9, NEVER, NEVER, False)
@@ -74,15 +74,15 @@
         self.assertEqual((peer.heartbeat.stamp, peer.last_received_at), (1.0, self.parts.now))
 
     def test_new_incarnation_restarts_healthy_since(self) -> None:
-        self.parts.pass_time(0.1)
-        self.parts.hear("b", boot=9)
+        self.parts.advance(0.1)
+        self.parts.receive_heartbeat("b", incarnation=9)
         self.assertEqual(self.detector.peers["b"].healthy_since, self.parts.now)
-        self.parts.pass_time(0.1)
-        self.parts.hear("b", boot=9)
+        self.parts.advance(0.1)
+        self.parts.receive_heartbeat("b", incarnation=9)
         self.assertEqual(self.detector.peers["b"].healthy_since, NOW + 0.1)
 
     def test_echoed_stamp_never_goes_back(self) -> None:
-        self.parts.hear("b", echo=NOW - 5.0)
+        self.parts.receive_heartbeat("b", echo=NOW - 5.0)
         peer = self.detector.peers["b"]
         self.assertEqual((peer.echoed_stamp, peer.last_answered_at), (NOW, NOW))
 
@@ -92,7 +92,7 @@
         self.assertEqual(self.detector.peers["b"].identity, new)
 
     def test_own_pause_does_not_count_as_silence(self) -> None:
-        self.parts.pass_time(5.0)
+        self.parts.advance(5.0)
         self.detector._unreachable_since[("b", "c")] = NOW
         self.detector.compensate_pause(5.0)
         self.assertEqual(self.detector.silence_s(self.parts.now, "b"), 0.0)
@@ -102,21 +102,21 @@
         self.assertEqual(self.detector.unreachable_pairs(self.parts.now + 9), set())
 
     def test_silent_machines_outside_of_the_view_are_forgotten(self) -> None:
-        self.parts.hear("z")
-        self.parts.pass_time(FORGET_UNKNOWN_AFTER_S - 0.01)
+        self.parts.receive_heartbeat("z")
+        self.parts.advance(FORGET_UNKNOWN_AFTER_S - 0.01)
         self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertIn("z", self.detector.peers)
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertEqual(sorted(self.detector.peers), ["b", "c"])
 
     def test_reachable_from_another(self) -> None:
-        self.parts.hear("c", reached=["b"])
+        self.parts.receive_heartbeat("c", reached=["b"])
         self.assertTrue(self.detector.is_reachable_from_another(NOW, "b"))
-        self.parts.hear("c", reached=["a"])
-        self.parts.hear("b", reached=["a"])
+        self.parts.receive_heartbeat("c", reached=["a"])
+        self.parts.receive_heartbeat("b", reached=["a"])
         self.assertFalse(self.detector.is_reachable_from_another(NOW, "b"))
-        self.parts.hear("c", reached=["b"])
+        self.parts.receive_heartbeat("c", reached=["b"])
         self.assertFalse(self.detector.is_reachable_from_another(NOW + 2.0, "b"), "c itself is not reached")
 
     def settles_after(self, removals: int) -> float:
@@ -158,27 +158,27 @@
         for reached in ({"b": ["a"], "c": ["a", "b"]}, {"b": ["a", "c"], "c": ["a"]}):
             self.setUp()
             for each, seen in reached.items():
-                self.parts.hear(each, reached=seen)
+                self.parts.receive_heartbeat(each, reached=seen)
             self.assertEqual(self.conflicts(NOW), set())
             self.assertEqual(self.conflicts(NOW + TIMING.conflict - 0.01), set())
             self.assertEqual(self.conflicts(NOW + TIMING.conflict), {("b", "c")})
 
     def test_unreachable_pairs_end(self) -> None:
-        self.parts.hear("b", reached=["a"])
+        self.parts.receive_heartbeat("b", reached=["a"])
         self.conflicts(NOW)
-        self.parts.hear("b")
+        self.parts.receive_heartbeat("b")
         self.conflicts(NOW + 0.1)
-        self.parts.hear("b", reached=["a"])
+        self.parts.receive_heartbeat("b", reached=["a"])
         self.assertEqual(self.conflicts(NOW + TIMING.conflict), set())
 
     def test_unreachable_pairs_are_tracked_while_planning_only(self) -> None:
-        self.parts.hear("b", reached=["a"])
+        self.parts.receive_heartbeat("b", reached=["a"])
         self.conflicts(NOW)
         self.detector.tick(NOW + 0.3, "abc", is_planning=False)
         self.assertEqual(self.conflicts(NOW + 0.6), set())
 
     def test_unhealthy_machines_form_no_unreachable_pairs(self) -> None:
-        self.parts.hear("b", reached=["a"], healthy=False)
+        self.parts.receive_heartbeat("b", reached=["a"], healthy=False)
         self.conflicts(NOW)
         self.assertEqual(self.conflicts(NOW + TIMING.conflict), set())
 
--- a/tests/fleet/test_planted_coordination_freshness.py
+++ b/tests/fleet/test_planted_coordination_freshness.py
@@ -21,25 +21,25 @@
 
     def test_fresh_by_a_majority_and_the_tail(self) -> None:
         self.assertIsNone(self.freshness.bound(NOW))
-        self.parts.hear("c", sequence=8)
+        self.parts.receive_heartbeat("c", sequence=8)
         self.freshness.update()
         self.assertEqual(self.freshness.bound(NOW + 2.0), (8, 2.0))
 
     def test_as_of_the_oldest_echo_that_is_needed(self) -> None:
-        self.parts.pass_time(0.4, hearing="b")
+        self.parts.advance(0.4, heartbeats_of="b")
         self.freshness.update()
         self.assertEqual(self.freshness.bound(self.parts.now), (5, self.parts.now - NOW), "the tail answered earlier")
-        self.parts.pass_time(0.4, hearing="c")
+        self.parts.advance(0.4, heartbeats_of="c")
         self.freshness.update()
         self.assertEqual(self.freshness.as_of, self.parts.now, "own machine and tail are a majority")
 
     def test_three_of_five_are_needed(self) -> None:
         parts = Parts("e", "abcde")
         freshness = Freshness(parts.context)  # this machine is the tail
-        parts.pass_time(0.4, hearing="ab")
+        parts.advance(0.4, heartbeats_of="ab")
         freshness.update()
         self.assertEqual(freshness.as_of, parts.now)
-        parts.pass_time(0.4, hearing="a")
+        parts.advance(0.4, heartbeats_of="a")
         freshness.update()
         self.assertEqual(freshness.as_of, NOW + 0.4)
 
@@ -50,7 +50,7 @@
             freshness.update()
             before = freshness.as_of
             self.assertEqual(before, NOW)
-            parts.pass_time(9.0)
+            parts.advance(9.0)
             freshness.update()
             self.assertEqual(freshness.as_of, NOW, "answers do not come any more")
 
@@ -64,7 +64,7 @@
     def test_echoes_of_another_or_a_sealed_epoch_are_ignored(self) -> None:
         for fields in ({"epoch": EPOCH - 1}, {"epoch": EPOCH + 1}, {"sealed": True}):
             self.setUp()
-            self.parts.hear("c", **fields)
+            self.parts.receive_heartbeat("c", **fields)
             self.freshness.update()
             self.assertIsNone(self.freshness.as_of, fields)
 
@@ -79,18 +79,18 @@
         self.assertIsNone(self.freshness.as_of)
 
     def test_none_before_the_first_echo(self) -> None:
-        self.parts.hear("c", boot=9, echo_boot=0)
+        self.parts.receive_heartbeat("c", incarnation=9, echo_boot=0)
         self.freshness.update()
         self.assertIsNone(self.freshness.as_of)
 
     def test_never_goes_back(self) -> None:
-        self.parts.hear("c", sequence=8)
+        self.parts.receive_heartbeat("c", sequence=8)
         self.freshness.update()
-        self.parts.hear("c", sequence=7)
+        self.parts.receive_heartbeat("c", sequence=7)
         self.freshness.update()
         self.assertEqual(self.freshness.sequence, 8)
         self.freshness.as_of = NOW + 1
-        self.parts.hear("c", sequence=9)
+        self.parts.receive_heartbeat("c", sequence=9)
         self.freshness.update()
         self.assertEqual((self.freshness.sequence, self.freshness.as_of), (8, NOW + 1))
 
--- a/tests/fleet/test_planted_coordination_heartbeats.py
+++ b/tests/fleet/test_planted_coordination_heartbeats.py
@@ -94,24 +94,24 @@
         self.assertEqual((heartbeat.lease_free, heartbeat.lease_kept_for), (False, "c"))
 
     def test_targets_are_acceptors_and_known_peers(self) -> None:
-        self.parts.hear("z")
+        self.parts.receive_heartbeat("z")
         self.assertEqual(sorted(self.sent_heartbeats()), ["b:7500", "c:7500", "z:7500"])
         self.assertEqual(self.heartbeats.next_at, NOW + TIMING.heartbeat)
 
     def test_seeds_are_targets_while_isolated_only(self) -> None:
         self.assertNotIn("s:7500", self.sent_heartbeats())
-        self.parts.pass_time(2.0, hearing="b")
+        self.parts.advance(2.0, heartbeats_of="b")
         self.assertIn("s:7500", self.sent_heartbeats())
         self.make(Parts("z", "abc"))
         self.assertIn("s:7500", self.sent_heartbeats(), "outside of the view")
 
     def test_heartbeat_to_a_seed_echoes_nothing(self) -> None:
-        self.parts.pass_time(2.0)
+        self.parts.advance(2.0)
         heartbeat = self.sent_heartbeats()["s:7500"]
         self.assertEqual((heartbeat.stamp, heartbeat.echo, heartbeat.echo_boot), (NOW + 2.0, 0.0, 0))
 
     def test_each_target_is_sent_one_heartbeat(self) -> None:
-        self.parts.pass_time(2.0)
+        self.parts.advance(2.0)
         self.heartbeats.send()
         addresses = [each.address for each in self.parts.actions() if isinstance(each, SendMessage)]
         self.assertEqual(sorted(addresses), ["b:7500", "c:7500", "s:7500"])
@@ -126,7 +126,7 @@
         return self.heartbeats.receive(identity(name), boot, pb.Heartbeat(**(known | fields)))
 
     def test_outdated_and_own_heartbeats_are_ignored(self) -> None:
-        self.parts.hear("b", boot=9)
+        self.parts.receive_heartbeat("b", incarnation=9)
         self.assertIsNone(self.receive("b", 8))
         self.assertIsNone(self.receive("b", 9, stamp=NOW - 1))
         self.assertIsNone(self.receive("a"))
--- a/tests/fleet/test_planted_coordination_leader_lease.py
+++ b/tests/fleet/test_planted_coordination_leader_lease.py
@@ -38,7 +38,7 @@
 
     def test_candidate_requests_from_all_acceptors_under_a_new_term(self) -> None:
         self.parts.replica_state.term = term(3)
-        self.parts.hear("c", term=6)
+        self.parts.receive_heartbeat("c", term=6)
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
         requests = self.parts.messages("lease_request")
@@ -105,7 +105,7 @@
 
     def test_late_grants_do_not_make_a_leader(self) -> None:
         self.lease.tick()
-        self.parts.pass_time(TIMING.lease - TIMING.lease_margin)
+        self.parts.advance(TIMING.lease - TIMING.lease_margin)
         self.grant("a")
         self.grant("b")
         self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
@@ -135,10 +135,10 @@
         end = NOW + TIMING.lease - TIMING.lease_margin
         self.assertTrue(self.lease.is_held(end - 0.01))
         self.assertFalse(self.lease.is_held(end + 0.01))
-        self.parts.pass_time(TIMING.lease - TIMING.lease_margin - 0.01)
+        self.parts.advance(TIMING.lease - TIMING.lease_margin - 0.01)
         self.lease.expire()
         self.assertEqual(self.parts.actions(), [])
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.lease.expire()
         self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
         self.assertEqual(self.parts.actions(), [LeadershipLost()])
@@ -149,22 +149,22 @@
     def test_expiry_makes_a_heartbeat_due(self) -> None:
         self.lead()
         self.parts.context.heartbeat_due = False
-        self.parts.pass_time(2.0)
+        self.parts.advance(2.0)
         self.lease.expire()
         self.assertTrue(self.parts.context.heartbeat_due)
 
     def test_a_candidate_does_not_expire(self) -> None:
         self.lease.tick()
-        self.parts.pass_time(0.3)
+        self.parts.advance(0.3)
         self.lease.expire()
         self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
 
     def test_leader_renews_periodically(self) -> None:
         self.lead()
-        self.parts.pass_time(TIMING.renew - 0.01, hearing="bc")
+        self.parts.advance(TIMING.renew - 0.01, heartbeats_of="bc")
         self.lease.tick()
         self.assertEqual(self.parts.sent("lease_request"), [])
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.lease.tick()
         self.lease.tick()
         requests = self.parts.sent("lease_request")
@@ -176,17 +176,17 @@
         self.parts.actions()
         self.lease.tick()
         self.assertEqual(self.parts.sent("lease_request"), [])
-        self.parts.pass_time(TIMING.resend, hearing="bc")
+        self.parts.advance(TIMING.resend, heartbeats_of="bc")
         self.lease.tick()
         self.assertEqual(len(self.parts.sent("lease_request")), 3)
-        self.parts.pass_time(TIMING.candidate_timeout - TIMING.resend + 0.01, hearing="bc")
+        self.parts.advance(TIMING.candidate_timeout - TIMING.resend + 0.01, heartbeats_of="bc")
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
         self.assertEqual([each.term for each in self.parts.sent("lease_release")], [1, 1, 1])
         self.assertEqual(self.lease.next_candidacy_at, self.parts.now + TIMING.candidate_step * 2.5)
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.FOLLOWER, "not at once again")
-        self.parts.pass_time(TIMING.candidate_step * 2.5, hearing="bc")
+        self.parts.advance(TIMING.candidate_step * 2.5, heartbeats_of="bc")
         self.lease.tick()
         self.assertEqual((self.lease.role, self.lease.term), (LeaseRole.CANDIDATE, 2))
 
@@ -218,11 +218,11 @@
             self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
 
     def test_no_candidate_before_a_majority_would_grant(self) -> None:
-        self.parts.hear("b", lease_free=False)
-        self.parts.hear("c", lease_free=False)
+        self.parts.receive_heartbeat("b", lease_free=False)
+        self.parts.receive_heartbeat("c", lease_free=False)
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
-        self.parts.hear("c")
+        self.parts.receive_heartbeat("c")
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
 
@@ -235,14 +235,14 @@
         parts = Parts("c")
         lease = LeaderLease(parts.context, LeaseGrantor(parts.context, NOW - 1.0))
         for each in "ab":
-            parts.hear(each, lease_free=False)
+            parts.receive_heartbeat(each, lease_free=False)
         lease.tick()
         self.assertEqual(lease.next_candidacy_at, NOW + 2 * TIMING.candidate_step)
         for each in "ab":
-            parts.hear(each)
+            parts.receive_heartbeat(each)
         lease.tick()
         self.assertIs(lease.role, LeaseRole.FOLLOWER)
-        parts.pass_time(2 * TIMING.candidate_step, hearing="ab")
+        parts.advance(2 * TIMING.candidate_step, heartbeats_of="ab")
         lease.tick()
         self.assertIs(lease.role, LeaseRole.CANDIDATE)
 
@@ -263,24 +263,24 @@
     def test_count_of_granting_acceptors(self) -> None:
         self.lead()
         self.assertEqual(self.lease.count_granting_acceptors(), 3)
-        self.parts.pass_time(TIMING.suspect - 0.01)
+        self.parts.advance(TIMING.suspect - 0.01)
         self.assertEqual(self.lease.count_granting_acceptors(), 3)
         self.grant("a", self.parts.now)
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.assertEqual(self.lease.count_granting_acceptors(), 1)
 
     def test_count_of_available_grantors(self) -> None:
         context = self.parts.context
         self.assertEqual(count_available_grantors(context, self.grantor), 3)
-        self.parts.hear("b", epoch=EPOCH - 1)
+        self.parts.receive_heartbeat("b", epoch=EPOCH - 1)
         self.assertEqual(count_available_grantors(context, self.grantor), 2)
-        self.parts.hear("b", lease_free=False, lease_kept_for="c")
+        self.parts.receive_heartbeat("b", lease_free=False, lease_kept_for="c")
         self.assertEqual(count_available_grantors(context, self.grantor), 2)
-        self.parts.hear("b", lease_free=False, lease_kept_for="a")
+        self.parts.receive_heartbeat("b", lease_free=False, lease_kept_for="a")
         self.assertEqual(count_available_grantors(context, self.grantor), 3)
         self.grantor.granted_until, self.grantor.granted_term = NOW + 1.0, term(1, "b")
         self.assertEqual(count_available_grantors(context, self.grantor), 2)
         self.grantor.granted_term = term(1, "a")
         self.assertEqual(count_available_grantors(context, self.grantor), 3)
-        self.parts.pass_time(1.0, hearing="b")
+        self.parts.advance(1.0, heartbeats_of="b")
         self.assertEqual(count_available_grantors(context, self.grantor), 2, "c is not reached")
--- a/tests/fleet/test_planted_coordination_lease_grantor.py
+++ b/tests/fleet/test_planted_coordination_lease_grantor.py
@@ -73,7 +73,7 @@
 
     def test_another_grantee_is_persisted(self) -> None:
         self.request("b", 1)
-        self.parts.pass_time(TIMING.lease, hearing="bc")
+        self.parts.advance(TIMING.lease, heartbeats_of="bc")
         self.ask("c", 2)
         (grantee, _) = self.parts.sync()
         self.assertEqual((grantee.grantee.holder, grantee.grantee.number), ("c", 2))
@@ -85,16 +85,16 @@
 
     def test_grant_binds_for_one_lease(self) -> None:
         self.request("b", 1)
-        self.parts.pass_time(TIMING.lease - 0.01, hearing="bc")
+        self.parts.advance(TIMING.lease - 0.01, heartbeats_of="bc")
         self.assertFalse(self.grantor.is_free())
         self.assertEqual(self.request("c", 2), [])
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.assertTrue(self.grantor.is_free())
         self.assertEqual(len(self.request("c", 2)), 1)
 
     def test_grant_binds_from_its_sending_after_a_slow_sync(self) -> None:
         self.ask("b", 1)
-        self.parts.pass_time(0.5, hearing="bc")
+        self.parts.advance(0.5, heartbeats_of="bc")
         self.parts.sync()
         self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease)
 
@@ -114,7 +114,7 @@
 
     def test_renewal_binds_again_without_a_sync(self) -> None:
         self.request("b", 1)
-        self.parts.pass_time(1.0, hearing="bc")
+        self.parts.advance(1.0, heartbeats_of="bc")
         self.ask("b", 1, renewal=True)
         self.assertEqual(len(self.parts.sent("lease_grant")), 1)
         self.assertEqual(self.parts.sync(), [])
@@ -131,7 +131,7 @@
 
     def test_renewal_of_another_grantee_is_synced_first(self) -> None:
         self.request("b", 1)
-        self.parts.pass_time(TIMING.lease, hearing="bc")
+        self.parts.advance(TIMING.lease, heartbeats_of="bc")
         self.ask("c", 2, renewal=True)
         self.assertEqual(self.parts.sent("lease_grant"), [])
         self.assertEqual(len(self.parts.sync()), 1)
@@ -190,7 +190,7 @@
         self.assertFalse(LeaseGrantor(parts.context, NOW - 1.0).is_free(), "it isn't bound, but no acceptor")
 
     def test_no_grant_to_an_unreachable_machine(self) -> None:
-        self.parts.pass_time(1.0, hearing="c")
+        self.parts.advance(1.0, heartbeats_of="c")
         self.assertEqual(self.request("b"), [])
         self.assertEqual(len(self.request("c")), 1)
 
@@ -203,9 +203,9 @@
 
     def test_after_a_restart_others_wait_for_one_lease(self) -> None:
         grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease, restored_grantee="b")
-        self.parts.pass_time(TIMING.lease - 0.01, hearing="bc")
+        self.parts.advance(TIMING.lease - 0.01, heartbeats_of="bc")
         self.assertEqual(self.request("c", 1), [])
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.assertEqual((grantor.is_free(), grantor.reserved_for()), (True, ""))
         self.assertEqual(len(self.request("c", 1)), 1)
 
@@ -256,6 +256,6 @@
 
     def test_release_after_the_lease_does_not_extend_it(self) -> None:
         self.request("b", 1)
-        self.parts.pass_time(9.0)
+        self.parts.advance(9.0)
         self.grantor.on_release(identity("b"), 8, pb.LeaseRelease(term=1))
         self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease)
--- a/tests/fleet/test_planted_coordination_membership.py
+++ b/tests/fleet/test_planted_coordination_membership.py
@@ -150,7 +150,7 @@
         decided = RegisterState(EPOCH + 1, 6, 51, b"new", b"N" * 32, taken)
         self.parts.actions()
         self.membership.on_decided(pb.Decided(view=view(epoch=EPOCH + 1).to_message(), state=decided.to_message()))
-        self.assertEqual(self.parts.answers(), [(4, WriteAcknowledged(51))])
+        self.assertEqual(self.parts.replies(), [(4, WriteAcknowledged(51))])
 
     def test_joining_acceptor_abstains_for_one_lease(self) -> None:
         member = Member("a", "bcd")
@@ -165,10 +165,10 @@
 
     def test_chain_is_active_once_all_members_have_adopted(self) -> None:
         for fields in ({"joined": False}, {"epoch": EPOCH - 1}):
-            self.parts.hear("c", **fields)
+            self.parts.receive_heartbeat("c", **fields)
             self.membership.activate_chain_if_ready()
             self.assertFalse(self.member.chain.is_active)
-        self.parts.hear("c")
+        self.parts.receive_heartbeat("c")
         self.membership.activate_chain_if_ready()
         self.assertTrue(self.member.chain.is_active)
 
@@ -201,7 +201,7 @@
     def test_chain_is_active_with_the_sync_of_the_own_adoption(self) -> None:
         self.decided(EPOCH + 1)
         for each in "bc":
-            self.parts.hear(each, epoch=EPOCH + 1)
+            self.parts.receive_heartbeat(each, epoch=EPOCH + 1)
         self.assertFalse(self.member.chain.is_active)
         self.parts.sync()
         self.assertTrue(self.member.chain.is_active)
@@ -222,7 +222,7 @@
         self.assertEqual((self.parts.replica_state.committed.sequence, self.parts.sync()), (5, []))
 
     def fetched(self, member: Member, **fields: Any) -> list[Any]:
-        member.parts.pass_time(FETCH_INTERVAL_S)
+        member.parts.advance(FETCH_INTERVAL_S)
         heartbeat = pb.Heartbeat(**({"epoch": EPOCH, "committed": 5} | fields))
         member.membership.fetch_if_behind(identity("b"), heartbeat)
         return member.parts.sent("fetch")
@@ -244,7 +244,7 @@
         for _ in range(2):
             self.membership.fetch_if_behind(identity("b"), heartbeat)
         self.assertEqual(self.parts.sent_to("fetch"), ["b"])
-        self.parts.pass_time(FETCH_INTERVAL_S)
+        self.parts.advance(FETCH_INTERVAL_S)
         self.membership.fetch_if_behind(identity("c"), heartbeat)
         self.assertEqual(self.parts.sent_to("fetch"), ["c"])
 
@@ -267,17 +267,17 @@
     def test_leader_proposes_when_a_member_is_unhealthy(self) -> None:
         self.member.lead()
         self.assertEqual(self.member.tick(), [])
-        self.parts.hear("c", healthy=False)
+        self.parts.receive_heartbeat("c", healthy=False)
         self.assertEqual(sorted(self.member.tick()), ["a", "b", "c"])
 
     def test_followers_do_not_propose_for_an_open_epoch(self) -> None:
-        self.parts.pass_time(9.0, hearing="b")
-        self.parts.hear("c", healthy=False)
+        self.parts.advance(9.0, heartbeats_of="b")
+        self.parts.receive_heartbeat("c", healthy=False)
         self.assertEqual(self.member.tick(), [])
 
     def test_unhealthy_leader_does_not_propose(self) -> None:
         self.member.lead()
-        self.parts.hear("c", healthy=False)
+        self.parts.receive_heartbeat("c", healthy=False)
         self.parts.context.is_leaving = True
         self.assertEqual(self.member.tick(), [])
 
@@ -292,23 +292,23 @@
         member.acceptor.sealed_since = NOW
         timing = member.parts.timing
         wait = timing.recover_sealed + 2 * timing.heartbeat  # third in the chain
-        member.parts.pass_time(wait - 0.01, hearing="ab")
+        member.parts.advance(wait - 0.01, heartbeats_of="ab")
         self.assertEqual(member.tick(), [])
-        member.parts.pass_time(0.02)
+        member.parts.advance(0.02)
         self.assertEqual(len(member.tick()), 3)
         self.assertEqual(member.tick(), [], "one proposal at a time")
 
     def test_machine_outside_of_the_view_does_not_propose(self) -> None:
         member = Member("z", "abc")
         member.parts.seal()
-        member.parts.pass_time(9.0, hearing="abc")
+        member.parts.advance(9.0, heartbeats_of="abc")
         self.assertEqual(member.tick(), [])
 
     def proposed_view(self, member: Member, answering: str) -> View:
         return member.membership._choose_view(set(answering))
 
     def test_next_view_omits_an_unhealthy_member(self) -> None:
-        self.parts.hear("b", healthy=False)
+        self.parts.receive_heartbeat("b", healthy=False)
         found = self.proposed_view(self.member, "abc")
         self.assertEqual((found.epoch, found.chain, len(found.acceptors)), (EPOCH + 1, ("a", "c"), 3))
         self.assertEqual(self.parts.detector.peers["b"].removals, [NOW])
@@ -319,7 +319,7 @@
         self.assertEqual(self.proposed_view(self.member, "abc").chain, ("a", "b"))
         self.assertEqual(self.parts.detector.peers["c"].removals, [], "healthy, its path to b is cut")
         for each in "bc":
-            self.parts.hear(each, healthy=False)
+            self.parts.receive_heartbeat(each, healthy=False)
         self.assertEqual(self.proposed_view(self.member, "abc").chain, ("a", "b", "c"))
         self.assertEqual(self.parts.detector.peers["c"].removals, [], "it stays")
 
@@ -331,7 +331,7 @@
     def test_readmission_waits(self) -> None:
         member = Member(chain="ab")
         self.assertEqual(self.proposed_view(member, "abc").chain, ("a", "b"))
-        member.parts.pass_time(member.parts.timing.readmit + 0.01, hearing="bc")
+        member.parts.advance(member.parts.timing.readmit + 0.01, heartbeats_of="bc")
         self.assertEqual(self.proposed_view(member, "abc").chain, ("a", "b", "c"))
 
     def test_leaving_surplus_acceptor_is_removed(self) -> None:
@@ -339,32 +339,32 @@
             member = Member(members="abcd")
             member.parts.replica_state.view = view("abcd", size=3)
             answer = NOW if reached else NOW - 5.0
-            member.parts.hear("d", healthy=False, leaving=True)
+            member.parts.receive_heartbeat("d", healthy=False, leaving=True)
             member.parts.detector.peers["d"].last_answered_at = answer
             found = self.proposed_view(member, "abc")
             self.assertEqual("".join(each.id for each in found.acceptors), members)
 
     def test_recovering_member_is_readmitted_where_the_chain_lacks_a_majority(self) -> None:
         member = Member(members="abcd", chain="abc")
-        member.parts.hear("c", healthy=False)
+        member.parts.receive_heartbeat("c", healthy=False)
         self.assertEqual(self.proposed_view(member, "abc").chain, ("a", "b", "d"))
 
     def test_joining_machine_replaces_the_wiped_one_at_its_address(self) -> None:
-        self.parts.hear("c", healthy=False)
+        self.parts.receive_heartbeat("c", healthy=False)
         stranger = pb.Heartbeat(stamp=NOW, healthy=True, echo=NOW, echo_boot=OWN_INCARNATION, reached=["a", "b"])
         wiped = identity("c")
         new = type(wiped)("n", wiped.name, wiped.zone, wiped.control_address, wiped.peer_address)
         self.parts.detector.on_heartbeat(NOW, new, 1, stranger)
         found = self.proposed_view(self.member, "ab")
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "c"], "it waits to be readmittable")
-        self.parts.pass_time(self.parts.timing.readmit + 0.01, hearing="b")
+        self.parts.advance(self.parts.timing.readmit + 0.01, heartbeats_of="b")
         found = self.proposed_view(self.member, "ab")
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "n"])
         self.assertEqual(found.chain, ("a", "b", "n"))
 
     def test_restarted_member_needs_a_view(self) -> None:
         self.member.lead()
-        self.parts.hear("b", joined=False)
+        self.parts.receive_heartbeat("b", joined=False)
         self.assertEqual(len(self.member.tick()), 3)
 
     def test_own_restart_needs_a_view(self) -> None:
@@ -379,7 +379,7 @@
 
     def test_member_of_an_older_epoch_is_not_restarted(self) -> None:
         self.member.lead()
-        self.parts.hear("b", joined=False, epoch=EPOCH - 1)
+        self.parts.receive_heartbeat("b", joined=False, epoch=EPOCH - 1)
         self.assertEqual(self.member.tick(), [])
 
     def test_members_not_heard_from_are_kept_after_a_start(self) -> None:
--- a/tests/fleet/test_planted_coordination_proposer.py
+++ b/tests/fleet/test_planted_coordination_proposer.py
@@ -67,10 +67,10 @@
         )
         self.assertEqual(self.proposer.phase, Phase.IDLE)
         for wait in (0.0, 0.14):  # of a twentieth to a fourth of a second, here in the middle
-            self.parts.pass_time(wait)
+            self.parts.advance(wait)
             self.proposer.begin()
             self.assertEqual(self.proposer.phase, Phase.IDLE, "not at once again")
-        self.parts.pass_time(0.02)
+        self.parts.advance(0.02)
         self.assertEqual(self.begin().round, 10)
 
     def test_lower_nack_keeps_the_highest_round(self) -> None:
@@ -78,7 +78,7 @@
         for promised in (9, 2):
             message = pb.Refused(epoch=EPOCH, ballot=first.to_message(), promised=ballot(promised, "c").to_message())
             self.proposer.on_refused(message)
-        self.parts.pass_time(1.0)
+        self.parts.advance(1.0)
         self.assertEqual(self.begin().round, 10)
 
     def test_nack_of_another_ballot_or_epoch_is_ignored(self) -> None:
@@ -104,7 +104,7 @@
 
     def test_mismatching_promises_are_ignored(self) -> None:
         own = self.begin()
-        self.parts.hear("z")
+        self.parts.receive_heartbeat("z")
         self.promise("z", own)
         self.promise("b", ballot(own.round, "a", OWN_INCARNATION + 1))
         self.promise("b", ballot(own.round + 1, "a", OWN_INCARNATION))
@@ -224,32 +224,32 @@
         self.parts.actions()
         self.proposer.tick()
         self.assertEqual(self.parts.sent_to("prepare"), [])
-        self.parts.pass_time(self.parts.timing.resend)
+        self.parts.advance(self.parts.timing.resend)
         self.proposer.tick()
         self.proposer.tick()
         self.assertEqual(sorted(self.parts.sent_to("prepare")), ["a", "c"])
-        self.parts.pass_time(0.1)
+        self.parts.advance(0.1)
         self.promise("a", own)
         self.accepted("a", own)
         self.parts.actions()
-        self.parts.pass_time(0.05)
+        self.parts.advance(0.05)
         self.proposer.tick()
         self.assertEqual(self.parts.sent_to("accept"), [])
-        self.parts.pass_time(self.parts.timing.resend)
+        self.parts.advance(self.parts.timing.resend)
         self.proposer.tick()
         self.proposer.tick()
         self.assertEqual(sorted(self.parts.sent_to("accept")), ["b", "c"])
 
     def test_attempt_is_aborted_after_its_timeout(self) -> None:
         self.begin()
-        self.parts.pass_time(self.parts.timing.proposal_timeout)
+        self.parts.advance(self.parts.timing.proposal_timeout)
         self.proposer.tick()
         self.assertEqual(self.proposer.phase, Phase.PREPARING)
-        self.parts.pass_time(0.01)
+        self.parts.advance(0.01)
         self.proposer.tick()
         self.assertEqual(self.proposer.phase, Phase.IDLE)
         self.assertEqual(self.proposer.next_attempt_at, self.parts.now + BACKOFF_MIN_S + 0.5 * BACKOFF_SPREAD_S)
-        self.parts.pass_time(1.0)
+        self.parts.advance(1.0)
         self.assertEqual(self.begin().round, 2)
 
     def test_attempt_ends_with_the_epoch(self) -> None:
--- a/tests/fleet/test_planted_coordination_replica.py
+++ b/tests/fleet/test_planted_coordination_replica.py
@@ -78,7 +78,7 @@
 
     def test_nothing_is_sent_before_the_identity_is_synced(self) -> None:
         self.start(bootstrap=False)
-        self.assertEqual(self.hear("b"), [])
+        self.assertEqual(self.receive_heartbeat("b"), [])
         self.assertEqual(self.replica.tick(NOW + 1.0), [])
         self.assertEqual(self.replica.resign(NOW + 1.0), [])
         self.assertTrue(self.sync(NOW + 1.0))
@@ -111,7 +111,7 @@
     def test_restarted_grantor_abstains_for_one_lease(self) -> None:
         self.start(self.saved(grantee="b"))
         for now, granted in ((NOW + 0.1, 0), (NOW + TIMING.lease - 0.1, 0), (NOW + TIMING.lease + 0.1, 1)):
-            self.hear("c", now)
+            self.receive_heartbeat("c", now)
             request = pb.LeaseRequest(epoch=EPOCH, term=3, stamp=1.0)
             actions = self.handle("lease_request", request, "c", now=now)
             for each in [each for each in actions if isinstance(each, PersistRecords)]:
@@ -121,7 +121,7 @@
             ]
             self.assertEqual(len(grants), granted, now)
 
-    def hear(self, sender: str, now: float = NOW, **fields: Any) -> list[Any]:
+    def receive_heartbeat(self, sender: str, now: float = NOW, **fields: Any) -> list[Any]:
         known: dict[str, Any] = {"stamp": now, "epoch": EPOCH, "sequence": 5, "joined": True, "healthy": True}
         answer = {"echo": now, "echo_boot": 2**51 + 1, "lease_free": True, "reached": list("abc")}
         return self.handle("heartbeat", pb.Heartbeat(**(known | answer | fields)), sender, now=now)
@@ -130,7 +130,7 @@
         """It gains the lease, by its own grant and that of b; the term."""
         self.start(self.saved(grantee="a"))
         for each in "bc":
-            self.hear(each)
+            self.receive_heartbeat(each)
         actions = self.replica.tick(NOW + 0.01)
         for persist in [each for each in actions if isinstance(each, PersistRecords)]:
             self.replica.on_persisted(NOW + 0.01, persist.token)
@@ -142,7 +142,7 @@
     def test_lease_expires_before_anything_else_in_a_call(self) -> None:
         self.lead()
         self.assertEqual(self.replica.leader_hint(), self.replica.identity)
-        actions = self.hear("b", NOW + 5.0)
+        actions = self.receive_heartbeat("b", NOW + 5.0)
         self.assertIsInstance(actions[0], LeadershipLost)
         self.assertFalse(self.replica.is_leader(NOW + 5.0))
 
@@ -187,16 +187,16 @@
     def test_leader_hint(self) -> None:
         self.start(self.saved())
         self.assertIsNone(self.replica.leader_hint())
-        self.hear("b", leads=True, term=3)
-        self.hear("c", leads=True, term=4)
+        self.receive_heartbeat("b", leads=True, term=3)
+        self.receive_heartbeat("c", leads=True, term=4)
         hint = self.replica.leader_hint()
         assert hint is not None
         self.assertEqual(hint.id, "c")
-        self.hear("b", NOW + 0.05, leads=True, term=5)
+        self.receive_heartbeat("b", NOW + 0.05, leads=True, term=5)
         hint = self.replica.leader_hint()
         assert hint is not None
         self.assertEqual(hint.id, "b")
-        self.hear("c", NOW + 0.1, leads=False, term=4)
+        self.receive_heartbeat("c", NOW + 0.1, leads=False, term=4)
         hint = self.replica.leader_hint()
         assert hint is not None
         self.assertEqual(hint.id, "b")
@@ -207,7 +207,7 @@
     def test_own_freeze_is_no_silence_of_peers(self) -> None:
         for gap, silent in ((TIMING.blind - 0.05, True), (TIMING.blind + 0.05, False)):
             self.start(self.saved())
-            self.hear("b")
+            self.receive_heartbeat("b")
             self.replica.tick(NOW + gap)
             heard = self.replica._context.failure_detector.silence_s(NOW + gap, "b")
             self.assertEqual(heard > 0.1, silent, gap)
@@ -241,7 +241,7 @@
 
     def test_core_machines(self) -> None:
         self.start(self.saved())
-        self.hear("z")
+        self.receive_heartbeat("z")
         self.assertEqual(sorted(each.id for each in self.replica.core_machines()), ["a", "b", "c", "z"])
         self.assertEqual((self.replica.head(), self.replica.tail()), (identity("a"), identity("c")))
         replica = self.start(bootstrap=False)
@@ -254,7 +254,7 @@
 
     def test_failed_write_is_handled(self) -> None:
         self.start(self.saved())
-        self.hear("b")
+        self.receive_heartbeat("b")
         actions = self.handle("prepare", pb.Prepare(epoch=EPOCH, ballot=pb.Ballot(round=1, proposer="b", boot=8)))
         (persist,) = [each for each in actions if isinstance(each, PersistRecords)]
         self.replica.on_persist_failed(NOW, persist.token)
@@ -262,7 +262,7 @@
 
     def test_machine_that_is_behind_catches_up(self) -> None:
         self.start(self.saved())
-        actions = self.hear("b", epoch=EPOCH + 1)
+        actions = self.receive_heartbeat("b", epoch=EPOCH + 1)
         sent = [each.message for each in actions if isinstance(each, SendMessage)]
         self.assertEqual([each.fetch.epoch for each in sent if each.HasField("fetch")], [EPOCH])
         actions = self.handle("fetch", pb.Fetch(epoch=EPOCH - 1))
@@ -275,5 +275,5 @@
         self.start(self.saved())
         self.assertIsNone(self.replica.freshness(NOW))
         for each in "bc":
-            self.hear(each)
+            self.receive_heartbeat(each)
         self.assertEqual(self.replica.freshness(NOW + 1.0), (5, 1.0))
