--- a/tests/fleet/planted_faults/areas.py
+++ b/tests/fleet/planted_faults/areas.py
@@ -66,7 +66,7 @@
         [
             "test_planted_distribution*",
             "test_distribution_values",
-            "test_distribution_orders",
+            "test_distribution_message_order",
             "test_distribution_*",
             "test_messages_*",
         ],
--- a/tests/fleet/test_distribution_clusters.py
+++ b/tests/fleet/test_distribution_clusters.py
@@ -59,7 +59,7 @@
         self.assertEqual(len(world.list_positions("model")), 1)
         self.assertGreater(world.checks, 1000)
 
-    def test_news_come_through_the_home_within_some_milliseconds(self) -> None:
+    def test_updates_come_through_the_home_within_some_milliseconds(self) -> None:
         world = calm(World(seed=2, edges=9, zones=3))
         for zone in range(3):
             states = {world.subscriber(one).subscription_state(CONFIG_TOPIC) for one in world.zone_of(zone)}
@@ -164,7 +164,7 @@
             world.change_list()
         world.run(8.0)
 
-    def test_a_home_hears_its_zone_but_is_not_heard(self) -> None:
+    def test_a_home_receives_but_its_messages_are_lost(self) -> None:
         world = calm(World(seed=19, edges=9))
         failing = home_of(world, CONFIG_TOPIC, 0)
         world.cut([failing], [one for one in world.zone_of(0) if one is not failing], 8.0, both=False)
@@ -174,7 +174,7 @@
             world.change_list()
         world.run(8.0)
 
-    def test_a_home_is_frozen_and_wakes_with_old_news(self) -> None:
+    def test_a_home_is_frozen_and_wakes_with_old_updates(self) -> None:
         world = calm(World(seed=20, edges=9))
         world.freeze(home_of(world, CONFIG_TOPIC, 0), 4.0)
         for _ in range(4):
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -33,7 +33,7 @@
 
 Plant = Callable[[], AbstractContextManager[Any]]
 
-ORDERS = "tests.fleet.test_distribution_orders"
+MESSAGE_ORDER = "tests.fleet.test_distribution_message_order"
 DAYS = "tests.fleet.test_distribution_days"
 LEASES = "tests.fleet.test_quota_rate_leases"
 READER = "tests.fleet.test_control_endpoint_list_reader.EndpointListReaderTest"
@@ -272,32 +272,41 @@
     (reading_counts_without_the_lease, f"{READER}.test_a_reading_is_delivered_only_if_the_lease_is_still_held"),
     (
         lists_of_earlier_terms_are_told,
-        f"{ORDERS}.EarlierTermTest.test_a_list_of_an_earlier_term_is_given_to_no_subscriber",
+        f"{MESSAGE_ORDER}.EarlierTermTest.test_a_list_of_an_earlier_term_is_given_to_no_subscriber",
     ),
     (
         lists_of_earlier_terms_are_told,
-        f"{ORDERS}.EarlierTermTest.test_a_list_of_an_earlier_term_is_neither_fetched_nor_told",
+        f"{MESSAGE_ORDER}.EarlierTermTest.test_a_list_of_an_earlier_term_is_neither_fetched_nor_reported",
     ),
     (a_follower_gives_tokens, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
     (
         members_of_an_earlier_term_are_kept,
-        f"{ORDERS}.EarlierTermTest.test_the_members_of_an_earlier_term_are_forgotten",
+        f"{MESSAGE_ORDER}.EarlierTermTest.test_the_members_of_an_earlier_term_are_forgotten",
+    ),
+    (
+        answers_of_older_terms_are_followed,
+        f"{MESSAGE_ORDER}.LeaderTermTest.test_a_leader_of_an_older_term_is_not_followed",
+    ),
+    (
+        news_of_older_leaders_are_asked,
+        f"{MESSAGE_ORDER}.LeaseChangeTest.test_an_announcement_of_an_older_term_is_not_probed",
     ),
-    (answers_of_older_terms_are_followed, f"{ORDERS}.LeaderTermTest.test_a_leader_of_an_older_term_is_not_followed"),
-    (news_of_older_leaders_are_asked, f"{ORDERS}.LeaseChangeTest.test_an_older_term_is_not_asked"),
     (
         unasked_answers_confirm,
-        f"{ORDERS}.ConfirmationTest.test_a_late_answer_to_an_older_renewal_moves_nothing_forward",
+        f"{MESSAGE_ORDER}.ConfirmationTest.test_a_late_answer_to_an_older_renewal_moves_nothing_forward",
     ),
     (
         confirmed_when_the_answer_came,
-        f"{ORDERS}.ConfirmationTest.test_an_answer_confirms_as_of_its_renewal_less_its_age",
+        f"{MESSAGE_ORDER}.ConfirmationTest.test_an_answer_confirms_as_of_its_renewal_less_its_age",
+    ),
+    (
+        confirmed_whatever_is_held,
+        f"{MESSAGE_ORDER}.ConfirmationTest.test_nothing_is_confirmed_while_a_newer_one_is_missing",
     ),
-    (confirmed_whatever_is_held, f"{ORDERS}.ConfirmationTest.test_nothing_is_confirmed_while_a_newer_one_is_missing"),
     (a_core_machine_tells_no_age, f"{CORE}.test_a_leader_answers_as_one"),
     (a_core_machine_tells_no_age, f"{DAYS}.CutOffLeaderTest.test_edges_are_cut_off_with_it"),
     (older_configurations_are_taken, f"{DAYS}.ManyChangesTest.test_hundreds_of_changes_between_losses"),
-    (older_lists_are_taken, f"{ORDERS}.ListOrderTest.test_an_older_snapshot_changes_nothing"),
+    (older_lists_are_taken, f"{MESSAGE_ORDER}.ListOrderTest.test_an_older_snapshot_changes_nothing"),
     (the_edge_forgets_its_lease, f"{TERMS}.Keys.test_a_request_that_waited_is_not_sent_once_the_lease_has_ended"),
     (
         tokens_live_from_when_they_came,
--- a/tests/fleet/test_distribution_loopback.py
+++ b/tests/fleet/test_distribution_loopback.py
@@ -114,7 +114,7 @@
         for _ in range(5):
             await asyncio.sleep(0)  # what was accepted just now ends
 
-    async def test_news_reach_both_edges(self) -> None:
+    async def test_updates_reach_both_edges(self) -> None:
         for edge in self.edges:
             first = await edge.wait_for(ConfigurationChanged)
             self.assertEqual((first.sequence, first.version, first.body), (1, 5, b"{}"))
--- a/tests/fleet/test_distribution_orders.py
+++ b/tests/fleet/test_distribution_message_order.py
@@ -1,4 +1,4 @@
-"""Forced orders of messages at one publisher or one subscriber."""
+"""Forced orders of messages at one publisher or one subscriber: late, repeated and overtaken ones."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
         self.assertEqual(edge.subscriber.edges_total, 4)
 
     def test_core_machines_at_other_addresses_are_found(self) -> None:
-        """The seeds of the settings are all gone; the leader told of the others before it went too."""
+        """The seeds of the settings are all gone; the leader reported the others before it was lost too."""
         edge = AtSubscriber()
         others = [f"10.9.0.{number}:7500" for number in range(4)]
         core = [pb.CoreMachine(id=str(number), address=address) for number, address in enumerate(others)]
@@ -175,7 +175,7 @@
         whole = [one for one in edge.list(1.3, updates[3][1]) if isinstance(one, ServersChanged)]
         self.assertEqual(whole[0].servers, (server(2, 9), server(3)))
 
-    def test_changes_in_order_give_the_whole(self) -> None:
+    def test_deltas_in_order_give_the_snapshot(self) -> None:
         updates = self.updates()
         edge = AtSubscriber()
         last: list[ServersChanged] = []
@@ -232,7 +232,7 @@
     def sequences(self, sends: list[SendMessage], connection: str) -> list[int]:
         return [message.config.sequence for where, message in sent(sends, "config") if where == connection]
 
-    def test_what_was_missed_is_handed_over_once(self) -> None:
+    def test_a_missed_update_is_handed_off_once(self) -> None:
         self.away()
         self.assertEqual(self.sequences(self.renew(0.5, "c2", 1), "c2"), [2])
         self.assertEqual(self.sequences(self.renew(0.9, "c2", 1), "c2"), [])
@@ -256,7 +256,7 @@
         self.publisher.connection_closed(1.3, "c1")
         self.assertEqual(self.sequences(self.renew(1.5, "c2", 1), "c2"), [2])
 
-    def test_the_keeper_loses_the_lease(self) -> None:
+    def test_the_holder_of_a_hint_loses_the_lease(self) -> None:
         """Its successor knows of no hints; the renewal tells the edge that it is behind."""
         self.away()
         self.publisher.leadership_lost(0.4)
@@ -268,7 +268,7 @@
         self.assertEqual(self.sequences(sends, "c3"), [])
         self.assertEqual(sent(sends, "renewed")[0][1].renewed.config_sequence, 2)
 
-    def test_a_fetch_that_is_on_its_way_is_not_answered_again(self) -> None:
+    def test_no_second_answer_to_a_fetch_in_flight(self) -> None:
         fetch = pb.Distribution(fetch=pb.Fetch(topic="config"))
         self.assertEqual(len(self.publisher.receive(1.0, "c1", fetch)), 1)
         self.assertEqual(len(self.publisher.receive(1.5, "c1", fetch)), 0)
@@ -305,15 +305,15 @@
 class ZoneNamesLeaderTest(unittest.TestCase):
     """An edge that finds nobody of the core asks the others of its zone."""
 
-    def test_an_edge_names_the_leader_that_answers_it_and_tells_no_freshness(self) -> None:
+    def test_an_attached_edge_names_the_leader_and_reports_no_freshness(self) -> None:
         edge = AtSubscriber()
         renew = pb.Distribution(renew=pb.Renew(request=9, edge=pb.Edge(name="e2", zone="z", address="b")))
         self.assertEqual(sent(edge.subscriber.receive(0.005, 7, renew), "renewed"), [])
         edge.renewed(0.01, config_sequence=0, config_age_ms=0)
         ((connection, message),) = sent(edge.subscriber.receive(0.02, 7, renew), "renewed")
-        told = message.renewed
-        self.assertEqual((connection, told.request, told.leader), (7, 9, LEADER))
-        self.assertFalse(told.is_leader or told.config_known)
+        observed = message.renewed
+        self.assertEqual((connection, observed.request, observed.leader), (7, 9, LEADER))
+        self.assertFalse(observed.is_leader or observed.config_known)
 
     def test_a_named_leader_counts_only_by_its_own_answer(self) -> None:
         edge = AtSubscriber()
@@ -338,7 +338,7 @@
 
 
 class LeaderlessTest(unittest.TestCase):
-    def test_a_silent_leader_may_be_asked_for_a_while(self) -> None:
+    def test_a_silent_leader_gets_quota_requests_during_the_grace_time(self) -> None:
         """Over a crowded link it may still answer; whose link has ended can't."""
         edge = AtSubscriber()
         self.assertEqual(edge.subscriber.leaderless_since(), 0.0)
@@ -359,46 +359,46 @@
 
 
 class LeaseChangeTest(unittest.TestCase):
-    """Edges are told unasked when the lease is gained or lost."""
+    """Edges get an announcement when the leadership is gained or lost."""
 
     def setUp(self) -> None:
         self.publisher = Publisher(lambda at, request: None)
         renew = pb.Renew(request=3, edge=pb.Edge(name="e1", zone="z", address="a"), boot=1)
         self.renew = pb.Distribution(renew=renew)
 
-    def test_who_searches_is_told_of_the_new_leader(self) -> None:
+    def test_searching_edges_get_the_announcement_of_a_new_leader(self) -> None:
         self.publisher.receive(0.0, "old", self.renew)
         self.publisher.receive(5.0, "gone", self.renew)
         self.publisher.connection_closed(5.1, "gone")
         self.publisher.receive(5.2, "c", self.renew)
-        told = sent(self.publisher.leadership_gained(5.5, 4), "renewed")
-        self.assertEqual([(where, message.renewed.members_term) for where, message in told], [("c", 4)])
+        observed = sent(self.publisher.leadership_gained(5.5, 4), "renewed")
+        self.assertEqual([(where, message.renewed.members_term) for where, message in observed], [("c", 4)])
         edge = AtSubscriber()
-        edge.noted(edge.subscriber.receive(0.05, DialedLink(THIRD), told[0][1]))
+        edge.noted(edge.subscriber.receive(0.05, DialedLink(THIRD), observed[0][1]))
         self.assertIn(THIRD, edge.renewals)
         self.assertFalse(edge.subscriber.is_attached)
         self.assertEqual(edge.subscriber.confirmed_at, -math.inf)
 
-    def test_who_is_attached_is_told_that_the_lease_is_lost(self) -> None:
+    def test_attached_edges_get_the_announcement_of_lost_leadership(self) -> None:
         self.publisher.leadership_gained(0.0, 1)
         self.publisher.receive(1.0, "c", self.renew)
-        told = sent(self.publisher.leadership_lost(1.1), "renewed")
-        self.assertEqual([where for where, _ in told], ["c"])
+        observed = sent(self.publisher.leadership_lost(1.1), "renewed")
+        self.assertEqual([where for where, _ in observed], ["c"])
         self.assertEqual(self.publisher.leadership_lost(1.2), [])
         edge = AtSubscriber()
         edge.renewed(0.01)
         self.assertTrue(edge.subscriber.is_attached)
-        edge.noted(edge.subscriber.receive(0.2, DialedLink(LEADER), told[0][1]))
+        edge.noted(edge.subscriber.receive(0.2, DialedLink(LEADER), observed[0][1]))
         self.assertFalse(edge.subscriber.is_attached)
         self.assertIn(OTHER, edge.renewals)
 
-    def test_an_older_term_is_not_asked(self) -> None:
+    def test_an_announcement_of_an_older_term_is_not_probed(self) -> None:
         edge = AtSubscriber()
         edge.renewed(0.01, members_term=6)
         edge.noted(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
         asked = len(edge.renewals.get(THIRD, []))
-        told = pb.Distribution(renewed=pb.Renewed(is_leader=True, members_term=5))
-        edge.noted(edge.subscriber.receive(0.03, DialedLink(THIRD), told))
+        observed = pb.Distribution(renewed=pb.Renewed(is_leader=True, members_term=5))
+        edge.noted(edge.subscriber.receive(0.03, DialedLink(THIRD), observed))
         self.assertEqual(len(edge.renewals.get(THIRD, [])), asked)
 
 
@@ -421,7 +421,7 @@
     def test_a_list_of_an_earlier_term_is_given_to_no_subscriber(self) -> None:
         self.assertEqual(self.subscribe(60.1), [])
 
-    def test_a_list_of_an_earlier_term_is_neither_fetched_nor_told(self) -> None:
+    def test_a_list_of_an_earlier_term_is_neither_fetched_nor_reported(self) -> None:
         fetch = pb.Distribution(fetch=pb.Fetch(topic="list/model"))
         self.assertEqual(sent(self.publisher.receive(60.1, "c", fetch), "list"), [])
         renew = pb.Renew(request=1, edge=pb.Edge(name="e1", zone="z", address="a"), boot=1)
@@ -439,7 +439,7 @@
         self.assertEqual(self.publisher.edges_total(62.5), 0)  # not known yet
         self.assertEqual(self.publisher.edges_total(63.1), 0)
 
-    def test_who_subscribed_before_the_first_reading_is_sent_it(self) -> None:
+    def test_a_subscriber_gets_the_first_reading(self) -> None:
         renew = pb.Renew(request=1, edge=pb.Edge(name="e1", zone="z", address="a"), boot=1)
         self.publisher.receive(60.0, "c", pb.Distribution(renew=renew))
         self.subscribe(60.1)
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -51,14 +51,14 @@
         with mock.patch.object(confirmation.Confirmation, "on_answer", on_answer):
             self.found_on_some_day("confirmed after a newer acknowledgement")
 
-    def test_confirmed_whatever_is_held(self) -> None:
+    def test_confirmed_whatever_is_applied(self) -> None:
         def on_answer(self: confirmation.Confirmation, sent_at: float, sequence: int, age_s: float) -> None:
             self.confirmed_at = max(self.confirmed_at, sent_at - age_s)
 
         with mock.patch.object(confirmation.Confirmation, "on_answer", on_answer):
             self.found_on_some_day("confirmed after a newer acknowledgement")
 
-    def test_an_older_configuration_is_taken(self) -> None:
+    def test_an_older_configuration_is_applied(self) -> None:
         def apply_configuration(self: store.TopicStore, update: object) -> UpdateResult:
             decoded = values.decode_configuration(update)  # type: ignore[arg-type]
             assert decoded is not None
@@ -68,7 +68,7 @@
         with mock.patch.object(store.TopicStore, "apply_configuration", apply_configuration):
             self.found_on_some_day("configuration back")
 
-    def test_an_older_list_is_taken(self) -> None:
+    def test_an_older_list_is_applied(self) -> None:
         original = store.TopicStore.apply_list
 
         def apply_list(self: store.TopicStore, update: object, now: float) -> UpdateResult:
@@ -78,7 +78,7 @@
         with mock.patch.object(store.TopicStore, "apply_list", apply_list):
             self.found_on_some_day("list of")
 
-    def test_changes_are_taken_whatever_they_are_against(self) -> None:
+    def test_deltas_are_applied_whatever_their_base(self) -> None:
         """Lists lose servers that a missed change had brought."""
         original = store.TopicStore.apply_list
 
--- a/tests/fleet/test_distribution_values.py
+++ b/tests/fleet/test_distribution_values.py
@@ -1,4 +1,4 @@
-"""When two entries of the list of servers are the same."""
+"""Equivalence of two entries of the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 SERVER = ListedServer("i-1", "model", "10.0.0.1:8080", "east", 8, True)
 
 
-class SameServer(unittest.TestCase):
+class EquivalentServersTest(unittest.TestCase):
     """`ListedServer.is_equivalent_to`."""
 
     def test_entries_that_differ_in_any_field_are_not_the_same(self) -> None:
-        told = [field.name for field in fields(ListedServer) if field.name != "cold_until"]
-        self.assertEqual(sorted(told), sorted(OTHER), "a field was added: it has to be compared")
-        for name in told:
+        compared = [field.name for field in fields(ListedServer) if field.name != "cold_until"]
+        self.assertEqual(sorted(compared), sorted(OTHER), "a field was added: it has to be compared")
+        for name in compared:
             with self.subTest(field=name):
                 self.assertFalse(SERVER.is_equivalent_to(replace(SERVER, **{name: OTHER[name]}), NOW))
 
--- a/tests/fleet/test_planted_distribution_catch_up.py
+++ b/tests/fleet/test_planted_distribution_catch_up.py
@@ -14,7 +14,7 @@
     def setUp(self) -> None:
         self.catch_up = CatchUp()
 
-    def test_fetched_ever_more_rarely_until_held(self) -> None:
+    def test_fetches_back_off_until_the_position_is_applied(self) -> None:
         self.catch_up.on_newer_position("x", (0, 4), LEADER, NOW)
         self.assertEqual(self.catch_up.next_due(), NOW)
         times = []
@@ -29,7 +29,7 @@
         self.assertEqual(self.catch_up.next_due(), math.inf)
         self.catch_up.on_position_applied("x", (0, 4))
 
-    def test_newer_news_of_another_begins_anew(self) -> None:
+    def test_a_newer_position_of_another_source_restarts_the_backoff(self) -> None:
         self.catch_up.on_newer_position("x", (0, 4), LEADER, NOW)
         self.catch_up.due(NOW)
         self.catch_up.on_newer_position("x", (0, 4), OTHER, NOW)
--- a/tests/fleet/test_planted_distribution_confirmation.py
+++ b/tests/fleet/test_planted_distribution_confirmation.py
@@ -25,7 +25,7 @@
         self.confirmation.on_answer(NOW, 0, 5.0)
         self.assertEqual(self.confirmation.confirmed_at, NOW)
 
-    def test_a_newer_configuration_has_to_be_held_first(self) -> None:
+    def test_a_newer_configuration_has_to_be_applied_first(self) -> None:
         self.confirmation.on_answer(NOW, 2, 0.0)
         self.confirmation.on_answer(NOW + 1, 2, 0.0)
         self.confirmation.on_answer(NOW + 1, 2, 9.0)
@@ -41,7 +41,7 @@
         self.assertEqual(self.confirmation.confirmed_at, NOW + 2)
         self.assertEqual(self.confirmation._pending, {})
 
-    def test_the_newest_are_kept(self) -> None:
+    def test_the_newest_pending_sequences_are_kept(self) -> None:
         for sequence in range(1, PENDING_LIMIT + 3):
             self.confirmation.on_answer(NOW + sequence, sequence, 0.0)
         self.assertEqual(len(self.confirmation._pending), PENDING_LIMIT)
--- a/tests/fleet/test_planted_distribution_fan_out.py
+++ b/tests/fleet/test_planted_distribution_fan_out.py
@@ -12,7 +12,7 @@
 
 
 class HintsTest(unittest.TestCase):
-    def test_taken_once(self) -> None:
+    def test_hints_are_popped_once(self) -> None:
         hints = Hints()
         hints.add("a", "x", NOW)
         hints.add("a", "y", NOW)
@@ -61,25 +61,25 @@
         ((_, update),) = self.publish("a")
         self.assertFalse(update.whole, "the changes to what was sent")
 
-    def test_not_what_it_holds_already(self) -> None:
+    def test_no_update_for_a_position_held_already(self) -> None:
         self.on_report(held=(3, 1))
         self.assertEqual(self.publish("a"), [])
         self.on_report("b", "c2", held=(9, 1))
         self.assertEqual(self.publish("b"), [])
 
-    def test_handed_over_to_those_that_could_not_be_reached(self) -> None:
+    def test_hinted_handoff_to_targets_that_were_unreachable(self) -> None:
         self.assertEqual(self.publish("a"), [])
         ((to, _),) = self.on_report()
         self.assertEqual(to, "c1")
         self.assertEqual(self.on_report(), [])
 
-    def test_what_was_not_told_back_is_handed_over_on_another_connection(self) -> None:
+    def test_unconfirmed_updates_are_handed_off_on_another_connection(self) -> None:
         self.on_report()
         self.publish("a")
         ((to, update),) = self.on_report(connection="c2")
         self.assertEqual((to, update.whole), ("c2", True))
 
-    def test_what_was_told_back_is_not(self) -> None:
+    def test_confirmed_updates_are_not_handed_off(self) -> None:
         self.on_report()
         self.publish("a")
         self.on_report(held=(3, 1))
@@ -106,7 +106,7 @@
         self.fan_out.expire(NOW + SUBSCRIPTION_S + 1)
         self.assertEqual((self.fan_out.subscribers(TOPIC), self.fan_out._subscriptions), ([], {}))
 
-    def test_silent_targets_are_forgotten_and_what_they_missed_is_kept(self) -> None:
+    def test_silent_targets_are_removed_and_their_hints_kept(self) -> None:
         self.on_report()
         self.publish("a")
         self.fan_out.expire(NOW + SUBSCRIPTION_S - 0.1)
@@ -115,7 +115,7 @@
         self.assertEqual(self.fan_out.connections(), [])
         self.assertEqual(len(self.on_report(now=NOW + 6.0)), 1)
 
-    def test_speaking_keeps_a_target(self) -> None:
+    def test_a_report_renews_a_target(self) -> None:
         self.on_report()
         self.on_report(now=NOW + 4.0)
         self.fan_out.expire(NOW + SUBSCRIPTION_S)
--- a/tests/fleet/test_planted_distribution_home_subscriptions.py
+++ b/tests/fleet/test_planted_distribution_home_subscriptions.py
@@ -30,7 +30,7 @@
         self.homes.set_zone_edges(NOW, [edge("me")])
         self.assertEqual((self.homes.state(TOPIC), self.homes.zone_size()), (SubscriptionState.LOCAL, 1))
 
-    def test_asks_the_home_and_follows_it(self) -> None:
+    def test_subscribes_at_the_home(self) -> None:
         self.with_home()
         self.assertEqual(
             (self.homes.state(TOPIC), self.homes.next_due()),
@@ -48,7 +48,7 @@
             (SubscriptionState.SUBSCRIBED, NOW + 2.1),
         )
 
-    def test_asks_again_in_time(self) -> None:
+    def test_renews_the_subscription_in_time(self) -> None:
         self.with_home()
         self.homes.due(NOW)
         self.homes.on_home_message(NOW, TOPIC, self.home.address)
@@ -80,7 +80,7 @@
         self.homes.on_home_failure(NOW + 1.0, self.home.address)
         self.assertEqual(self.homes.next_due(), NOW + 2.0, "suspected once")
 
-    def test_another_leader_is_asked_again(self) -> None:
+    def test_direct_subscriptions_are_renewed_at_a_new_leader(self) -> None:
         self.with_home()
         self.homes.due(NOW)
         self.homes.on_leader_changed()
@@ -102,7 +102,7 @@
         self.assertEqual((self.homes.state(TOPIC), self.homes.addresses()), (SubscriptionState.LOCAL, set()))
         self.assertEqual((self.homes.due(NOW + 9), self.homes.next_due()), ([], math.inf))
 
-    def test_what_was_to_be_asked_of_a_home_that_is_gone_is_not_asked(self) -> None:
+    def test_a_pending_request_is_dropped_with_its_home(self) -> None:
         self.with_home()
         self.homes.set_zone_edges(NOW, [edge("me")])
         self.assertEqual(self.homes.due(NOW), [])
--- a/tests/fleet/test_planted_distribution_leader_search.py
+++ b/tests/fleet/test_planted_distribution_leader_search.py
@@ -21,13 +21,13 @@
         self.search.on_answer(now, address, asked.get(address, 0))
         self.assertTrue(self.search.accept_leader(now, address, term))
 
-    def test_asks_two_at_once_in_turn(self) -> None:
+    def test_probes_two_at_once_in_turn(self) -> None:
         asked = [[address for address, _ in self.search.due(NOW + step / 10)] for step in range(3)]
         self.assertEqual(asked, [[LEADER, OTHER], [THIRD, LEADER], [OTHER, THIRD]])
         self.assertEqual(self.search.due(NOW + 0.25), [])
         self.assertAlmostEqual(self.search.next_due(), NOW + 0.3)
 
-    def test_renews_at_the_leader_by_its_rhythm(self) -> None:
+    def test_renews_at_the_leader_at_its_interval(self) -> None:
         self.attach()
         self.assertEqual((self.search.state, self.search.leader, self.search.term), (SearchState.ATTACHED, LEADER, 3))
         self.assertEqual(self.search.due(NOW + 0.39), [])
@@ -41,7 +41,7 @@
         self.assertEqual(self.search.on_answer(NOW + 0.1, LEADER, asked[LEADER]), NOW)
         self.assertIsNone(self.search.on_answer(NOW + 0.1, LEADER, asked[LEADER]))
 
-    def test_an_answer_settles_the_older_ones_of_its_address(self) -> None:
+    def test_an_answer_completes_older_renewals_at_its_address(self) -> None:
         first = dict(self.search.due(NOW))
         second = dict(self.search.due(NOW + 0.1))
         self.search.on_answer(NOW + 0.2, LEADER, second[LEADER])
@@ -55,7 +55,7 @@
         self.assertTrue(self.search.accept_leader(NOW, OTHER, 4))
         self.assertEqual((self.search.leader, self.search.term), (OTHER, 4))
 
-    def test_a_silent_leader_is_sought_and_may_still_answer(self) -> None:
+    def test_a_silent_leader_times_out_and_may_still_answer(self) -> None:
         self.attach()
         self.search.due(NOW + 0.4)
         self.assertEqual(self.search.due(NOW + 0.79), [])
@@ -98,7 +98,7 @@
         self.search.on_redirect(NOW + 0.05, OTHER, THIRD)
         self.assertGreater(self.search.next_due(), NOW + 0.1, "it was asked just now")
 
-    def test_told_unasked(self) -> None:
+    def test_leadership_announced_unasked(self) -> None:
         self.search.due(NOW)
         self.search.on_leadership_announced(NOW + 0.01, OTHER, 5)
         self.assertEqual(self.search.due(NOW + 0.01)[0][0], OTHER)
@@ -127,7 +127,7 @@
         self.search.on_link_closed(NOW + 0.2, LEADER)
         self.assertEqual((self.search.state, self.search.leaderless_since), (SearchState.SEARCHING, NOW + 0.2))
 
-    def test_who_was_named_stays_named_whatever_others_say(self) -> None:
+    def test_a_candidate_is_kept_whatever_others_answer(self) -> None:
         self.search.due(NOW)
         self.search.on_redirect(NOW + 0.01, OTHER, THIRD)
         self.search.on_redirect(NOW + 0.01, LEADER, "")
@@ -136,7 +136,7 @@
             asked = [address for address, _ in self.search.due(NOW + 0.01 + step)]
             self.assertEqual((asked[0], len(set(asked))), (THIRD, 2), "each one once")
 
-    def test_renews_ahead_of_its_rhythm(self) -> None:
+    def test_renews_ahead_of_its_interval(self) -> None:
         self.attach()
         self.search.renew_now(NOW + 0.1)
         self.search.accept_leader(NOW + 0.1, LEADER, 3)
@@ -165,12 +165,12 @@
         """The edges of the zone that are asked at a moment."""
         return [address for address, _ in self.search.due(now) if address in self.search.peers()]
 
-    def test_edges_of_the_zone_are_asked_in_turn_where_the_core_is_not_found(self) -> None:
+    def test_peers_are_probed_in_turn_where_the_core_is_not_found(self) -> None:
         self.search.set_peers(["b:1", "c:1"])
         asked = [self.peers_asked(NOW + step) for step in (0.5, 1.45, 1.6, 1.75, 1.85, 1.95, 2.06, 2.27)]
         self.assertEqual(asked, [[], [], ["c:1"], [], ["b:1"], [], ["c:1"], ["b:1"]])
 
-    def test_edges_of_the_zone_are_not_asked_again_before_their_interval_once_the_leader_was_lost_again(self) -> None:
+    def test_peers_are_not_probed_before_their_interval_once_the_leader_was_lost_a_second_time(self) -> None:
         """The time without a leader counts from its last loss, and not from the last question."""
         self.search.set_peers(["b:1", "c:1"])
         self.assertEqual(self.peers_asked(NOW + 1.6), ["c:1"])
@@ -179,7 +179,7 @@
         asked = [self.peers_asked(NOW + step) for step in (2.0, 3.45, 3.6, 3.75)]
         self.assertEqual(asked, [[], [], ["b:1"], []])
 
-    def test_edges_of_the_zone_are_not_asked_while_the_leader_answers(self) -> None:
+    def test_peers_are_not_probed_while_the_leader_answers(self) -> None:
         self.search.set_peers(["b:1", "c:1"])
         self.attach()
         for step in range(1, 11):
--- a/tests/fleet/test_planted_distribution_membership.py
+++ b/tests/fleet/test_planted_distribution_membership.py
@@ -10,7 +10,7 @@
 
 
 class MembershipTest(unittest.TestCase):
-    """Edges live by their leases; nothing is told of them before all have had the time to renew."""
+    """Edges live by their leases; nothing is reported of them before all have had the time to renew."""
 
     def setUp(self) -> None:
         self.members = Membership(NOW)
@@ -20,14 +20,14 @@
     ) -> bool:
         return self.members.renew(now, edge(name, zone), incarnation, is_leaving=is_leaving)
 
-    def test_settled_after_a_while(self) -> None:
+    def test_complete_after_the_grace_time(self) -> None:
         self.renew("a")
         self.assertEqual((self.members.is_complete(NOW + 0.99), self.members.total(NOW + 0.99)), (False, 0))
         self.assertEqual((self.members.is_complete(NOW + 1.0), self.members.total(NOW + 1.0)), (True, 1))
         self.assertGreater(membership.MEMBERSHIP_GRACE_S, 2 * membership.RENEW_INTERVAL_S)
         self.assertGreater(membership.MEMBERSHIP_LEASE_S, 3 * membership.RENEW_INTERVAL_S)
 
-    def test_new_or_started_anew(self) -> None:
+    def test_new_or_restarted(self) -> None:
         self.assertEqual([self.renew("a"), self.renew("a"), self.renew("a", incarnation=2)], [True, False, True])
 
     def test_leases_end(self) -> None:
@@ -55,7 +55,7 @@
         self.renew("a", "y")
         self.assertEqual((self.members.revision("z"), self.members.revision("y")), (4, 1))
 
-    def test_who_leaves_is_counted_and_no_home(self) -> None:
+    def test_a_leaving_edge_is_counted_and_is_no_home(self) -> None:
         self.renew("a")
         self.renew("b", is_leaving=True)
         self.renew("c", "y")
--- a/tests/fleet/test_planted_distribution_publisher.py
+++ b/tests/fleet/test_planted_distribution_publisher.py
@@ -16,7 +16,7 @@
 
 
 class PublisherTest(unittest.TestCase):
-    """Lists are told under the lease only, and only those that were read in its term."""
+    """Lists are sent under the lease only, and only those that were read in its term."""
 
     def setUp(self) -> None:
         self.quotas: list[Any] = []
@@ -71,7 +71,7 @@
         self.publisher.configuration_committed(NOW, 6, 6, b"body")
         self.assertEqual(self.answer(self.renew()).config_sequence, 6)
 
-    def test_the_core_is_told_until_it_is_known(self) -> None:
+    def test_core_machines_are_sent_until_the_digest_matches(self) -> None:
         self.publisher.set_core_machines([CoreAddress("x", "x:1", "x:2")])
         answer = self.answer(self.renew())
         self.assertEqual([(each.id, each.address, each.control) for each in answer.core], [("x", "x:1", "x:2")])
@@ -80,17 +80,17 @@
         self.publisher.set_core_machines([CoreAddress("x", "x:1", "x:3")])
         self.assertEqual(len(self.answer(self.renew(core_digest=answer.core_digest)).core), 1)
 
-    def test_those_that_asked_lately_are_told_of_the_new_leader(self) -> None:
+    def test_searching_edges_are_notified_of_the_new_leader(self) -> None:
         self.renew(connection="old", now=NOW - publisher.SEARCHING_EDGE_S)
         self.renew(connection="c1", now=NOW - 0.5)
         self.renew(connection="gone", now=NOW - 0.5)
         self.publisher.connection_closed(NOW, "gone")
-        told = sent(self.lead(), "renewed")
-        self.assertEqual([(to, each.is_leader, each.members_term) for to, each in told], [("c1", True, 3)])
+        observed = sent(self.lead(), "renewed")
+        self.assertEqual([(to, each.is_leader, each.members_term) for to, each in observed], [("c1", True, 3)])
         self.assertEqual(self.lead(), [], "the same term again")
-        self.assertEqual(sent(self.lead(term=4), "renewed"), [], "told once")
+        self.assertEqual(sent(self.lead(term=4), "renewed"), [], "announced once")
 
-    def test_the_same_term_told_again_changes_nothing(self) -> None:
+    def test_gaining_the_same_term_twice_changes_nothing(self) -> None:
         self.lead()
         self.renew()
         self.lead(NOW + 0.5)
@@ -102,32 +102,32 @@
         self.lead(term=4)
         self.assertEqual(self.publisher.endpoint_list_read(NOW + 1.0, [server(1)]), [])
 
-    def test_a_new_term_begins_anew(self) -> None:
+    def test_a_new_term_resets_the_membership(self) -> None:
         self.lead()
         self.renew()
         self.assertEqual(self.publisher.edges_total(NOW + 1.0), 1)
         self.lead(NOW + 1.0, 4)
         self.assertEqual((self.publisher.term, self.publisher.edges_total(NOW + 2.0)), (4, 0))
 
-    def test_the_end_of_the_lease_is_told(self) -> None:
+    def test_the_loss_of_leadership_is_announced(self) -> None:
         self.publisher.set_leader_address(OTHER)
         self.assertEqual(self.publisher.leadership_lost(NOW), [])
         self.assertEqual(self.answer(self.renew()).leader, OTHER, "it was no leader")
         self.lead()
         self.renew()
         self.publisher.set_leader_address(OTHER)
-        ((to, told),) = sent(self.publisher.leadership_lost(NOW), "renewed")
-        self.assertEqual((to, told.is_leader, told.leader), ("c1", False, ""))
+        ((to, observed),) = sent(self.publisher.leadership_lost(NOW), "renewed")
+        self.assertEqual((to, observed.is_leader, observed.leader), ("c1", False, ""))
         self.assertEqual((self.publisher.state, self.publisher.edges_total(NOW + 2.0)), (PublisherState.FOLLOWER, 0))
         self.assertEqual(self.answer(self.renew()).leader, "", "who leads now is not known")
 
     def test_quotas_of_the_leader_only(self) -> None:
         self.publisher.set_leader_address(OTHER)
-        ((_, told),) = sent(self.receive("quota_request", pb.QuotaRequest(request=5)), "renewed")
-        self.assertEqual((told.leader, self.quotas), (OTHER, []))
+        ((_, observed),) = sent(self.receive("quota_request", pb.QuotaRequest(request=5)), "renewed")
+        self.assertEqual((observed.leader, self.quotas), (OTHER, []))
         self.publisher.set_core_machines([CoreAddress("x", "x:1", "x:2")])
-        ((_, told),) = sent(self.receive("quota_request", pb.QuotaRequest(request=5)), "renewed")
-        self.assertNotEqual(told.core_digest, 0)
+        ((_, observed),) = sent(self.receive("quota_request", pb.QuotaRequest(request=5)), "renewed")
+        self.assertNotEqual(observed.core_digest, 0)
         self.lead()
         ((_, issue),) = sent(self.receive("quota_request", pb.QuotaRequest(request=5)), "quota_issue")
         self.assertEqual((issue.request, len(self.quotas)), (5, 1))
@@ -139,12 +139,14 @@
         for name in "ab":
             self.renew(name, f"c-{name}")
         self.renew("c", "c-c", zone="y")
-        told = sent(self.publisher.configuration_committed(NOW, 1, 4, b"body"), "config")
-        self.assertEqual(sorted(to for to, _ in told), ["c-a", "c-b", "c-c"], "to all before it is settled")
-        told = sent(self.publisher.configuration_committed(NOW + 1.0, 2, 5, b"body"), "config")
+        observed = sent(self.publisher.configuration_committed(NOW, 1, 4, b"body"), "config")
+        self.assertEqual(
+            sorted(to for to, _ in observed), ["c-a", "c-b", "c-c"], "to all before the membership is complete"
+        )
+        observed = sent(self.publisher.configuration_committed(NOW + 1.0, 2, 5, b"body"), "config")
         expected = {f"c-{home_edge(CONFIG_TOPIC, 'ab')}", "c-c"}
-        self.assertEqual({to for to, _ in told}, expected)
-        self.assertEqual((told[0][1].sequence, told[0][1].version), (2, 5))
+        self.assertEqual({to for to, _ in observed}, expected)
+        self.assertEqual((observed[0][1].sequence, observed[0][1].version), (2, 5))
         self.assertEqual(self.publisher.configuration_committed(NOW + 1.0, 2, 5, b"body"), [])
         self.assertEqual(self.publisher.configuration_committed(NOW + 1.0, 1, 4, b"body"), [])
 
@@ -192,18 +194,18 @@
         self.renew(lists=[list_position("svc", Position(3, 1))])
         self.assertEqual(self.publisher._store.position(TOPIC), (3, 1))
 
-    def test_lists_are_not_told_without_the_lease(self) -> None:
+    def test_lists_are_not_sent_without_the_lease(self) -> None:
         self.lead()
         self.publisher.endpoint_list_read(NOW, [server(1)])
         self.assertEqual(self.receive("fetch", pb.Fetch(topic="list/none")), [])
         self.publisher.leadership_lost(NOW)
         self.assertEqual(self.receive("fetch", pb.Fetch(topic=TOPIC)), [])
 
-    def test_a_follower_takes_no_subscriptions(self) -> None:
+    def test_a_follower_accepts_no_subscriptions(self) -> None:
         self.publisher.configuration_committed(NOW, 1, 4, b"body")
         self.assertEqual(self.receive("subscribe", pb.Subscribe(topic=CONFIG_TOPIC, edge=pb.Edge(name="a"))), [])
 
-    def test_lists_of_an_earlier_term_are_not_told(self) -> None:
+    def test_lists_of_an_earlier_term_are_not_sent(self) -> None:
         self.lead()
         self.publisher.endpoint_list_read(NOW, [server(1)])
         self.assertEqual(len(self.answer(self.renew()).lists), 1)
@@ -216,11 +218,11 @@
 
     def test_the_configuration_is_fetched_from_anybody(self) -> None:
         self.publisher.configuration_committed(NOW, 1, 4, b"body")
-        ((_, told),) = sent(self.receive("fetch", pb.Fetch(topic=CONFIG_TOPIC)), "config")
-        self.assertEqual(told.sequence, 1)
+        ((_, observed),) = sent(self.receive("fetch", pb.Fetch(topic=CONFIG_TOPIC)), "config")
+        self.assertEqual(observed.sequence, 1)
         self.assertEqual(self.receive("fetch", pb.Fetch(topic="list/none")), [])
 
-    def test_a_fetch_is_not_answered_twice_while_the_answer_is_on_its_way(self) -> None:
+    def test_a_fetch_is_not_answered_twice_while_the_snapshot_is_in_flight(self) -> None:
         self.publisher.configuration_committed(NOW, 1, 4, b"body")
 
         def fetched(now: float, connection: str = "c1") -> int:
@@ -241,16 +243,16 @@
         self.lead()
         self.publisher.endpoint_list_read(NOW, [server(1)])
         subscribe = pb.Subscribe(topic=TOPIC, edge=pb.Edge(name="a"))
-        ((to, told),) = sent(self.receive("subscribe", subscribe), "list")
-        self.assertEqual((to, told.position.revision), ("c1", 1))
+        ((to, observed),) = sent(self.receive("subscribe", subscribe), "list")
+        self.assertEqual((to, observed.position.revision), ("c1", 1))
         for name in "bcd":
             self.renew(name, f"c-{name}")
-        told = sent(self.publisher.endpoint_list_read(NOW + 1.0, [server(2)]), "list")
-        self.assertIn("c1", [to for to, _ in told])
+        observed = sent(self.publisher.endpoint_list_read(NOW + 1.0, [server(2)]), "list")
+        self.assertIn("c1", [to for to, _ in observed])
         subscribe.list.CopyFrom(list_position("svc", Position(3, 2)))
         self.assertEqual(self.receive("subscribe", subscribe), [], "it holds what there is")
 
-    def test_a_subscription_tells_nothing_of_an_earlier_term(self) -> None:
+    def test_a_subscription_gets_nothing_of_an_earlier_term(self) -> None:
         self.lead()
         self.publisher.endpoint_list_read(NOW, [server(1)])
         self.lead(term=4)
--- a/tests/fleet/test_planted_distribution_store.py
+++ b/tests/fleet/test_planted_distribution_store.py
@@ -64,7 +64,7 @@
             self.assertIs(self.take(position, server(position[1])), taken, position)
         self.assertEqual((self.held(), self.store.position(TOPIC)), (["i-1"], (4, 1)))
 
-    def test_changes_to_what_is_held(self) -> None:
+    def test_a_delta_against_the_position_held(self) -> None:
         self.take((3, 1), server(1), server(2), server(3))
         self.assertIs(self.take((3, 2), server(2, slots=9), server(4), base=1, removed=["i-1"]), UpdateResult.APPLIED)
         found = self.store.service_list("svc")
@@ -72,18 +72,18 @@
         self.assertEqual(sorted(found.servers), ["i-2", "i-3", "i-4"])
         self.assertEqual(found.servers["i-2"].slots, 9)
 
-    def test_old_changes_are_no_gap(self) -> None:
+    def test_a_stale_delta_is_no_gap(self) -> None:
         self.take((3, 3), server(1))
         self.assertIs(self.take((3, 2), server(2), base=1), UpdateResult.STALE)
 
-    def test_changes_to_something_else_are_a_gap(self) -> None:
+    def test_a_delta_against_another_base_is_a_gap(self) -> None:
         self.assertIs(self.take((3, 2), server(1), base=1), UpdateResult.GAP)
         self.take((3, 1), server(1))
         self.assertIs(self.take((3, 3), server(2), base=2), UpdateResult.GAP)
         self.assertIs(self.take((4, 2), server(2), base=1), UpdateResult.GAP)
         self.assertEqual(self.held(), ["i-1"])
 
-    def test_a_list_without_a_service(self) -> None:
+    def test_a_list_without_a_service_is_invalid(self) -> None:
         self.assertIs(self.store.apply_list(pb.ListUpdate(whole=True), NOW), UpdateResult.INVALID)
 
     def test_values(self) -> None:
--- a/tests/fleet/test_planted_distribution_subscriber.py
+++ b/tests/fleet/test_planted_distribution_subscriber.py
@@ -48,7 +48,7 @@
         )
         return self.receive("config", update, now, connection)
 
-    def test_what_a_renewal_tells(self) -> None:
+    def test_fields_of_a_renewal(self) -> None:
         self.renewed(
             core=[pb.CoreMachine(address="x:1")],
             core_digest=9,
@@ -112,13 +112,13 @@
         self.assertEqual(self.receive("list", listed(position=(2, 9)).update_message(NO_POSITION, NOW).list), [])
         self.assertEqual(self.edge.positions(), {TOPIC: (3, 2)})
 
-    def test_a_gap_is_fetched_whole(self) -> None:
+    def test_a_gap_is_repaired_by_fetching_a_snapshot(self) -> None:
         update = listed(server(1), position=(3, 2)).update_message(NO_POSITION, NOW).list
         update.whole, update.base_revision = False, 1
         ((to, fetch),) = sent(self.receive("list", update), "fetch")
         self.assertEqual((to, fetch.topic), (DialedLink(LEADER), TOPIC))
 
-    def test_news_are_passed_on_to_those_that_follow_this_edge(self) -> None:
+    def test_updates_are_relayed_to_subscribers(self) -> None:
         self.receive("list", listed(server(1)).update_message(NO_POSITION, NOW).list)
         subscribe = pb.Subscribe(topic=TOPIC, edge=pb.Edge(name="b"))
         actions = self.receive("subscribe", subscribe, connection="b")
@@ -142,11 +142,11 @@
 
     def test_fetched_here(self) -> None:
         self.config(2)
-        ((to, told),) = sent(self.receive("fetch", pb.Fetch(topic=CONFIG_TOPIC), connection="b"), "config")
-        self.assertEqual((to, told.sequence), ("b", 2))
+        ((to, observed),) = sent(self.receive("fetch", pb.Fetch(topic=CONFIG_TOPIC), connection="b"), "config")
+        self.assertEqual((to, observed.sequence), ("b", 2))
         self.assertEqual(self.receive("fetch", pb.Fetch(topic=TOPIC), connection="b"), [])
 
-    def test_what_it_lacks_is_fetched(self) -> None:
+    def test_a_newer_reported_position_is_fetched(self) -> None:
         fetches = sent(self.renewed(config_sequence=5), "fetch")
         self.assertEqual([(to, each.topic) for to, each in fetches], [(DialedLink(LEADER), CONFIG_TOPIC)])
         self.config(4)
@@ -155,8 +155,8 @@
         self.assertEqual(sent(self.tick(NOW + 9.0), "fetch"), [])
 
     def test_the_configuration_is_fetched_from_the_core_machines_in_turn(self) -> None:
-        told = sent(self.renewed(address=OTHER, is_leader=False, config_sequence=5), "fetch")
-        asked = [to for to, _ in told]
+        observed = sent(self.renewed(address=OTHER, is_leader=False, config_sequence=5), "fetch")
+        asked = [to for to, _ in observed]
         for step in range(1, 60):
             asked += [to for to, _ in sent(self.tick(NOW + step / 10), "fetch")]
         self.assertEqual(asked[:5], [DialedLink(each) for each in (OTHER, OTHER, LEADER, LEADER, OTHER)])
@@ -170,8 +170,8 @@
         self.assertEqual(len(sent(self.tick(NOW + 0.56), "fetch")), 1)
 
     def test_lists_are_fetched_from_the_leader_only(self) -> None:
-        told = self.renewed(lists=[list_position("svc", Position(3, 1))])
-        self.assertEqual([to for to, _ in sent(told, "fetch")], [DialedLink(LEADER)])
+        observed = self.renewed(lists=[list_position("svc", Position(3, 1))])
+        self.assertEqual([to for to, _ in sent(observed, "fetch")], [DialedLink(LEADER)])
         self.edge.connection_closed(NOW, DialedLink(LEADER))
         self.assertEqual(sent(self.tick(NOW + 0.6), "fetch"), [])
 
@@ -185,13 +185,13 @@
         self.assertIn(f"{other}:7501", self.edge.addresses())
         self.config(3, DialedLink(f"{other}:7501"))
         self.assertIs(self.edge.subscription_state(CONFIG_TOPIC), SubscriptionState.SUBSCRIBED)
-        told = sent(self.edge.connection_closed(NOW, DialedLink(f"{other}:7501")), "subscribe")
-        self.assertEqual([(to, each.config_sequence) for to, each in told], [(DialedLink(LEADER), 3)])
+        observed = sent(self.edge.connection_closed(NOW, DialedLink(f"{other}:7501")), "subscribe")
+        self.assertEqual([(to, each.config_sequence) for to, each in observed], [(DialedLink(LEADER), 3)])
         self.tick(NOW + 0.4)
         again = sent(self.renewed(NOW + 0.4, members_term=4), "subscribe")
         self.assertEqual([to for to, _ in again], [DialedLink(LEADER)], "another leader knows nothing of it")
 
-    def test_the_leader_is_asked_once_in_its_term_where_a_home_fails(self) -> None:
+    def test_one_subscription_at_the_leader_per_term_where_a_home_fails(self) -> None:
         other = next(name for name in "abcdefgh" if home_edge(CONFIG_TOPIC, [name, "me"]) == name)
         edges = [pb.Edge(name=name, zone="z", address=f"{name}:7501") for name in (other, "me")]
         self.renewed(zone_edges=edges, members_revision=2)
@@ -199,15 +199,15 @@
         self.tick(NOW + 0.4)
         self.assertEqual(sent(self.renewed(NOW + 0.4), "subscribe"), [])
 
-    def test_a_subscription_to_a_list_tells_what_is_held(self) -> None:
+    def test_a_subscription_to_a_list_reports_the_position_held(self) -> None:
         other = next(name for name in "abcdefgh" if home_edge(TOPIC, [name, "me"]) == name)
         edges = [pb.Edge(name=name, zone="z", address=f"{name}:7501") for name in (other, "me")]
         self.receive("list", listed(server(1)).update_message(NO_POSITION, NOW).list)
-        told = sent(self.renewed(zone_edges=edges, members_revision=2), "subscribe")
-        (asked,) = [each for _, each in told if each.topic == TOPIC]
+        observed = sent(self.renewed(zone_edges=edges, members_revision=2), "subscribe")
+        (asked,) = [each for _, each in observed if each.topic == TOPIC]
         self.assertEqual((asked.list.service, asked.list.term, asked.list.revision), ("svc", 3, 1))
 
-    def test_nothing_is_held_and_a_home_has_been_asked(self) -> None:
+    def test_no_fetch_while_a_subscription_at_the_home_is_in_flight(self) -> None:
         other = next(name for name in "abcdefgh" if home_edge(CONFIG_TOPIC, [name, "me"]) == name)
         edges = [pb.Edge(name=name, zone="z", address=f"{name}:7501") for name in (other, "me")]
         self.assertEqual(sent(self.renewed(zone_edges=edges, members_revision=2, config_sequence=4), "fetch"), [])
@@ -232,7 +232,7 @@
         self.tick(NOW + 2.0)
         self.assertAlmostEqual(self.edge.leaderless_since() or 0.0, NOW + 1.65)
 
-    def test_a_leader_that_tells_unasked_is_asked_at_once(self) -> None:
+    def test_a_leader_that_announces_itself_is_probed_at_once(self) -> None:
         actions = self.receive("renewed", pb.Renewed(is_leader=True, members_term=3), NOW + 0.05, DialedLink(THIRD))
         self.assertFalse(self.edge.is_attached)
         self.assertEqual(sent(actions, "renew")[0][0], DialedLink(THIRD))
@@ -242,13 +242,13 @@
         self.renewed()
         self.assertTrue(self.edge.is_attached)
 
-    def test_who_tells_unasked_that_it_does_not_lead_is_not_asked(self) -> None:
+    def test_an_unasked_answer_of_a_follower_is_not_followed_by_a_probe(self) -> None:
         for request, leads in ((0, False), (99, True)):
             self.setUp()
             body = pb.Renewed(request=request, is_leader=leads, members_term=3)
             self.assertEqual(sent(self.receive("renewed", body, NOW + 0.05, DialedLink(THIRD)), "renew"), [])
 
-    def test_the_core_is_told_by_the_leader_once_it_is_known(self) -> None:
+    def test_core_machines_come_from_the_leader_once_it_is_known(self) -> None:
         self.renewed(core=[pb.CoreMachine(address="x:1")], core_digest=9)
         self.renewed(address=OTHER, is_leader=False, core=[pb.CoreMachine(address="y:1")])
         self.tick(NOW + 0.4)
@@ -256,35 +256,37 @@
         self.assertIn("x:1", self.edge.addresses())
         self.assertNotIn("y:1", self.edge.addresses())
 
-    def test_every_other_fetch_of_the_configuration_goes_to_who_told_of_it(self) -> None:
+    def test_every_other_fetch_of_the_configuration_goes_to_the_reporting_machine(self) -> None:
         self.renewed()
-        told = self.renewed(address=OTHER, is_leader=False, config_sequence=5)
-        self.assertEqual([to for to, _ in sent(told, "fetch")], [DialedLink(LEADER)])
+        observed = self.renewed(address=OTHER, is_leader=False, config_sequence=5)
+        self.assertEqual([to for to, _ in sent(observed, "fetch")], [DialedLink(LEADER)])
         self.assertEqual([to for to, _ in sent(self.tick(NOW + 0.5), "fetch")], [DialedLink(OTHER)])
 
     def test_a_machine_that_is_not_the_leader(self) -> None:
-        told = self.renewed(NOW + 0.01, OTHER, is_leader=False, leader=THIRD, core=[pb.CoreMachine(address="x:1")])
-        self.assertEqual(sent(told, "renew")[0][0], DialedLink(THIRD))
+        observed = self.renewed(
+            NOW + 0.01, OTHER, is_leader=False, leader=THIRD, core=[pb.CoreMachine(address="x:1")]
+        )
+        self.assertEqual(sent(observed, "renew")[0][0], DialedLink(THIRD))
         self.assertIn("x:1", self.edge.addresses())
 
-    def test_an_edge_does_not_ask_itself_who_leads(self) -> None:
+    def test_an_edge_does_not_probe_itself(self) -> None:
         zone = [pb.Edge(name=name, zone="z", address=f"{name}:7501") for name in ("b", "me", "c")]
         self.renewed(zone_edges=zone, members_revision=1)
         self.edge.connection_closed(NOW + 0.1, DialedLink(LEADER))
         asked = [to.address for step in range(40) for to, _ in sent(self.tick(NOW + 0.1 + step / 10), "renew")]
         self.assertEqual(set(asked), {LEADER, OTHER, THIRD, "b:7501", "c:7501"})
 
-    def test_another_edge_is_told_who_leads_while_the_leader_answers_here(self) -> None:
+    def test_a_searching_peer_gets_the_leader_while_attached(self) -> None:
         """Nothing else: an edge knows of no freshness, and an old leader's name would lead astray."""
 
-        def told(now: float) -> list[Any]:
+        def answers(now: float) -> list[Any]:
             return sent(self.receive("renew", pb.Renew(request=9), now, "peer"), "renewed")
 
-        self.assertEqual(told(NOW), [])
+        self.assertEqual(answers(NOW), [])
         self.renewed(config_age_ms=0)
-        self.assertEqual(told(NOW + 0.1), [("peer", pb.Renewed(request=9, leader=LEADER))])
+        self.assertEqual(answers(NOW + 0.1), [("peer", pb.Renewed(request=9, leader=LEADER))])
         self.edge.connection_closed(NOW + 0.2, DialedLink(LEADER))
-        self.assertEqual(told(NOW + 0.2), [], "the last leader is remembered, and does not answer")
+        self.assertEqual(answers(NOW + 0.2), [], "the last leader is remembered, and does not answer")
 
     def test_when_it_is_to_be_called(self) -> None:
         self.assertAlmostEqual(self.edge.next_wake(), NOW + 0.1)
--- a/tests/fleet/test_planted_distribution_values.py
+++ b/tests/fleet/test_planted_distribution_values.py
@@ -44,7 +44,7 @@
         self.assertEqual(decode_servers(update, NOW + 1.0)[0].cold_until, NOW + 3.5, "by the clock of the receiver")
         self.assertEqual(value.update_message(NO_POSITION, NOW + 9.0).list.servers[0].cold_remaining_ms, 0)
 
-    def test_changes_against_the_base_only(self) -> None:
+    def test_a_delta_against_the_base_only(self) -> None:
         old = listed(server(1), server(2))
         value = listed(server(2), server(3), position=(3, 2), old=old)
         self.assertEqual((value.base, value.changed, value.removed), ((3, 1), (server(3),), ("i-1",)))
