--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -55,7 +55,7 @@
 
     def write(self: Acceptor, record: pb.Record) -> None:
         right_write(self, record)
-        self._number = self._context.record_writer.synced_number
+        self._record_number = self._context.record_writer.synced_number
 
     def on_prepare(self: Acceptor, *arguments: Any) -> None:
         with mock.patch.object(Acceptor, "_write", write):
