--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -42,7 +42,7 @@
 
 
 def fails(name: str) -> bool:
-    """Whether the test of this name fails; it must exist. What it leaves behind is told to nobody."""
+    """Whether the test of this name fails; it must exist. What it logs or leaves behind is suppressed."""
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     logging.disable()
     with contextlib.redirect_stderr(io.StringIO()):
@@ -54,7 +54,7 @@
     return bool(result.failures)
 
 
-def lease_is_not_asked_before_an_answer() -> AbstractContextManager[Any]:
+def lease_is_not_checked_before_an_answer() -> AbstractContextManager[Any]:
     original = CoreMachine._refresh_publisher
 
     def inform(self: CoreMachine, now: float, replica: Any) -> None:
@@ -82,11 +82,11 @@
     return mock.patch.object(EndpointListReader, "__init__", initialise)
 
 
-def lists_of_earlier_terms_are_told() -> AbstractContextManager[Any]:
+def lists_of_earlier_terms_are_sent() -> AbstractContextManager[Any]:
     return mock.patch.object(EndpointLists, "sendable", lambda self, topic, is_leader: self._store.get(topic))
 
 
-def a_follower_gives_tokens() -> AbstractContextManager[Any]:
+def a_follower_grants_tokens() -> AbstractContextManager[Any]:
     def answer(self: Any, now: float, connection: Any, request: Any) -> list[Any]:
         issue = self._on_quota(now, request)
         return [publisher.SendMessage(connection, publisher.pb.Distribution(quota_issue=issue))] if issue else []
@@ -114,7 +114,7 @@
     return mock.patch.object(LeaderSearch, "accept_leader", accept_leader)
 
 
-def news_of_older_leaders_are_asked() -> AbstractContextManager[Any]:
+def announcements_of_older_terms_are_probed() -> AbstractContextManager[Any]:
     def on_leadership_announced(self: LeaderSearch, now: float, address: str, term: int) -> None:
         self._candidate, self._next_at = address, now
 
@@ -132,14 +132,14 @@
     return mock.patch.object(confirmation.Confirmation, "on_answer", on_answer)
 
 
-def confirmed_whatever_is_held() -> AbstractContextManager[Any]:
+def confirmed_whatever_is_applied() -> AbstractContextManager[Any]:
     def on_answer(self: Any, sent_at: float, sequence: int, age_s: float) -> None:
         self.confirmed_at = max(self.confirmed_at, sent_at - age_s)
 
     return mock.patch.object(confirmation.Confirmation, "on_answer", on_answer)
 
 
-def a_core_machine_tells_no_age() -> AbstractContextManager[Any]:
+def a_core_machine_reports_no_age() -> AbstractContextManager[Any]:
     original = Publisher._answer
 
     def answer(self: Any, now: float, renew: Any) -> Any:
@@ -150,7 +150,7 @@
     return mock.patch.object(Publisher, "_answer", answer)
 
 
-def older_configurations_are_taken() -> AbstractContextManager[Any]:
+def older_configurations_are_applied() -> AbstractContextManager[Any]:
     def take(self: Any, update: Any) -> UpdateResult:
         configuration = store.decode_configuration(update)
         assert configuration is not None
@@ -160,7 +160,7 @@
     return mock.patch.object(TopicStore, "apply_configuration", take)
 
 
-def older_lists_are_taken() -> AbstractContextManager[Any]:
+def older_lists_are_applied() -> AbstractContextManager[Any]:
     original = TopicStore.apply_list
 
     def take(self: Any, update: Any, now: float) -> UpdateResult:
@@ -174,7 +174,7 @@
     return mock.patch.object(DataPlane, "_is_lease_valid", lambda self: True)
 
 
-def tokens_live_from_when_they_came() -> AbstractContextManager[Any]:
+def token_lifetimes_count_from_the_arrival() -> AbstractContextManager[Any]:
     original = TenantTokens.on_issue
 
     def on_issue(self: Any, now: float, sent_at: float, issue: Any) -> Any:
@@ -192,7 +192,7 @@
     return mock.patch.object(TokenCache, "on_leases_granted", granted)
 
 
-def reports_of_any_term_are_taken() -> AbstractContextManager[Any]:
+def reports_of_any_term_are_accepted() -> AbstractContextManager[Any]:
     original = QuotaService._renew
 
     def renew(self: Any, now: float, request: Any, issue: Any) -> None:
@@ -202,7 +202,7 @@
     return mock.patch.object(QuotaService, "_renew", renew)
 
 
-def overtaken_reports_are_taken() -> AbstractContextManager[Any]:
+def overtaken_reports_are_accepted() -> AbstractContextManager[Any]:
     original = quota_allocator.QuotaAllocator.renew
 
     def renew(self: Any, now: float, owner: Any, number: int, reports: Any) -> Any:
@@ -221,7 +221,7 @@
     return mock.patch.object(rate_leases.RateLeases, "renew", renew)
 
 
-def a_new_leader_takes_it_that_nothing_is_leased() -> AbstractContextManager[Any]:
+def a_new_leader_assumes_that_nothing_is_leased() -> AbstractContextManager[Any]:
     original = quota_allocator.QuotaAllocator.leadership_gained
 
     def gained(self: Any, now: float, late_rate_from: float, leases_known_at: float) -> None:
@@ -254,31 +254,31 @@
     return mock.patch.object(rate_lease.RateLease, "advance", advance)
 
 
-def core_machines_at_new_addresses_are_not_learnt() -> AbstractContextManager[Any]:
+def core_machines_at_new_addresses_are_ignored() -> AbstractContextManager[Any]:
     return mock.patch.object(LeaderSearch, "set_core", lambda self, addresses: None)
 
 
-def what_is_behind_is_not_fetched() -> AbstractContextManager[Any]:
+def topics_that_are_behind_are_not_fetched() -> AbstractContextManager[Any]:
     return mock.patch.object(CatchUp, "on_newer_position", lambda self, *reported: None)
 
 
-def edges_of_the_zone_are_not_asked() -> AbstractContextManager[Any]:
+def peers_are_not_probed() -> AbstractContextManager[Any]:
     return mock.patch.object(LeaderSearch, "set_peers", lambda self, addresses: None)
 
 
 GUARDS: tuple[tuple[Plant, str], ...] = (
-    (lease_is_not_asked_before_an_answer, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
+    (lease_is_not_checked_before_an_answer, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
     (reading_of_another_term_counts, f"{READER}.test_a_reading_that_started_in_an_earlier_term_is_dropped"),
     (reading_counts_without_the_lease, f"{READER}.test_a_reading_is_delivered_only_if_the_lease_is_still_held"),
     (
-        lists_of_earlier_terms_are_told,
+        lists_of_earlier_terms_are_sent,
         f"{MESSAGE_ORDER}.EarlierTermTest.test_a_list_of_an_earlier_term_is_given_to_no_subscriber",
     ),
     (
-        lists_of_earlier_terms_are_told,
+        lists_of_earlier_terms_are_sent,
         f"{MESSAGE_ORDER}.EarlierTermTest.test_a_list_of_an_earlier_term_is_neither_fetched_nor_reported",
     ),
-    (a_follower_gives_tokens, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
+    (a_follower_grants_tokens, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
     (
         members_of_an_earlier_term_are_kept,
         f"{MESSAGE_ORDER}.EarlierTermTest.test_the_members_of_an_earlier_term_are_forgotten",
@@ -288,7 +288,7 @@
         f"{MESSAGE_ORDER}.LeaderTermTest.test_a_leader_of_an_older_term_is_not_followed",
     ),
     (
-        news_of_older_leaders_are_asked,
+        announcements_of_older_terms_are_probed,
         f"{MESSAGE_ORDER}.LeaseChangeTest.test_an_announcement_of_an_older_term_is_not_probed",
     ),
     (
@@ -300,27 +300,27 @@
         f"{MESSAGE_ORDER}.ConfirmationTest.test_an_answer_confirms_as_of_its_renewal_less_its_age",
     ),
     (
-        confirmed_whatever_is_held,
+        confirmed_whatever_is_applied,
         f"{MESSAGE_ORDER}.ConfirmationTest.test_nothing_is_confirmed_while_a_newer_one_is_missing",
     ),
-    (a_core_machine_tells_no_age, f"{CORE}.test_a_leader_answers_as_one"),
-    (a_core_machine_tells_no_age, f"{DAYS}.CutOffLeaderTest.test_edges_are_cut_off_with_it"),
-    (older_configurations_are_taken, f"{DAYS}.ManyChangesTest.test_hundreds_of_changes_between_losses"),
-    (older_lists_are_taken, f"{MESSAGE_ORDER}.ListOrderTest.test_an_older_snapshot_changes_nothing"),
+    (a_core_machine_reports_no_age, f"{CORE}.test_a_leader_answers_as_one"),
+    (a_core_machine_reports_no_age, f"{DAYS}.CutOffLeaderTest.test_edges_are_cut_off_with_it"),
+    (older_configurations_are_applied, f"{DAYS}.ManyChangesTest.test_hundreds_of_changes_between_losses"),
+    (older_lists_are_applied, f"{MESSAGE_ORDER}.ListOrderTest.test_an_older_snapshot_changes_nothing"),
     (the_edge_forgets_its_lease, f"{TERMS}.Keys.test_a_request_that_waited_is_not_sent_once_the_lease_has_ended"),
     (
-        tokens_live_from_when_they_came,
+        token_lifetimes_count_from_the_arrival,
         "tests.fleet.test_distribution_token_cache.TokenCacheTest.test_tokens_expire_a_lifetime_after_the_request",
     ),
     (any_answer_grants, f"{LEASES}.ReportTest.test_only_the_answer_to_the_newest_report_counts"),
     (
-        reports_of_any_term_are_taken,
+        reports_of_any_term_are_accepted,
         f"{LEASES}.ReportTest.test_a_report_of_another_term_is_answered_with_the_term_only",
     ),
-    (overtaken_reports_are_taken, f"{LEASES}.NewLeaderTest.test_an_overtaken_report_is_ignored"),
+    (overtaken_reports_are_accepted, f"{LEASES}.NewLeaderTest.test_an_overtaken_report_is_ignored"),
     (a_restarted_edge_is_the_same_owner, f"{LEASES}.RateLeasesTest.test_a_restarted_edge_is_another_owner"),
     (
-        a_new_leader_takes_it_that_nothing_is_leased,
+        a_new_leader_assumes_that_nothing_is_leased,
         f"{LEASES}.NewLeaderTest.test_until_leases_are_known_only_the_part_that_is_never_leased",
     ),
     (
@@ -329,14 +329,14 @@
     ),
     (a_rate_lease_never_ends, f"{LEASES}.RateLeaseTest.test_the_end_empties_the_bucket"),
     (
-        core_machines_at_new_addresses_are_not_learnt,
+        core_machines_at_new_addresses_are_ignored,
         f"{DAYS}.ReplacedTest.test_every_core_machine_is_replaced_and_edges_follow",
     ),
     (
-        edges_of_the_zone_are_not_asked,
+        peers_are_not_probed,
         f"{DAYS}.ReplacedTest.test_an_edge_that_was_away_while_all_were_replaced_asks_its_zone",
     ),
-    (what_is_behind_is_not_fetched, "tests.fleet.test_distribution_clusters.HomeTest.test_a_home_dies"),
+    (topics_that_are_behind_are_not_fetched, "tests.fleet.test_distribution_clusters.HomeTest.test_a_home_dies"),
 )
 
 
