--- a/tests/fleet/routing_fleet.py
+++ b/tests/fleet/routing_fleet.py
@@ -160,9 +160,9 @@
 
     def _start(self, job: Job) -> None:
         self.jobs.append(job)
-        self.clock.after(0.045 * self.draw.lognormvariate(-0.125, 0.5) / self.speed, self._end, job)
+        self.clock.after(0.045 * self.draw.lognormvariate(-0.125, 0.5) / self.speed, self._finish, job)
 
-    def _finish_attempt(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
         if job not in self.jobs:
             return
         self.jobs.remove(job)
