--- a/rosechute/coordination/chain.py
+++ b/rosechute/coordination/chain.py
@@ -204,7 +204,7 @@
         """
         context = self._context
         view = context.replica_state.view
-        if context.now - context.failure_detector.started_at < context.timing.order_deadline:
+        if context.now - context.failure_detector.started_at < context.timing.request_deadline_s:
             return False
         reachable = sum(context.failure_detector.is_reachable(context.now, each.id) for each in view.acceptors)
         return reachable < view.majority
@@ -220,10 +220,10 @@
             return None
         detector = context.failure_detector
         silence_s = detector.silence_s(context.now, target.id)
-        if silence_s > context.timing.lease:
+        if silence_s > context.timing.lease_s:
             is_running = detector.is_reachable_from_another(context.now, target.id)
         else:
-            is_recent = silence_s <= SILENT_HEARTBEATS * context.timing.heartbeat
+            is_recent = silence_s <= SILENT_HEARTBEATS * context.timing.heartbeat_period_s
             is_running = is_recent and detector.is_reachable(context.now, target.id)
         if not is_running:
             return None
@@ -265,7 +265,7 @@
         context, write = self._context, pending.write
         epoch = context.replica_state.view.epoch
         state = context.replica_state.committed.with_write(epoch, write.version, write.body, write.digest)
-        self._in_flight = InFlightWrite(state.sequence, pending, context.now, context.timing.resend_write)
+        self._in_flight = InFlightWrite(state.sequence, pending, context.now, context.timing.resend_write_after_s)
         self._store(chain_write_message(state))
 
     def _on_conflict_checked(self, pending: PendingWrite, *, is_confirmed: bool) -> None:
@@ -317,14 +317,14 @@
 
     def _time_out_requests(self, pending: PendingWrite) -> None:
         """Reply to the requests for a write that are past their deadline; the operator's client has moved on."""
-        arrived_by = self._context.now - self._context.timing.order_deadline
+        arrived_by = self._context.now - self._context.timing.request_deadline_s
         for request in pending.requests:
             if request.arrived_at <= arrived_by:
                 self._context.outbox.reply(request.request_id, OutcomeUnknown())
         pending.requests = [request for request in pending.requests if request.arrived_at > arrived_by]
 
     def _time_out_reads(self) -> None:
-        now, deadline = self._context.now, self._context.timing.order_deadline
+        now, deadline = self._context.now, self._context.timing.request_deadline_s
         for expired in [read for read in self._pending_reads if now - read.arrived_at >= deadline]:
             self._pending_reads.remove(expired)
             self._context.outbox.reply(expired.request_id, OutcomeUnknown())
--- a/rosechute/coordination/cluster_status.py
+++ b/rosechute/coordination/cluster_status.py
@@ -82,8 +82,8 @@
         },
         recovering_ids={machine_id for machine_id, peer in detector.peers.items() if peer.is_healthy},
         silence_s=partial(detector.silence_s, now),
-        remove_after_s=context.timing.silent_removed,
-        suspect_after_s=context.timing.suspect,
+        remove_after_s=context.timing.remove_after_silence_s,
+        suspect_after_s=context.timing.suspect_after_s,
         unreachable_pairs=detector.unreachable_pairs(now),
         granting_acceptors=granting_acceptors,
     )
@@ -98,7 +98,7 @@
         if is_healthy_member or detector.is_readmittable(now, machine_id):
             eligible_ids.add(machine_id)
     for machine_id in view.chain:
-        is_recently_started = detector.silence_s(now, machine_id) < context.timing.suspect
+        is_recently_started = detector.silence_s(now, machine_id) < context.timing.suspect_after_s
         if is_recently_started and machine_id not in detector.peers:
             eligible_ids.add(machine_id)
     return eligible_ids
--- a/rosechute/coordination/epoch_confirmer.py
+++ b/rosechute/coordination/epoch_confirmer.py
@@ -61,7 +61,7 @@
 
         Args:
             callback: called once with the result.
-            started_at: start of the deadline (`Timing.order_deadline`), in seconds of the machine's steady clock.
+            started_at: start of the deadline (`Timing.request_deadline_s`), in seconds of the machine's steady clock.
         """
         context = self._context
         self._round_number += 1
@@ -101,7 +101,7 @@
             if self._is_late(confirmation):
                 del self._rounds[number]
                 confirmation.callback(is_confirmed=False)
-            elif now - confirmation.sent_at >= timing.resend:
+            elif now - confirmation.sent_at >= timing.resend_after_s:
                 confirmation.sent_at = now
                 self._send(number, confirmation)
 
@@ -110,7 +110,7 @@
 
         Also checked when a confirmation arrives: after a freeze of this machine it may be handled before a tick.
         """
-        return self._context.now - confirmation.started_at >= self._context.timing.order_deadline
+        return self._context.now - confirmation.started_at >= self._context.timing.request_deadline_s
 
     def _send(self, number: int, confirmation: _Round) -> None:
         for acceptor in self._context.replica_state.view.acceptors:
--- a/rosechute/coordination/failure_detector.py
+++ b/rosechute/coordination/failure_detector.py
@@ -31,7 +31,7 @@
         last_answered_at: the same, moved by the pauses of this machine, so that a pause is not taken for silence.
         is_healthy: whether it is reachable and reports that its disk works and that it is not leaving.
         healthy_since: when it became healthy.
-        removals: when it was removed from the chain, within `Timing.removal_memory`.
+        removals: when it was removed from the chain, within `Timing.removal_memory_s`.
         past_incarnations: incarnations that a newer one has replaced.
     """
 
@@ -97,7 +97,7 @@
         After the same silence a past incarnation is accepted again: bytes of an ended process may arrive after those
         of its successor, so the one that was taken for ended may be the one that runs, and goes on sending.
         """
-        return self.timing.suspect + self.timing.heartbeat
+        return self.timing.suspect_after_s + self.timing.heartbeat_period_s
 
     def compensate_pause(self, pause_s: float) -> None:
         """Leave a pause of this process, in seconds, out of the silence of all peers."""
@@ -160,14 +160,16 @@
     def is_readmittable(self, now: float, machine_id: str) -> bool:
         """Return whether a machine outside of the chain has been healthy for long enough to be readmitted.
 
-        The wait doubles with each recent removal from the chain, up to `Timing.readmit_longest`, so that a machine
-        that flaps does not change the view each time.
+        The wait doubles with each recent removal from the chain, up to `Timing.max_readmit_after_s`, so that a
+        machine that flaps does not change the view each time.
         """
         peer = self.peers.get(machine_id)
         if peer is None or not peer.is_healthy:
             return False
-        recent_removals = sum(1 for removed_at in peer.removals if now - removed_at < self.timing.removal_memory)
-        wait_s = min(self.timing.readmit * (1 << max(0, recent_removals - 1)), self.timing.readmit_longest)
+        recent_removals = sum(1 for removed_at in peer.removals if now - removed_at < self.timing.removal_memory_s)
+        wait_s = min(
+            self.timing.readmit_after_s * (1 << max(0, recent_removals - 1)), self.timing.max_readmit_after_s
+        )
         return now - peer.healthy_since >= wait_s
 
     def record_removal(self, now: float, machine_id: str) -> None:
@@ -175,7 +177,7 @@
         peer = self.peers.get(machine_id)
         if peer is not None:
             peer.removals = [
-                removed_at for removed_at in peer.removals if now - removed_at < self.timing.removal_memory
+                removed_at for removed_at in peer.removals if now - removed_at < self.timing.removal_memory_s
             ]
             peer.removals.append(now)
 
@@ -187,8 +189,10 @@
         return now - (peer.last_received_at if peer else self.started_at)
 
     def unreachable_pairs(self, now: float) -> set[tuple[str, str]]:
-        """Return the pairs of healthy other machines that have not reached each other for `Timing.conflict`."""
-        return {pair for pair, since in self._unreachable_since.items() if now - since >= self.timing.conflict}
+        """Return the pairs of healthy peers that have not reached each other for `Timing.conflict_after_s`."""
+        return {
+            pair for pair, since in self._unreachable_since.items() if now - since >= self.timing.conflict_after_s
+        }
 
     def _update_unreachable_pairs(self, now: float) -> None:
         healthy = [peer for peer in self.peers.values() if peer.is_healthy]
--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -47,7 +47,7 @@
         """Send a heartbeat to all known core machines, and to the seeds while these may help to find others."""
         context = self._context
         context.heartbeat_due = False
-        self.next_at = context.now + context.timing.heartbeat
+        self.next_at = context.now + context.timing.heartbeat_period_s
         targets = self._targets()
         heartbeat = self._make_heartbeat()
         for target in targets.values():
--- a/rosechute/coordination/leader_lease.py
+++ b/rosechute/coordination/leader_lease.py
@@ -66,8 +66,8 @@
         return self.role is LeaseRole.LEADER and now < self.valid_until
 
     def count_granting_acceptors(self) -> int:
-        """Return how many acceptors of the view have granted a request that is younger than `Timing.suspect`."""
-        since = self.context.now - self.context.timing.suspect
+        """Return how many acceptors of the view granted a request younger than `Timing.suspect_after_s`."""
+        since = self.context.now - self.context.timing.suspect_after_s
         return sum(
             1
             for acceptor in self.context.replica_state.view.acceptors
@@ -100,15 +100,17 @@
             self._tick_follower()
 
     def _tick_leader(self) -> None:
-        if self.context.now - self._requested_at >= self.context.timing.renew:
+        if self.context.now - self._requested_at >= self.context.timing.renew_period_s:
             self._request()
 
     def _tick_candidate(self) -> None:
         context, timing = self.context, self.context.timing
-        if context.now - self._candidate_since > timing.candidate_timeout:
+        if context.now - self._candidate_since > timing.candidate_timeout_s:
             self.release()
-            self.next_candidacy_at = context.now + timing.candidate_step * (1 + MAX_BACKOFF_STEPS * context.draw())
-        elif context.now - self._requested_at >= timing.resend:
+            self.next_candidacy_at = context.now + timing.candidate_stagger_s * (
+                1 + MAX_BACKOFF_STEPS * context.draw()
+            )
+        elif context.now - self._requested_at >= timing.resend_after_s:
             self._request()
 
     def _tick_follower(self) -> None:
@@ -116,7 +118,7 @@
         majority = context.replica_state.view.majority
         if not context.is_epoch_adopted or count_available_grantors(context, self.grantor) < majority:
             # Members of the chain try one after the other, in the order of the chain.
-            delay_s = context.timing.candidate_step * context.chain_position()
+            delay_s = context.timing.candidate_stagger_s * context.chain_position()
             self.next_candidacy_at = max(self.next_candidacy_at, context.now + delay_s)
         elif context.now >= self.next_candidacy_at:
             self._become_candidate()
@@ -133,7 +135,7 @@
         stamps = sorted(self._granted_stamps.values(), reverse=True)
         if len(stamps) >= view.majority:
             timing = self.context.timing
-            self._extend(stamps[view.majority - 1] + timing.lease - timing.lease_margin)
+            self._extend(stamps[view.majority - 1] + timing.lease_s - timing.lease_margin_s)
 
     def _is_current(self, sender: MachineIdentity, grant: pb.LeaseGrant, view: View) -> bool:
         """Return whether a grant is an acceptor's answer to the current candidacy or leadership of this process."""
--- a/rosechute/coordination/lease_grantor.py
+++ b/rosechute/coordination/lease_grantor.py
@@ -72,7 +72,7 @@
         """Grant nothing for the length of one lease, as grants may run elsewhere that this machine does not know."""
         self.restored_grantee = ""
         self.context.record_writer.defer(None)  # a deferred grantee of an older view says nothing of this one
-        self.abstain_until = max(self.abstain_until, self.context.now + self.context.timing.lease)
+        self.abstain_until = max(self.abstain_until, self.context.now + self.context.timing.lease_s)
 
     def on_request(self, sender: MachineIdentity, incarnation: int, request: pb.LeaseRequest) -> None:
         """Grant or renew the lease for a candidate or leader, once what the grant depends on is synced."""
@@ -80,7 +80,7 @@
         requested = LeaderTerm(request.term, sender.id, incarnation)
         if not self._may_grant(sender, request, requested):
             return
-        self.granted_term, self.granted_until = requested, context.now + context.timing.lease
+        self.granted_term, self.granted_until = requested, context.now + context.timing.lease_s
         if context.replica_state.grantee != sender.id:
             self._save_grantee(sender, request)
         if not request.renewal and requested != context.replica_state.term:
@@ -126,7 +126,7 @@
             return
         if self.granted_term != requested or not (request.renewal or context.replica_state.term == requested):
             return
-        self.granted_until = context.now + context.timing.lease
+        self.granted_until = context.now + context.timing.lease_s
         grant = pb.LeaseGrant(
             epoch=request.epoch,
             term=request.term,
--- a/rosechute/coordination/membership.py
+++ b/rosechute/coordination/membership.py
@@ -171,7 +171,7 @@
                 self.proposer.begin()
         elif context.replica_state.is_sealed:
             # Acceptors take turns in the order of the chain, so that their proposals do not collide.
-            wait_s = context.timing.recover_sealed + context.timing.heartbeat * context.chain_position()
+            wait_s = context.timing.sealed_recovery_s + context.timing.heartbeat_period_s * context.chain_position()
             if context.now - self._acceptor.sealed_since >= wait_s:
                 self.proposer.begin()
 
--- a/rosechute/coordination/proposer.py
+++ b/rosechute/coordination/proposer.py
@@ -129,9 +129,9 @@
             return
         if attempt.epoch != context.replica_state.view.epoch:
             self._attempt = None
-        elif context.now - attempt.started_at > context.timing.proposal_timeout:
+        elif context.now - attempt.started_at > context.timing.proposal_timeout_s:
             self._abort()
-        elif context.now - attempt.sent_at >= context.timing.resend:
+        elif context.now - attempt.sent_at >= context.timing.resend_after_s:
             attempt.sent_at = context.now
             if attempt.proposal is None:
                 self._send_prepare(attempt)
--- a/rosechute/coordination/record_writer.py
+++ b/rosechute/coordination/record_writer.py
@@ -120,15 +120,15 @@
 
     def tick(self, now: float) -> None:
         """Suspect a disk that hangs; retry or probe one that failed or hung."""
-        if self.oldest_write_age_s(now) > self.timing.suspect:
+        if self.oldest_write_age_s(now) > self.timing.suspect_after_s:
             self.is_suspect = True
         if self._batches or self._unwritten or now < self._next_retry_at:
             return
         if self.has_failed:
-            self._next_retry_at = now + self.timing.disk_retry
+            self._next_retry_at = now + self.timing.disk_retry_s
             self._rewrite()
         elif self.is_suspect:
-            self._next_retry_at = now + self.timing.disk_retry
+            self._next_retry_at = now + self.timing.disk_retry_s
             self._probe()
 
     def _rewrite(self) -> None:
@@ -149,7 +149,7 @@
             batch = self._batches.popleft()
         if batch is None:
             return
-        if batch.is_probe and now - batch.started_at <= self.timing.disk_healthy:
+        if batch.is_probe and now - batch.started_at <= self.timing.probe_deadline_s:
             self.is_suspect = False
         self.synced_number = max(self.synced_number, batch.last_number)
         while self._callbacks and self._callbacks[0].number <= self.synced_number:
@@ -163,4 +163,4 @@
         self._unwritten.clear()
         self.has_failed = True
         self.is_suspect = True
-        self._next_retry_at = now + self.timing.disk_retry
+        self._next_retry_at = now + self.timing.disk_retry_s
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -103,7 +103,7 @@
 
     def _make_parts(self) -> None:
         context = self._context
-        abstain_until = context.now + context.timing.lease
+        abstain_until = context.now + context.timing.lease_s
         grantee = context.replica_state.grantee
         self._commit_notifier = CommitNotifier(context)
         self._lease_grantor = LeaseGrantor(context, abstain_until, restored_grantee=grantee)
@@ -334,7 +334,7 @@
         context.now = max(now, context.now)
         self._last_call_at = now
         self._leader_lease.expire()
-        if gap_s > context.timing.blind:
+        if gap_s > context.timing.freeze_gap_s:
             context.failure_detector.compensate_pause(gap_s)
 
     def _end_call(self) -> list[Action]:
--- a/rosechute/coordination/replica_config.py
+++ b/rosechute/coordination/replica_config.py
@@ -28,26 +28,26 @@
 class Timing:
     """Periods and time-outs, in seconds."""
 
-    heartbeat: float = 0.15  # period
-    suspect: float = 0.7  # silence, or age of a sync, after which a machine is removed from the chain
-    lease: float = 1.2  # duration of the leader lease
-    lease_margin: float = 0.1  # the leader stops this much before its lease ends, against clock drift
-    renew: float = 0.3  # period of lease renewals
-    candidate_timeout: float = 0.4  # a candidate without a majority of grants gives up
-    candidate_step: float = 0.1  # candidates start this much apart, by their position in the chain
-    proposal_timeout: float = 0.5  # a proposal without a majority of answers is given up
-    recover_sealed: float = 0.6  # an epoch sealed for this long lets any acceptor propose the next view
-    resend: float = 0.12  # delay before an unanswered message is sent once more
-    resend_write: float = 0.25  # delay before an uncommitted write is sent once more; doubles each time
-    order_deadline: float = 0.9  # a request is answered by then: the operator's client gives up after a second
-    readmit: float = 0.3  # health for this long lets a machine back into the chain
-    readmit_longest: float = 5.0  # upper bound of `readmit` after several removals
-    removal_memory: float = 15.0  # each earlier removal within this time doubles `readmit`
-    conflict: float = 0.5  # two machines that can't reach each other for this long don't share a chain
-    silent_removed: float = 1.0  # silence after which a surplus acceptor is removed
-    blind: float = 0.35  # a gap between two calls that counts as a freeze of this machine
-    disk_retry: float = 0.5  # delay before a failed disk is written again
-    disk_healthy: float = 0.3  # a probe that is synced within this time ends the suspicion against a disk
+    heartbeat_period_s: float = 0.15  # period
+    suspect_after_s: float = 0.7  # silence, or age of a sync, after which a machine is removed from the chain
+    lease_s: float = 1.2  # duration of the leader lease
+    lease_margin_s: float = 0.1  # the leader stops this much before its lease ends, against clock drift
+    renew_period_s: float = 0.3  # period of lease renewals
+    candidate_timeout_s: float = 0.4  # a candidate without a majority of grants gives up
+    candidate_stagger_s: float = 0.1  # candidates start this much apart, by their position in the chain
+    proposal_timeout_s: float = 0.5  # a proposal without a majority of answers is given up
+    sealed_recovery_s: float = 0.6  # an epoch sealed for this long lets any acceptor propose the next view
+    resend_after_s: float = 0.12  # delay before an unanswered message is sent once more
+    resend_write_after_s: float = 0.25  # delay before an uncommitted write is sent once more; doubles each time
+    request_deadline_s: float = 0.9  # a request is answered by then: the operator's client gives up after a second
+    readmit_after_s: float = 0.3  # health for this long lets a machine back into the chain
+    max_readmit_after_s: float = 5.0  # upper bound of `readmit_after_s` after several removals
+    removal_memory_s: float = 15.0  # each earlier removal within this time doubles `readmit_after_s`
+    conflict_after_s: float = 0.5  # two machines that can't reach each other for this long don't share a chain
+    remove_after_silence_s: float = 1.0  # silence after which a surplus acceptor is removed
+    freeze_gap_s: float = 0.35  # a gap between two calls that counts as a freeze of this machine
+    disk_retry_s: float = 0.5  # delay before a failed disk is written again
+    probe_deadline_s: float = 0.3  # a probe that is synced within this time ends the suspicion against a disk
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/fleet/distribution_day_world.py
+++ b/tests/fleet/distribution_day_world.py
@@ -81,14 +81,14 @@
         holds = core is not None and core.replica.is_leader(leader.clock.local(self.now))
         if core is not None and holds and leader in self.view and self.reaches_majority(leader):
             core.replica.lease_until = self._lease_end(leader)
-            self.granted_until = self.now + TIMING.lease
+            self.granted_until = self.now + TIMING.lease_s
         elif self.now >= self.granted_until:
             self.leader = None  # the machine finds that out by itself, once it runs
 
     def _lease_end(self, machine: Machine) -> float:
         """By the machine's clock, of a lease that is granted now."""
         asked_at = self.now - self.random.uniform(0.0, ASKED_BEFORE_S)
-        return machine.clock.local(asked_at) + TIMING.lease - TIMING.lease_margin
+        return machine.clock.local(asked_at) + TIMING.lease_s - TIMING.lease_margin_s
 
     def _campaign(self) -> None:
         """The lease is free: after a short while a machine that can have it has it."""
@@ -102,7 +102,7 @@
             machine = self.random.choice(candidates)
             assert machine.process is not None and machine.process.core is not None
             machine.process.core.notice_lease()
-            self.granted_until = self.now + TIMING.lease
+            self.granted_until = self.now + TIMING.lease_s
             self.terms += 1
             self.members_changed = self.now  # a new leader has to learn who lives
             self.begin_lease(machine, self._lease_end(machine))
--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -201,7 +201,7 @@
         "leader_cut_off",
         Bounds(3, 0, 1, _CALLS),
         frozenset({"lease"}),
-        Timing(lease_margin=0.0),
+        Timing(lease_margin_s=0.0),
     ),
     Plant(
         "grants_right_after_a_restart",
--- a/tests/fleet/exploration/roots.py
+++ b/tests/fleet/exploration/roots.py
@@ -174,7 +174,7 @@
     new = world.machines[-1].replica
     assert new is not None
     peer = leader._context.failure_detector.peers.get(new.identity.id)
-    readmit = leader._context.timing.readmit
+    readmit = leader._context.timing.readmit_after_s
     return peer is not None and peer.is_healthy and leader._context.now - peer.healthy_since > readmit - 0.06
 
 
--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -243,7 +243,7 @@
         self.chain.propose_write(write_request(1))
         self.parts.sync()
         self.parts.actions()
-        resend, times = TIMING.resend_write, []
+        resend, times = TIMING.resend_write_after_s, []
         for step in range(1, 80):
             self.member.advance(0.01, heartbeats_of="bc")
             times += [step / 100] * len(self.parts.sent("chain_write"))
@@ -256,7 +256,7 @@
         self.parts.sync()
         self.member.advance(0.5, heartbeats_of="bc")
         self.chain.propose_write(write_request(2))
-        self.member.advance(TIMING.order_deadline - 0.5 - 0.01, heartbeats_of="bc")
+        self.member.advance(TIMING.request_deadline_s - 0.5 - 0.01, heartbeats_of="bc")
         self.assertEqual(self.parts.replies(), [])
         self.member.advance(0.02, heartbeats_of="bc")
         self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown())])
@@ -266,14 +266,14 @@
     def test_timed_out_queued_write_is_not_started_later(self) -> None:
         self.chain.is_active = False
         self.chain.propose_write(write_request(1))
-        self.member.advance(TIMING.order_deadline, heartbeats_of="bc")
+        self.member.advance(TIMING.request_deadline_s, heartbeats_of="bc")
         self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown())])
         self.chain.activate()
         self.assertEqual(self.parts.sync(), [])
 
     def test_partitioned_from_the_majority(self) -> None:
         self.chain.propose_write(write_request(1))
-        self.member.advance(TIMING.suspect + TIMING.heartbeat - 0.01)
+        self.member.advance(TIMING.suspect_after_s + TIMING.heartbeat_period_s - 0.01)
         self.assertEqual(self.parts.replies(), [])
         self.chain.propose_write(write_request(2, 51, 52))
         self.assertEqual(self.parts.replies(), [])
@@ -302,7 +302,7 @@
         self.parts.detector.peers.clear()
         self.chain.propose_write(write_request(1))
         self.assertEqual(self.parts.replies(), [])
-        self.parts.detector.started_at = NOW - TIMING.order_deadline - 0.01
+        self.parts.detector.started_at = NOW - TIMING.request_deadline_s - 0.01
         self.chain.propose_write(write_request(2))
         self.assertEqual(self.parts.replies(), [(1, OutcomeUnknown()), (2, OutcomeUnknown())])
 
@@ -341,7 +341,7 @@
 
     def test_view_change_drops_writes_without_requests(self) -> None:
         self.chain.propose_write(write_request(1))
-        self.member.advance(TIMING.order_deadline, heartbeats_of="bc")
+        self.member.advance(TIMING.request_deadline_s, heartbeats_of="bc")
         self.parts.replica_state.uncommitted = None
         self.parts.sync()
         self.chain.on_view_change()
@@ -380,7 +380,7 @@
     def test_no_redirect_to_a_silent_machine(self) -> None:
         for silence, there in ((2, True), (SILENT_HEARTBEATS - 0.1, True), (SILENT_HEARTBEATS + 0.1, False)):
             member = ChainMember("b")
-            member.parts.advance(silence * TIMING.heartbeat, heartbeats_of="c")
+            member.parts.advance(silence * TIMING.heartbeat_period_s, heartbeats_of="c")
             member.chain.propose_write(write_request(1))
             self.assertEqual(len(member.parts.replies()), int(there), silence)
 
@@ -393,7 +393,7 @@
     def test_redirect_to_a_head_that_only_a_peer_reaches(self) -> None:
         for reached, there in ((["a"], True), ([], False)):
             member = ChainMember("b")
-            member.parts.advance(TIMING.lease + 0.1)
+            member.parts.advance(TIMING.lease_s + 0.1)
             member.parts.receive_heartbeat("c", reached=reached)
             member.chain.propose_write(write_request(1))
             self.assertEqual(len(member.parts.replies()), int(there), reached)
@@ -526,7 +526,7 @@
         ((_, since),) = member.confirmer.waiting
         self.assertEqual(since, NOW)
         member.confirmer.confirm(False)
-        member.advance(TIMING.order_deadline - 0.39, heartbeats_of="ab")
+        member.advance(TIMING.request_deadline_s - 0.39, heartbeats_of="ab")
         self.assertEqual(member.parts.replies(), [(1, OutcomeUnknown())])
         member.confirmer.confirm()
         self.assertEqual(member.parts.replies(), [])
--- a/tests/fleet/test_planted_coordination_epoch_confirmer.py
+++ b/tests/fleet/test_planted_coordination_epoch_confirmer.py
@@ -86,7 +86,7 @@
 
     def test_too_late(self) -> None:
         self.ask(NOW - 0.5)
-        self.parts.advance(TIMING.order_deadline - 0.5 - 0.01)
+        self.parts.advance(TIMING.request_deadline_s - 0.5 - 0.01)
         self.confirmer.tick()
         self.assertEqual(self.results, [])
         self.parts.advance(0.02)
@@ -97,7 +97,7 @@
     def test_too_late_by_answers_that_came_while_this_process_stood_still(self) -> None:
         number = self.ask()
         self.confirm("b", number)
-        self.parts.advance(TIMING.order_deadline + 0.01)
+        self.parts.advance(TIMING.request_deadline_s + 0.01)
         self.confirm("c", number)
         self.assertEqual(self.results, [False])
 
@@ -106,7 +106,7 @@
         self.confirm("b", number)
         self.confirmer.tick()
         self.assertEqual(self.parts.sent("confirm"), [])
-        self.parts.advance(TIMING.resend)
+        self.parts.advance(TIMING.resend_after_s)
         self.confirmer.tick()
         self.confirmer.tick()
         again = self.parts.messages("confirm")
--- a/tests/fleet/test_planted_coordination_failure_detector.py
+++ b/tests/fleet/test_planted_coordination_failure_detector.py
@@ -21,7 +21,7 @@
         self.detector = self.parts.detector
 
     def test_healthy_while_heartbeats_are_echoed(self) -> None:
-        limit = TIMING.suspect + TIMING.heartbeat
+        limit = TIMING.suspect_after_s + TIMING.heartbeat_period_s
         self.parts.advance(limit - 0.01)
         self.detector.tick(self.parts.now, "abc", is_planning=False)
         self.assertTrue(self.detector.is_healthy("b"))
@@ -53,7 +53,7 @@
         self.assertEqual((peer.incarnation, peer.heartbeat.sequence), (9, 7))
 
     def test_past_incarnation_is_accepted_after_the_silence_of_its_successor(self) -> None:
-        silence = self.parts.context.timing.suspect + self.parts.context.timing.heartbeat
+        silence = self.parts.context.timing.suspect_after_s + self.parts.context.timing.heartbeat_period_s
         self.parts.receive_heartbeat("b", incarnation=9)
         self.parts.advance(silence - 0.01)
         self.parts.receive_heartbeat("b", incarnation=8, stamp=NOW + 1)
@@ -137,7 +137,7 @@
 
     def test_old_removals_are_forgotten(self) -> None:
         peer = self.detector.peers["b"]
-        peer.removals = [NOW - TIMING.removal_memory - 1.0] * 5
+        peer.removals = [NOW - TIMING.removal_memory_s - 1.0] * 5
         self.assertTrue(self.detector.is_readmittable(NOW + 0.31, "b"))
         self.detector.record_removal(NOW, "b")
         self.assertEqual(peer.removals, [NOW])
@@ -160,8 +160,8 @@
             for each, seen in reached.items():
                 self.parts.receive_heartbeat(each, reached=seen)
             self.assertEqual(self.conflicts(NOW), set())
-            self.assertEqual(self.conflicts(NOW + TIMING.conflict - 0.01), set())
-            self.assertEqual(self.conflicts(NOW + TIMING.conflict), {("b", "c")})
+            self.assertEqual(self.conflicts(NOW + TIMING.conflict_after_s - 0.01), set())
+            self.assertEqual(self.conflicts(NOW + TIMING.conflict_after_s), {("b", "c")})
 
     def test_unreachable_pairs_end(self) -> None:
         self.parts.receive_heartbeat("b", reached=["a"])
@@ -169,7 +169,7 @@
         self.parts.receive_heartbeat("b")
         self.conflicts(NOW + 0.1)
         self.parts.receive_heartbeat("b", reached=["a"])
-        self.assertEqual(self.conflicts(NOW + TIMING.conflict), set())
+        self.assertEqual(self.conflicts(NOW + TIMING.conflict_after_s), set())
 
     def test_unreachable_pairs_are_tracked_while_planning_only(self) -> None:
         self.parts.receive_heartbeat("b", reached=["a"])
@@ -180,7 +180,7 @@
     def test_unhealthy_machines_form_no_unreachable_pairs(self) -> None:
         self.parts.receive_heartbeat("b", reached=["a"], healthy=False)
         self.conflicts(NOW)
-        self.assertEqual(self.conflicts(NOW + TIMING.conflict), set())
+        self.assertEqual(self.conflicts(NOW + TIMING.conflict_after_s), set())
 
     def test_unreachable_pairs_are_sorted(self) -> None:
         detector = FailureDetector(identity("a"), OWN_INCARNATION, TIMING, NOW)
--- a/tests/fleet/test_planted_coordination_heartbeats.py
+++ b/tests/fleet/test_planted_coordination_heartbeats.py
@@ -96,7 +96,7 @@
     def test_targets_are_acceptors_and_known_peers(self) -> None:
         self.parts.receive_heartbeat("z")
         self.assertEqual(sorted(self.sent_heartbeats()), ["b:7500", "c:7500", "z:7500"])
-        self.assertEqual(self.heartbeats.next_at, NOW + TIMING.heartbeat)
+        self.assertEqual(self.heartbeats.next_at, NOW + TIMING.heartbeat_period_s)
 
     def test_seeds_are_targets_while_isolated_only(self) -> None:
         self.assertNotIn("s:7500", self.sent_heartbeats())
--- a/tests/fleet/test_planted_coordination_leader_lease.py
+++ b/tests/fleet/test_planted_coordination_leader_lease.py
@@ -87,9 +87,9 @@
         self.lease.tick()
         self.grant("a", NOW)
         self.grant("b", NOW - 0.4)
-        self.assertEqual(self.lease.valid_until, NOW - 0.4 + TIMING.lease - TIMING.lease_margin)
+        self.assertEqual(self.lease.valid_until, NOW - 0.4 + TIMING.lease_s - TIMING.lease_margin_s)
         self.grant("c", NOW - 0.3)
-        self.assertEqual(self.lease.valid_until, NOW - 0.3 + TIMING.lease - TIMING.lease_margin)
+        self.assertEqual(self.lease.valid_until, NOW - 0.3 + TIMING.lease_s - TIMING.lease_margin_s)
 
     def test_grants_with_old_stamps_do_not_shorten_the_lease(self) -> None:
         self.lead()
@@ -105,7 +105,7 @@
 
     def test_late_grants_do_not_make_a_leader(self) -> None:
         self.lease.tick()
-        self.parts.advance(TIMING.lease - TIMING.lease_margin)
+        self.parts.advance(TIMING.lease_s - TIMING.lease_margin_s)
         self.grant("a")
         self.grant("b")
         self.assertIs(self.lease.role, LeaseRole.CANDIDATE)
@@ -132,10 +132,10 @@
 
     def test_lease_expires_by_the_own_clock(self) -> None:
         self.lead()
-        end = NOW + TIMING.lease - TIMING.lease_margin
+        end = NOW + TIMING.lease_s - TIMING.lease_margin_s
         self.assertTrue(self.lease.is_held(end - 0.01))
         self.assertFalse(self.lease.is_held(end + 0.01))
-        self.parts.advance(TIMING.lease - TIMING.lease_margin - 0.01)
+        self.parts.advance(TIMING.lease_s - TIMING.lease_margin_s - 0.01)
         self.lease.expire()
         self.assertEqual(self.parts.actions(), [])
         self.parts.advance(0.02)
@@ -161,7 +161,7 @@
 
     def test_leader_renews_periodically(self) -> None:
         self.lead()
-        self.parts.advance(TIMING.renew - 0.01, heartbeats_of="bc")
+        self.parts.advance(TIMING.renew_period_s - 0.01, heartbeats_of="bc")
         self.lease.tick()
         self.assertEqual(self.parts.sent("lease_request"), [])
         self.parts.advance(0.02)
@@ -176,17 +176,17 @@
         self.parts.actions()
         self.lease.tick()
         self.assertEqual(self.parts.sent("lease_request"), [])
-        self.parts.advance(TIMING.resend, heartbeats_of="bc")
+        self.parts.advance(TIMING.resend_after_s, heartbeats_of="bc")
         self.lease.tick()
         self.assertEqual(len(self.parts.sent("lease_request")), 3)
-        self.parts.advance(TIMING.candidate_timeout - TIMING.resend + 0.01, heartbeats_of="bc")
+        self.parts.advance(TIMING.candidate_timeout_s - TIMING.resend_after_s + 0.01, heartbeats_of="bc")
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.FOLLOWER)
         self.assertEqual([each.term for each in self.parts.sent("lease_release")], [1, 1, 1])
-        self.assertEqual(self.lease.next_candidacy_at, self.parts.now + TIMING.candidate_step * 2.5)
+        self.assertEqual(self.lease.next_candidacy_at, self.parts.now + TIMING.candidate_stagger_s * 2.5)
         self.lease.tick()
         self.assertIs(self.lease.role, LeaseRole.FOLLOWER, "not at once again")
-        self.parts.advance(TIMING.candidate_step * 2.5, heartbeats_of="bc")
+        self.parts.advance(TIMING.candidate_stagger_s * 2.5, heartbeats_of="bc")
         self.lease.tick()
         self.assertEqual((self.lease.role, self.lease.term), (LeaseRole.CANDIDATE, 2))
 
@@ -237,12 +237,12 @@
         for each in "ab":
             parts.receive_heartbeat(each, lease_free=False)
         lease.tick()
-        self.assertEqual(lease.next_candidacy_at, NOW + 2 * TIMING.candidate_step)
+        self.assertEqual(lease.next_candidacy_at, NOW + 2 * TIMING.candidate_stagger_s)
         for each in "ab":
             parts.receive_heartbeat(each)
         lease.tick()
         self.assertIs(lease.role, LeaseRole.FOLLOWER)
-        parts.advance(2 * TIMING.candidate_step, heartbeats_of="ab")
+        parts.advance(2 * TIMING.candidate_stagger_s, heartbeats_of="ab")
         lease.tick()
         self.assertIs(lease.role, LeaseRole.CANDIDATE)
 
@@ -263,7 +263,7 @@
     def test_count_of_granting_acceptors(self) -> None:
         self.lead()
         self.assertEqual(self.lease.count_granting_acceptors(), 3)
-        self.parts.advance(TIMING.suspect - 0.01)
+        self.parts.advance(TIMING.suspect_after_s - 0.01)
         self.assertEqual(self.lease.count_granting_acceptors(), 3)
         self.grant("a", self.parts.now)
         self.parts.advance(0.02)
--- a/tests/fleet/test_planted_coordination_lease_grantor.py
+++ b/tests/fleet/test_planted_coordination_lease_grantor.py
@@ -73,7 +73,7 @@
 
     def test_another_grantee_is_persisted(self) -> None:
         self.request("b", 1)
-        self.parts.advance(TIMING.lease, heartbeats_of="bc")
+        self.parts.advance(TIMING.lease_s, heartbeats_of="bc")
         self.ask("c", 2)
         (grantee, _) = self.parts.sync()
         self.assertEqual((grantee.grantee.holder, grantee.grantee.number), ("c", 2))
@@ -85,7 +85,7 @@
 
     def test_grant_binds_for_one_lease(self) -> None:
         self.request("b", 1)
-        self.parts.advance(TIMING.lease - 0.01, heartbeats_of="bc")
+        self.parts.advance(TIMING.lease_s - 0.01, heartbeats_of="bc")
         self.assertFalse(self.grantor.is_free())
         self.assertEqual(self.request("c", 2), [])
         self.parts.advance(0.02)
@@ -96,11 +96,11 @@
         self.ask("b", 1)
         self.parts.advance(0.5, heartbeats_of="bc")
         self.parts.sync()
-        self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease_s)
 
     def test_grant_binds_from_the_request_while_the_sync_is_pending(self) -> None:
         self.ask("b", 1)
-        self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease_s)
         self.ask("c", 2)
         self.parts.sync()
         self.assertEqual(self.parts.sent_to("lease_grant"), ["b"])
@@ -118,7 +118,7 @@
         self.ask("b", 1, renewal=True)
         self.assertEqual(len(self.parts.sent("lease_grant")), 1)
         self.assertEqual(self.parts.sync(), [])
-        self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, self.parts.now + TIMING.lease_s)
 
     def test_renewal_at_a_grantor_without_grants_defers_the_grantee_record(self) -> None:
         self.ask("b", 4, renewal=True)
@@ -131,7 +131,7 @@
 
     def test_renewal_of_another_grantee_is_synced_first(self) -> None:
         self.request("b", 1)
-        self.parts.advance(TIMING.lease, heartbeats_of="bc")
+        self.parts.advance(TIMING.lease_s, heartbeats_of="bc")
         self.ask("c", 2, renewal=True)
         self.assertEqual(self.parts.sent("lease_grant"), [])
         self.assertEqual(len(self.parts.sync()), 1)
@@ -195,15 +195,15 @@
         self.assertEqual(len(self.request("c")), 1)
 
     def test_after_a_restart_only_the_restored_grantee_is_granted_at_once(self) -> None:
-        grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease, restored_grantee="b")
+        grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease_s, restored_grantee="b")
         self.assertEqual((grantor.is_free(), grantor.reserved_for()), (False, "b"))
         self.assertEqual(self.request("c", 1), [])
         self.assertEqual(len(self.request("b", 2)), 1)
         self.assertEqual(grantor.reserved_for(), "b")
 
     def test_after_a_restart_others_wait_for_one_lease(self) -> None:
-        grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease, restored_grantee="b")
-        self.parts.advance(TIMING.lease - 0.01, heartbeats_of="bc")
+        grantor = self.grantor = LeaseGrantor(self.parts.context, NOW + TIMING.lease_s, restored_grantee="b")
+        self.parts.advance(TIMING.lease_s - 0.01, heartbeats_of="bc")
         self.assertEqual(self.request("c", 1), [])
         self.parts.advance(0.02)
         self.assertEqual((grantor.is_free(), grantor.reserved_for()), (True, ""))
@@ -214,7 +214,7 @@
         self.grantor.abstain()
         self.assertEqual(self.request("b", 1), [])
         self.assertEqual((self.grantor.is_free(), self.grantor.reserved_for()), (False, ""))
-        self.assertEqual(self.grantor.abstain_until, NOW + TIMING.lease)
+        self.assertEqual(self.grantor.abstain_until, NOW + TIMING.lease_s)
 
     def test_abstain_drops_the_deferred_grantee_record(self) -> None:
         self.ask("b", 4, renewal=True)
@@ -258,4 +258,4 @@
         self.request("b", 1)
         self.parts.advance(9.0)
         self.grantor.on_release(identity("b"), 8, pb.LeaseRelease(term=1))
-        self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease)
+        self.assertEqual(self.grantor.granted_until, NOW + TIMING.lease_s)
--- a/tests/fleet/test_planted_coordination_membership.py
+++ b/tests/fleet/test_planted_coordination_membership.py
@@ -157,11 +157,13 @@
         member.membership.on_decided(
             pb.Decided(view=view("abc", EPOCH + 1).to_message(), state=state(9, EPOCH + 1).to_message())
         )
-        self.assertEqual(member.lease_grantor.abstain_until, NOW + member.parts.timing.lease)
+        self.assertEqual(member.lease_grantor.abstain_until, NOW + member.parts.timing.lease_s)
         self.decided(EPOCH + 1)
         self.assertLess(self.member.lease_grantor.abstain_until, NOW, "one that stays may grant")
         self.decided(EPOCH + 3)
-        self.assertEqual(self.member.lease_grantor.abstain_until, NOW + self.parts.timing.lease, "it missed an epoch")
+        self.assertEqual(
+            self.member.lease_grantor.abstain_until, NOW + self.parts.timing.lease_s, "it missed an epoch"
+        )
 
     def test_chain_is_active_once_all_members_have_adopted(self) -> None:
         for fields in ({"joined": False}, {"epoch": EPOCH - 1}):
@@ -291,7 +293,7 @@
         member.parts.seal()
         member.acceptor.sealed_since = NOW
         timing = member.parts.timing
-        wait = timing.recover_sealed + 2 * timing.heartbeat  # third in the chain
+        wait = timing.sealed_recovery_s + 2 * timing.heartbeat_period_s  # third in the chain
         member.parts.advance(wait - 0.01, heartbeats_of="ab")
         self.assertEqual(member.tick(), [])
         member.parts.advance(0.02)
@@ -331,7 +333,7 @@
     def test_readmission_waits(self) -> None:
         member = Member(chain="ab")
         self.assertEqual(self.proposed_view(member, "abc").chain, ("a", "b"))
-        member.parts.advance(member.parts.timing.readmit + 0.01, heartbeats_of="bc")
+        member.parts.advance(member.parts.timing.readmit_after_s + 0.01, heartbeats_of="bc")
         self.assertEqual(self.proposed_view(member, "abc").chain, ("a", "b", "c"))
 
     def test_leaving_surplus_acceptor_is_removed(self) -> None:
@@ -357,7 +359,7 @@
         self.parts.detector.on_heartbeat(NOW, new, 1, stranger)
         found = self.proposed_view(self.member, "ab")
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "c"], "it waits to be readmittable")
-        self.parts.advance(self.parts.timing.readmit + 0.01, heartbeats_of="b")
+        self.parts.advance(self.parts.timing.readmit_after_s + 0.01, heartbeats_of="b")
         found = self.proposed_view(self.member, "ab")
         self.assertEqual([each.id for each in found.acceptors], ["a", "b", "n"])
         self.assertEqual(found.chain, ("a", "b", "n"))
@@ -385,10 +387,10 @@
     def test_members_not_heard_from_are_kept_after_a_start(self) -> None:
         self.member.lead()
         detector = self.parts.detector
-        detector.started_at = NOW - self.parts.timing.suspect + 0.01
+        detector.started_at = NOW - self.parts.timing.suspect_after_s + 0.01
         del detector.peers["c"]
         self.assertEqual(self.member.tick(), [])
-        detector.started_at = NOW - self.parts.timing.suspect
+        detector.started_at = NOW - self.parts.timing.suspect_after_s
         self.assertEqual(len(self.member.tick()), 3)
 
     def test_decision_of_the_own_proposal_is_adopted(self) -> None:
--- a/tests/fleet/test_planted_coordination_record_writer.py
+++ b/tests/fleet/test_planted_coordination_record_writer.py
@@ -78,7 +78,7 @@
         self.assertEqual(self.done, [])
         self.write("z", 3)
         self.assertIsNone(self.parts.flush(), "nothing is appended to a log that failed")
-        self.parts.advance(self.parts.timing.disk_retry - 0.01)
+        self.parts.advance(self.parts.timing.disk_retry_s - 0.01)
         self.disk.tick(self.parts.now)
         self.assertIsNone(self.parts.flush())
         self.parts.advance(0.02)
@@ -100,7 +100,7 @@
         first = self.parts.flush()
         assert first is not None
         self.disk.on_persist_failed(self.parts.now, first.token)
-        self.parts.advance(self.parts.timing.disk_retry)
+        self.parts.advance(self.parts.timing.disk_retry_s)
         self.disk.tick(self.parts.now)
         whole = self.parts.flush()
         assert whole is not None
@@ -109,7 +109,7 @@
         self.assertFalse(self.disk.is_healthy())
         self.disk.tick(self.parts.now)
         self.assertIsNone(self.parts.flush(), "not at once")
-        self.parts.advance(self.parts.timing.disk_retry)
+        self.parts.advance(self.parts.timing.disk_retry_s)
         self.disk.tick(self.parts.now)
         probe = self.parts.flush()
         assert probe is not None
@@ -121,7 +121,7 @@
         self.disk.tick(self.parts.now)
         probe = self.parts.flush()
         assert probe is not None
-        self.parts.advance(self.parts.timing.disk_healthy + 0.01)
+        self.parts.advance(self.parts.timing.probe_deadline_s + 0.01)
         self.disk.on_persisted(self.parts.now, probe.token)
         self.write("x")
         self.parts.sync()
@@ -140,7 +140,7 @@
         self.write("x")
         batch = self.parts.flush()
         assert batch is not None
-        self.parts.advance(timing.suspect - 0.01)
+        self.parts.advance(timing.suspect_after_s - 0.01)
         self.disk.tick(self.parts.now)
         self.assertTrue(self.disk.is_healthy())
         self.parts.advance(0.02)
@@ -150,13 +150,13 @@
         self.disk.on_persisted(self.parts.now, batch.token)
         self.assertEqual((self.done, self.disk.is_healthy()), (["x"], False))
         for slow in (True, False):
-            self.parts.advance(timing.disk_retry)
+            self.parts.advance(timing.disk_retry_s)
             self.disk.tick(self.parts.now)
             probe = self.parts.flush()
             assert probe is not None
             self.assertFalse(probe.replaces)
             self.assertEqual(pb.Record.FromString(probe.records[0]).WhichOneof("body"), "probe")
-            self.parts.advance(timing.disk_healthy + (0.01 if slow else -0.01))
+            self.parts.advance(timing.probe_deadline_s + (0.01 if slow else -0.01))
             self.disk.on_persisted(self.parts.now, probe.token)
             self.assertEqual(self.disk.is_healthy(), not slow)
         self.disk.tick(self.parts.now + 9)
@@ -167,7 +167,7 @@
         self.disk.tick(self.parts.now)
         probe = self.parts.flush()
         assert probe is not None
-        self.parts.advance(self.parts.timing.disk_healthy + 0.01)
+        self.parts.advance(self.parts.timing.probe_deadline_s + 0.01)
         self.disk.on_persisted(self.parts.now, probe.token)
         self.disk.tick(self.parts.now)
         self.assertIsNone(self.parts.flush())
--- a/tests/fleet/test_planted_coordination_replica.py
+++ b/tests/fleet/test_planted_coordination_replica.py
@@ -110,7 +110,7 @@
 
     def test_restarted_grantor_abstains_for_one_lease(self) -> None:
         self.start(self.saved(grantee="b"))
-        for now, granted in ((NOW + 0.1, 0), (NOW + TIMING.lease - 0.1, 0), (NOW + TIMING.lease + 0.1, 1)):
+        for now, granted in ((NOW + 0.1, 0), (NOW + TIMING.lease_s - 0.1, 0), (NOW + TIMING.lease_s + 0.1, 1)):
             self.receive_heartbeat("c", now)
             request = pb.LeaseRequest(epoch=EPOCH, term=3, stamp=1.0)
             actions = self.handle("lease_request", request, "c", now=now)
@@ -205,7 +205,7 @@
         self.assertIsNone(self.replica.leader_hint())
 
     def test_own_freeze_is_no_silence_of_peers(self) -> None:
-        for gap, silent in ((TIMING.blind - 0.05, True), (TIMING.blind + 0.05, False)):
+        for gap, silent in ((TIMING.freeze_gap_s - 0.05, True), (TIMING.freeze_gap_s + 0.05, False)):
             self.start(self.saved())
             self.receive_heartbeat("b")
             self.replica.tick(NOW + gap)
