--- a/tests/fleet/test_data_plane_races.py
+++ b/tests/fleet/test_data_plane_races.py
@@ -367,16 +367,16 @@
     def test_a_broken_part_of_the_program_costs_the_request_it_came_from(self) -> None:
         async def scene() -> None:
             site = await Site().start()
-            real = ClientRequest.send
+            real = ClientRequest.on_server_selected
 
             def broken(self: ClientRequest, action: object) -> None:
                 raise ZeroDivisionError
 
-            ClientRequest.send = broken  # type: ignore[method-assign, assignment]
+            ClientRequest.on_server_selected = broken  # type: ignore[method-assign, assignment]
             try:
                 self.assertEqual((await site.ask()).status, 503)
             finally:
-                ClientRequest.send = real  # type: ignore[method-assign]
+                ClientRequest.on_server_selected = real  # type: ignore[method-assign]
             self.assertEqual((await site.ask()).status, 200)
             self.assertFalse(site.plane.front.requests)
             site.close()
