--- a/tests/fleet/test_planted_coordination_chain.py
+++ b/tests/fleet/test_planted_coordination_chain.py
@@ -25,8 +25,8 @@
 TIMING = Timing()
 
 
-class Confirmations(EpochConfirmer):
-    """Questions wait for the test to answer them."""
+class FakeEpochConfirmer(EpochConfirmer):
+    """Confirmation rounds wait until the test ends them."""
 
     def __init__(self, parts: Parts) -> None:
         super().__init__(parts.context)
@@ -35,19 +35,19 @@
     def confirm_epoch(self, callback: Any, started_at: float) -> None:
         self.waiting.append((callback, started_at))
 
-    def confirm(self, certain: bool = True) -> None:
+    def end_rounds(self, *, is_confirmed: bool = True) -> None:
         waiting, self.waiting = self.waiting, []
         for callback, _ in waiting:
-            callback(is_confirmed=certain)
+            callback(is_confirmed=is_confirmed)
 
 
 class ChainMember:
-    """One machine of a chain."""
+    """One machine of a chain: its part, with a fake confirmer."""
 
     def __init__(self, own: str = "a", members: str = "abc", chain: str | None = None) -> None:
         self.parts = Parts(own, members, chain)
         self.notified: list[int] = []
-        self.confirmer = Confirmations(self.parts)
+        self.confirmer = FakeEpochConfirmer(self.parts)
         self.chain = Chain(self.parts.context, self.confirmer, self._on_committed)
         if own == self.parts.replica_state.view.chain[0]:
             self.chain.activate()
@@ -65,7 +65,7 @@
 
 
 class HeadTest(unittest.TestCase):
-    """The head: one write at a time, an acknowledgement once the tail has it, a refusal once that is certain."""
+    """The head: one write in flight, acknowledged once committed; a conflict only once the epoch is confirmed."""
 
     def setUp(self) -> None:
         self.member = ChainMember()
@@ -100,7 +100,7 @@
         self.chain.on_committed(EPOCH, 6)
         self.chain.propose_write(write_request(3))
         self.assertEqual(self.parts.replies(), [(each, WriteAcknowledged(51)) for each in (1, 2, 3)])
-        self.assertEqual(self.parts.replica_state.committed.sequence, 6, "taken once")
+        self.assertEqual(self.parts.replica_state.committed.sequence, 6, "applied once")
 
     def test_repeated_queued_write_gets_the_same_outcome(self) -> None:
         self.chain.propose_write(write_request(1))
@@ -129,7 +129,7 @@
         self.parts.sync()
         self.chain.on_committed(EPOCH, 6)
         self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(51))])
-        self.member.confirmer.confirm()
+        self.member.confirmer.end_rounds()
         self.assertEqual(self.parts.replies(), [(2, VersionConflict(51))])
 
     def test_conflict_only_once_the_epoch_is_confirmed(self) -> None:
@@ -137,7 +137,7 @@
             self.setUp()
             self.chain.propose_write(write_request(1, base, version))
             self.assertEqual(self.parts.replies(), [])
-            self.member.confirmer.confirm()
+            self.member.confirmer.end_rounds()
             self.assertEqual(self.parts.replies(), [(1, VersionConflict(50))], (base, version))
             self.assertEqual(self.parts.sync(), [])
 
@@ -163,25 +163,31 @@
         self.assertEqual(self.parts.replica_state.newest.version, 60)
 
     def test_write_that_may_be_evicted_has_no_conflict(self) -> None:
-        taken = b"".join(b"o" * 16 + (41 + number).to_bytes(8, "big") for number in range(MAX_APPLIED_WRITES))
-        self.parts.replica_state.committed = replace(self.parts.replica_state.committed, applied_writes=taken)
+        applied_writes = b"".join(
+            b"o" * 16 + (41 + number).to_bytes(8, "big") for number in range(MAX_APPLIED_WRITES)
+        )
+        self.parts.replica_state.committed = replace(
+            self.parts.replica_state.committed, applied_writes=applied_writes
+        )
         self.chain.propose_write(write_request(1, 39, 40))
         self.assertEqual((self.parts.replies(), self.member.confirmer.waiting), ([(1, OutcomeUnknown())], []))
         self.chain.propose_write(write_request(2, 39, 41))
-        self.member.confirmer.confirm()
+        self.member.confirmer.end_rounds()
         self.assertEqual(self.parts.replies(), [(2, VersionConflict(50))])
-        self.parts.replica_state.committed = replace(self.parts.replica_state.committed, applied_writes=taken[24:])
+        self.parts.replica_state.committed = replace(
+            self.parts.replica_state.committed, applied_writes=applied_writes[24:]
+        )
         self.chain.propose_write(write_request(3, 39, 40))
-        self.member.confirmer.confirm()
-        self.assertEqual(self.parts.replies(), [(3, VersionConflict(50))], "not so many were taken")
+        self.member.confirmer.end_rounds()
+        self.assertEqual(self.parts.replies(), [(3, VersionConflict(50))], "not so many were applied")
 
     def test_no_conflict_while_the_epoch_is_unconfirmed(self) -> None:
         self.chain.propose_write(write_request(1, 49, 60))
-        self.member.confirmer.confirm(False)
+        self.member.confirmer.end_rounds(is_confirmed=False)
         self.assertEqual(self.parts.replies(), [])
         self.member.advance(0.1, heartbeats_of="bc")
-        self.member.confirmer.confirm()
-        self.assertEqual(self.parts.replies(), [(1, VersionConflict(50))], "asked again")
+        self.member.confirmer.end_rounds()
+        self.assertEqual(self.parts.replies(), [(1, VersionConflict(50))], "confirmed in a second round")
 
     def test_unconfirmed_conflict_that_turns_out_committed(self) -> None:
         given = write_request(1, 49, 60)
@@ -189,19 +195,19 @@
         self.parts.replica_state.committed = self.parts.replica_state.committed.with_write(
             EPOCH, 60, given.body, given.digest
         )
-        self.member.confirmer.confirm(False)
+        self.member.confirmer.end_rounds(is_confirmed=False)
         self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(60))])
 
     def test_repeated_write_with_an_unconfirmed_conflict(self) -> None:
         self.chain.propose_write(write_request(1, 49, 60))
         self.chain.propose_write(write_request(2, 49, 60))
-        self.member.confirmer.confirm()
+        self.member.confirmer.end_rounds()
         self.assertEqual(self.parts.replies(), [(1, VersionConflict(50)), (2, VersionConflict(50))])
 
     def test_unconfirmed_conflicts_end_with_the_view(self) -> None:
         self.chain.propose_write(write_request(1, 49, 60))
         self.chain.on_view_change()
-        self.member.confirmer.confirm()
+        self.member.confirmer.end_rounds()
         self.assertEqual(self.parts.replies(), [])
 
     def test_no_write_before_all_members_have_adopted(self) -> None:
@@ -311,9 +317,9 @@
     def test_view_change_completes_committed_writes(self) -> None:
         self.chain.propose_write(write_request(1))
         self.chain.propose_write(write_request(2, 51, 52))
-        taken = self.parts.replica_state.uncommitted
-        assert taken is not None
-        self.parts.replica_state.committed, self.parts.replica_state.uncommitted = taken, None
+        applied = self.parts.replica_state.uncommitted
+        assert applied is not None
+        self.parts.replica_state.committed, self.parts.replica_state.uncommitted = applied, None
         self.chain.on_view_change()
         self.assertEqual(self.parts.replies(), [(1, WriteAcknowledged(51))])
         self.assertFalse(self.chain.is_active)
@@ -497,7 +503,7 @@
         self.assertEqual(member.parts.replies(), [])
         ((_, since),) = member.confirmer.waiting
         self.assertEqual(since, NOW)
-        member.confirmer.confirm()
+        member.confirmer.end_rounds()
         ((request, outcome),) = member.parts.replies()
         self.assertEqual((request, outcome), (1, ReadResult(5, 50, b"body 50", state().digest)))
 
@@ -505,7 +511,7 @@
         member = ChainMember("c")
         member.write(sender="b")
         member.chain.read(1)
-        member.confirmer.confirm()
+        member.confirmer.end_rounds()
         ((_, outcome),) = member.parts.replies()
         assert isinstance(outcome, ReadResult)
         self.assertEqual(outcome.sequence, 5)
@@ -514,21 +520,21 @@
         member = ChainMember("c")
         member.parts.replica_state.committed = RegisterState(epoch=EPOCH)
         member.chain.read(1)
-        member.confirmer.confirm()
+        member.confirmer.end_rounds()
         self.assertEqual(member.parts.replies(), [(1, NoConfiguration())])
 
     def test_unconfirmed_reads_are_repeated_until_their_deadline(self) -> None:
         member = ChainMember("c")
         member.chain.read(1)
-        member.confirmer.confirm(False)
+        member.confirmer.end_rounds(is_confirmed=False)
         self.assertEqual(member.parts.replies(), [])
         member.advance(0.4, heartbeats_of="ab")
         ((_, since),) = member.confirmer.waiting
         self.assertEqual(since, NOW)
-        member.confirmer.confirm(False)
+        member.confirmer.end_rounds(is_confirmed=False)
         member.advance(TIMING.request_deadline_s - 0.39, heartbeats_of="ab")
         self.assertEqual(member.parts.replies(), [(1, OutcomeUnknown())])
-        member.confirmer.confirm()
+        member.confirmer.end_rounds()
         self.assertEqual(member.parts.replies(), [])
 
     def test_no_read_in_a_sealed_epoch(self) -> None:
--- a/tests/fleet/test_planted_coordination_record_writer.py
+++ b/tests/fleet/test_planted_coordination_record_writer.py
@@ -13,7 +13,7 @@
 
 
 class RecordWriterTest(unittest.TestCase):
-    """Nothing counts before its sync; after a refusal nothing does until the whole state is written."""
+    """Callbacks wait for the sync; after a failure, until the whole state has been written."""
 
     def setUp(self) -> None:
         self.parts = Parts()
--- a/tests/fleet/test_planted_coordination_replica.py
+++ b/tests/fleet/test_planted_coordination_replica.py
@@ -25,7 +25,7 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    """Calls of a replica: nothing before the identity is synced, the lease's end before anything else."""
+    """Calls: nothing is sent before the identity is synced, and the lease expires before anything else."""
 
     def start(self, saved: list[bytes] | None = None, **fields: Any) -> Replica:
         self.replica = Replica(config(**fields), saved or [], NOW, lambda: 0.25)
@@ -38,7 +38,7 @@
         return self.actions
 
     def saved(self, own: str = "a", **fields: Any) -> list[bytes]:
-        """What a machine's disk holds in the middle of its life."""
+        """Return the records on the disk of a machine that has run for a while."""
         parts = Parts(own)
         for name, value in fields.items():
             setattr(parts.replica_state, name, value)
@@ -127,7 +127,7 @@
         return self.handle("heartbeat", pb.Heartbeat(**(known | answer | fields)), sender, now=now)
 
     def lead(self) -> int:
-        """It gains the lease, by its own grant and that of b; the term."""
+        """Gain the lease by grants of this machine and b; return the term."""
         self.start(self.saved(grantee="a"))
         for each in "bc":
             self.receive_heartbeat(each)
--- a/tests/fleet/test_planted_coordination_replica_state.py
+++ b/tests/fleet/test_planted_coordination_replica_state.py
@@ -12,7 +12,7 @@
 
 
 def full_replica_state() -> ReplicaState:
-    """Every field has a value of its own."""
+    """Return a state in which each field has a value of its own."""
     replica_state = ReplicaState(machine=identity("a"), newcomer=True)
     replica_state.view = view(term=term(4), size=5, base_tag=StateTag(2, 4))
     replica_state.committed = state()
@@ -24,7 +24,7 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """A record of everything keeps each durable field."""
+    """A snapshot keeps each durable field."""
 
     def setUp(self) -> None:
         self.replica_state = full_replica_state()
@@ -98,7 +98,7 @@
 
 
 class RecordsTest(unittest.TestCase):
-    """One record changes what it is there for."""
+    """Each record changes its own fields only."""
 
     def setUp(self) -> None:
         self.replica_state = ReplicaState(machine=identity("a"), view=view(), committed=state())
@@ -156,7 +156,7 @@
 
 
 class AdoptionTest(unittest.TestCase):
-    """A decided view replaces the one before, and its seal."""
+    """A decided view replaces the one before and unseals the epoch."""
 
     def setUp(self) -> None:
         self.replica_state = full_replica_state()
