--- a/tests/fleet/test_routing_fleet.py
+++ b/tests/fleet/test_routing_fleet.py
@@ -37,7 +37,7 @@
     def test_prefixes_spare_reading(self) -> None:
         with_prefixes, without = fleet(2, 1.0), fleet(2, 1.0)
         with_prefixes.play()
-        with mock.patch.object(PrefixAffinity, "pick", lambda self, now, pool, pending, ordinary: ordinary):
+        with mock.patch.object(PrefixAffinity, "select", lambda self, now, pool, pending, ordinary: ordinary):
             without.play()
         self.assertLess(with_prefixes.read_tokens(), 0.95 * without.read_tokens())
 
