--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -27,6 +27,7 @@
 from rosechute.distribution.membership import MEMBERSHIP_GRACE_S, EdgeIdentity
 from rosechute.distribution.publisher import Publisher
 from rosechute.distribution.subscriber import Subscriber
+from rosechute.distribution.topics import NO_POSITION
 from rosechute.distribution.values import Configuration, ListedServer, decode_configuration
 from rosechute.messages import coordination_pb2
 from rosechute.messages import distribution_pb2 as pb
@@ -77,7 +78,7 @@
         value = Configuration.from_body(1, 1, body)
         quota = QuotaService(Bounds())
         write = coordination_pb2.CoreMessage(chain_write=chain_write_message(RegisterState(1, 1, 1, body, b"d" * 32)))
-        message = value.update_message((0, 0), NOW)
+        message = value.update_message(NO_POSITION, NOW)
         figures["body"].points[size] = len(body)
         figures["sent"].points[size] = len(message.SerializeToString())
         figures["read"].points[size] = microseconds(lambda body=body: parse_configuration(body))
@@ -147,7 +148,7 @@
     for members in MEMBERS:
         publisher, edges = _leader(members, SIZE.services)
         now = NOW + 2.0
-        renew, behind = edges[0]._renew(1), edges[0]._renew(1)
+        renew, behind = edges[0]._requests.renew(1), edges[0]._requests.renew(1)
         behind.renew.members_revision = 0
         data, data_behind = renew.SerializeToString(), behind.SerializeToString()
 
@@ -221,7 +222,7 @@
         same.points[count] = microseconds(lambda p=publisher, listed=listed: p.endpoint_list_read(NOW + 2.0, listed))
         one.points[count] = microseconds(reading_with_change)
         lists = publisher._store.lists()
-        messages = [value.update_message((0, 0), NOW).SerializeToString() for value in lists]
+        messages = [value.update_message(NO_POSITION, NOW).SerializeToString() for value in lists]
         whole.points[count] = sum(len(message) + FRAME_BYTES for message in messages)
         first = publisher._store.service_list(service_name(0))
         assert first is not None
@@ -249,7 +250,7 @@
             now = NOW + 10.0
             publisher.leadership_gained(now, next(terms))
             for number, edge in enumerate(edges):
-                publisher.receive(now, number, edge._renew(1))
+                publisher.receive(now, number, edge._requests.renew(1))
             began = time.thread_time_ns()
             encoded: dict[int, bytes] = {}
             total = 0
--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -20,7 +20,7 @@
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.store import TopicStore
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.distribution.topics import CONFIG_TOPIC
+from rosechute.distribution.topics import CONFIG_TOPIC, NO_POSITION, Position
 from rosechute.distribution.values import Configuration, ServiceList, decode_servers, next_service_list
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind, encode_frame
@@ -46,9 +46,9 @@
 
 def _list(count: int, revision: int, ready: bool) -> ServiceList:
     """A list as it was, and with one server that drains."""
-    first = next_service_list(None, SERVICE, (1, 1), servers(count, 1), NOW)
+    first = next_service_list(None, SERVICE, Position(1, 1), servers(count, 1), NOW)
     changed = [replace(each, ready=ready) if number == 0 else each for number, each in enumerate(servers(count, 1))]
-    return first if revision == 1 else next_service_list(first, SERVICE, (1, revision), changed, NOW)
+    return first if revision == 1 else next_service_list(first, SERVICE, Position(1, revision), changed, NOW)
 
 
 def list_at_edge() -> list[Slope]:
@@ -63,10 +63,12 @@
     edges = Slope("put another number of living edges in force", "us", "servers")
     for count in LISTED:
         start, after = _list(count, 1, True), _list(count, 2, False)
-        message, change = start.update_message((0, 0), NOW), after.update_message(start.position, NOW)
+        message, change = start.update_message(NO_POSITION, NOW), after.update_message(start.position, NOW)
         raw = message.SerializeToString()
         whole_b.points[count], delta_b.points[count] = len(raw) + 5, len(change.SerializeToString()) + 5
-        new_term = next_service_list(start, SERVICE, (2, 1), servers(count, 1), NOW).update_message((0, 0), NOW)
+        new_term = next_service_list(start, SERVICE, Position(2, 1), servers(count, 1), NOW).update_message(
+            NO_POSITION, NOW
+        )
         parse.points[count] = microseconds(lambda raw=raw: pb.Distribution.FromString(raw), rounds=3)
         whole.points[count] = microseconds(lambda m=message: TopicStore().apply_list(m.list, NOW), rounds=3)
         base = TopicStore()
@@ -78,7 +80,7 @@
     return [whole_b, delta_b, parse, whole, again, delta, first, plane, edges]
 
 
-def home_edge() -> list[Slope]:
+def home() -> list[Slope]:
     """What an edge does as the home of a topic, by the edges that follow it there."""
     config = Slope("home: pass a configuration on", "us", "followers")
     delta = Slope("home: pass a delta on", "us", "followers")
@@ -86,11 +88,11 @@
     renewed_b = Slope("subscription and its answer", "B", "followers")
     update = TopicStore()
     update.put(Configuration.from_body(1, 1, configuration(200, SIZE.tenants)))
-    message = update.get(CONFIG_TOPIC).update_message((0, 0), NOW).config
+    message = update.get(CONFIG_TOPIC).update_message(NO_POSITION, NOW).config
     start, after = _list(523, 1, True), _list(523, 2, False)
     for followers in FOLLOWERS:
         edge = Subscriber(NOW, EdgeIdentity("edge-0", "east-1", "10.3.0.0:7515"), 1, ["10.9.0.1:7500"])
-        edge.receive(NOW, "leader", pb.Distribution(list=start.update_message((0, 0), NOW).list))
+        edge.receive(NOW, "leader", pb.Distribution(list=start.update_message(NO_POSITION, NOW).list))
         for number in range(followers):
             for topic in (CONFIG_TOPIC, start.topic):
                 edge.receive(NOW, number, _subscribe(number, topic))
@@ -262,7 +264,7 @@
     for count in SESSIONS:
         by_session.points[count] = _allocated(lambda count=count: _sessions(count))
     for count in LISTED:
-        raw = _list(count, 1, True).update_message((0, 0), NOW).SerializeToString()
+        raw = _list(count, 1, True).update_message(NO_POSITION, NOW).SerializeToString()
         by_server.points[count] = _allocated(lambda raw=raw: _store(raw))
         in_router.points[count] = _allocated(lambda count=count: _router(count))
         in_connections.points[count] = _allocated(lambda count=count: _connections(count))
--- a/benchmarks/fleet_slopes_links.py
+++ b/benchmarks/fleet_slopes_links.py
@@ -61,7 +61,7 @@
     publisher = Publisher(lambda now, request: None)
     publisher.leadership_gained(NOW, 1)
     for number, connection in enumerate(connections):
-        renew = Subscriber(NOW, edge_identity(number), number + 1, ["10.9.0.1:7500"])._renew(1)
+        renew = Subscriber(NOW, edge_identity(number), number + 1, ["10.9.0.1:7500"])._requests.renew(1)
         publisher.receive(NOW, connection, renew)
     listed = servers(SIZE.servers)
     began, wall = time.process_time_ns(), time.perf_counter_ns()
--- a/benchmarks/hollow_edges.py
+++ b/benchmarks/hollow_edges.py
@@ -25,7 +25,7 @@
 )
 from rosechute.distribution.membership import EdgeIdentity
 from rosechute.distribution.subscriber import Subscriber
-from rosechute.distribution.topics import CONFIG_TOPIC
+from rosechute.distribution.topics import CONFIG_TOPIC, NO_POSITION
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.errors import LinkError
 from rosechute.messages.framing import MessageKind
@@ -168,7 +168,7 @@
     def _list(self, changed: ServersChanged) -> None:
         began = time.thread_time_ns()
         now = time.monotonic()
-        self.seen.backwards += changed.position <= self._positions.get(changed.service, (0, 0))
+        self.seen.backwards += changed.position <= self._positions.get(changed.service, NO_POSITION)
         self._positions[changed.service] = changed.position
         before = self._servers.get(changed.service, {})
         after = {server.id: server.ready for server in changed.servers}
