--- a/benchmarks/fleet_slopes_links.py
+++ b/benchmarks/fleet_slopes_links.py
@@ -82,7 +82,7 @@
 def _waits(connection: LinkConnection) -> bool:
     """Whether something is still to be sent."""
     transport = connection._transport
-    return transport is not None and (bool(connection._pending) or transport.get_write_buffer_size() > 0)
+    return transport is not None and (bool(connection._queue) or transport.get_write_buffer_size() > 0)
 
 
 if __name__ == "__main__":
