--- a/tests/fleet/simulation/checkers.py
+++ b/tests/fleet/simulation/checkers.py
@@ -1,4 +1,4 @@
-"""What must hold after every step, judged from outside with true time.
+"""Invariants of the coordination, checked after every step from outside and by true time.
 
 Each check is a method that raises `Violation`; `test_coordination_planted.py` shows for each that it can fail.
 """
@@ -35,7 +35,7 @@
 
 
 class History(Observer):
-    """All that was ordered, acknowledged, refused, read and committed."""
+    """History of all writes and reads, and the checks on it."""
 
     def __init__(self, world: World, judged: Collection[str] | None = None) -> None:
         self.world = world
@@ -63,13 +63,13 @@
         if self.judged is None or check in self.judged:
             raise Violation(check, text)
 
-    # Line of orders
+    # Sequence of committed writes
 
     def newest_acknowledged(self) -> int:
         return self.acknowledged_sequences[-1] if self.acknowledged_sequences else 0
 
     def newest_version(self) -> int:
-        """Of the newest configuration that is known to stay, at whichever machine."""
+        """Return the version of the newest configuration that any machine reported as committed."""
         return self.orders[self.line[max(self.line)]].version if self.line else 0
 
     def on_committed(self, machine: Machine, configuration: CommittedConfiguration) -> None:
@@ -109,7 +109,7 @@
     # Requests
 
     def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
-        """The process takes a request up."""
+        """Record a request that a process takes."""
         digest = order.digest if order is not None else None
         if order is not None:
             self.orders.setdefault(order.digest, order)
@@ -162,7 +162,7 @@
         self._check_disk(machine)
 
     def _check_disk(self, machine: Machine) -> None:
-        """A process starts with everything that one before it on this disk was told to be synced."""
+        """Check that a process starts with everything that was reported as synced to an earlier one on its disk."""
         synced = machine.disk.synced
         if synced is None or machine.replica is None:
             return
@@ -174,7 +174,7 @@
             self._object("disk", f"{machine.name}: started with {found}, {synced} was synced")
 
     def on_end(self, machine: Machine) -> None:
-        """Requests end with the process, and so does its lease."""
+        """Forget the requests and the lease of a process that has ended."""
         self.claims.discard(machine)
         for request, asked in list(self.requests.items()):
             if asked[0] is machine:
@@ -205,7 +205,7 @@
             self.check_answered()
 
     def _check_lease(self, machine: Machine) -> None:
-        """At most one holder by true time; the claim of a machine that doesn't run is judged by its clock."""
+        """Check that at most one machine leads, by true time; one that doesn't run is judged by its own clock."""
         if machine.replica and machine.replica.is_leader(machine.now()) and machine not in self.claims:
             self._object("lease", f"{machine.name} holds the lease and has not told so")
         if len(self.claims) > 1:
@@ -239,7 +239,7 @@
             self._object("fresh", f"{machine.name}: {sequence} as of {as_of:.3f}, {newer} was acknowledged")
 
     def check_answered(self) -> None:
-        """No process that runs leaves a request without an answer for long."""
+        """Check that no running process leaves a request without a reply for long."""
         for request, (machine, boot, since, _, _) in self.requests.items():
             if machine.running and machine.boots == boot and not machine.slept_since(since):
                 waited = self.world.now - since
--- a/tests/fleet/simulation/cluster.py
+++ b/tests/fleet/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A formed cluster under all checkers, with the words that forced schedules are written in."""
+"""A formed cluster under all checkers, with the operations that scripted schedules consist of."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Cluster:
-    """A world with its history."""
+    """A simulated world with its checkers."""
 
     def __init__(
         self, size: int = 3, seed: int = 1, judged: Collection[str] | None = None, compaction: float = 0.0
@@ -44,13 +44,13 @@
         return self.newest_view().epoch
 
     def chain(self) -> list[Machine]:
-        """The members of the newest chain, head first."""
+        """Return the members of the newest chain that run, head first."""
         view = self.newest_view()
         by_id = {self.replica(each).identity.id: each for each in self.machines if each.up}
         return [by_id[each] for each in view.chain if each in by_id]
 
     def role(self, name: str) -> Machine:
-        """`head`, `middle`, `tail` or `leader`."""
+        """Return the machine in a role: `head`, `middle`, `tail` or `leader`."""
         if name == "leader":
             leader = self.leader()
             assert leader is not None
@@ -71,7 +71,7 @@
     def run_until_epoch(self, epoch: int, limit: float = 5.0) -> bool:
         return self.run_until(lambda: self.epoch() >= epoch, limit)
 
-    # Orders and reads, at a machine of choice and without repeats
+    # Writes and reads at a chosen machine, without retries
 
     def version(self) -> int:
         return self.history.newest_version()
@@ -84,7 +84,7 @@
         return WriteRequest(0, base, version, body, hashlib.sha256(body).digest())
 
     def propose_write(self, machine: Machine, order: WriteRequest) -> list[Outcome]:
-        """Send an order once; the list holds its answer when that has come."""
+        """Send a write request once; its outcome is appended to the list that is returned."""
         request = WriteRequest(self.world.new_request(), order.base_version, order.version, order.body, order.digest)
         outcomes: list[Outcome] = []
         self.world.propose_write(machine, request, lambda _, outcome: outcomes.append(outcome))
@@ -96,7 +96,7 @@
         return outcomes
 
     def settle(self, order: WriteRequest | None = None) -> WriteRequest:
-        """An order that is acknowledged at the head at once."""
+        """Write at the head and return the request; it has to be acknowledged within 0.5 s."""
         order = order or self.make()
         outcomes = self.propose_write(self.role("head"), order)
         self.run(0.5)
@@ -104,13 +104,13 @@
         return order
 
     def restart(self, machines: Iterable[Machine]) -> None:
-        """Kill these processes; each is started again at once on what its disk holds."""
+        """Kill processes, and restart each at once from its disk."""
         for machine in machines:
             machine.kill()
             machine.start()
 
     def operate(self, limit: float = 4.0) -> float:
-        """An operator gives an order by the rules of its API; the time until it is acknowledged."""
+        """Write as an operator does, with redirects and retries; return the seconds until the acknowledgement."""
         operator = Operator(self.world, f"operator {self.world.now}", (0.0, 0.0))
         operator.stopped = True
         began = self.world.now
@@ -123,5 +123,5 @@
 
 
 def kind(message: Any) -> str:
-    """Name of the message's body."""
+    """Return the name of the message's body field."""
     return str(message.WhichOneof("body"))
--- a/tests/fleet/simulation/observer.py
+++ b/tests/fleet/simulation/observer.py
@@ -1,4 +1,4 @@
-"""What those who watch a simulated world are told."""
+"""Interface of the observers of a simulated world, and the error that they raise."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class Violation(AssertionError):
-    """A rule is broken. `check` names it."""
+    """An invariant is violated.
+
+    Attributes:
+        check: name of the invariant.
+    """
 
     def __init__(self, check: str, text: str) -> None:
         super().__init__(f"{check}: {text}")
@@ -19,25 +23,25 @@
 
 
 class Observer:
-    """Looks on, and does nothing."""
+    """An observer that does nothing. Calls come in the order of the events, by true time."""
 
     def check(self, machine: Machine) -> None:
-        """This machine has handled something."""
+        """Check the invariants after a machine has handled an event."""
 
     def on_boot(self, machine: Machine) -> None:
-        """A process has started."""
+        """Handle the start of a process."""
 
     def on_end(self, machine: Machine) -> None:
-        """A process ends."""
+        """Handle the end of a process."""
 
     def on_request(self, machine: Machine, request: int, order: WriteRequest | None) -> None:
-        """A process takes up an order, or a read."""
+        """Handle a request that a process takes: a write, or a read where `order` is None."""
 
     def on_answer(self, machine: Machine, request: int, outcome: Outcome) -> None:
-        """A process answers."""
+        """Handle the reply of a process."""
 
     def on_committed(self, machine: Machine, configuration: CommittedConfiguration) -> None:
-        """A process knows that this configuration stays."""
+        """Handle a configuration that a process reports as committed."""
 
     def on_lease(self, machine: Machine, action: LeadershipGained | LeadershipLost) -> None:
-        """A process leads, or leads no more."""
+        """Handle a process that gains or loses leadership."""
--- a/tests/fleet/simulation/operators.py
+++ b/tests/fleet/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators that change and read the configuration, as the operator's API says: they move on, follow and repeat."""
+"""Simulated clients of the operator's API: they time out, follow redirects and retry with backoff."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def order_of(base: int, version: int, body: bytes) -> WriteRequest:
-    """The order that replaces `base` by this body."""
+    """Return the write request that replaces version `base` by a body."""
     return WriteRequest(0, base, version, body, write_request_digest(base, body))
 
 
 class Operator:
-    """One call at a time, repeated until its answer is clear."""
+    """A client with one call at a time, retried until its outcome is known."""
 
     def __init__(self, world: World, name: str, pause: tuple[float, float] = (0.05, 1.5)) -> None:
         self.world = world
@@ -62,7 +62,7 @@
             self.give(self.known)
 
     def give(self, base: int, to: Machine | None = None) -> WriteRequest:
-        """Give a new order on this base."""
+        """Send a new write on top of a base version."""
         self._made += 1
         version = base + self.random.randint(1, 3)
         body = f"{self.name} {self._made}: {version} on {base}".encode() + b"x" * self.random.randint(0, 50)
@@ -71,7 +71,7 @@
         return order
 
     def give_order(self, order: WriteRequest, to: Machine | None = None) -> None:
-        """Give this order, a new one or one that was given before."""
+        """Send a write, a new one or one that was sent before."""
         self.order = order
         self.began = self.world.now
         self._try(0, 0, to)
