--- a/tests/fleet/exploration/choices.py
+++ b/tests/fleet/exploration/choices.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far the search goes from a root."""
+    """Bounds of the search from a root."""
 
     depth: int = 8  # steps
     faults: int = 1  # of FAULTS, in all
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Choice:
-    """One step: its kind, the machine it is about, and what else it needs."""
+    """One step: its kind, its machine and its arguments."""
 
     kind: str
     machine: int = 0
@@ -48,17 +48,17 @@
 
     @property
     def is_fault(self) -> bool:
-        """Whether it counts against the bound on faults."""
+        """Whether the step counts against the bound on faults."""
         return self.kind in FAULTS
 
     @property
     def is_move(self) -> bool:
-        """Whether time passes."""
+        """Whether the step advances the time."""
         return self.kind in {"pass", "calm"}
 
 
 def parse(text: str) -> Choice:
-    """The choice of this text."""
+    """Return the choice that a text denotes."""
     kind, *words = text.split()
     if kind in {"deliver", "lose"}:
         return Choice(kind, int(words[0]), int(words[1]))
@@ -85,7 +85,7 @@
 
 
 def call(world: World, machine: Machine, name: str) -> None:
-    """Make a call at a machine."""
+    """Make a request of an operator at a machine."""
     world.used |= {name}
     request = 1 + CALLS.index(name)
     if name.startswith("read"):
@@ -95,14 +95,14 @@
 
 
 def order(name: str, request: int) -> WriteRequest:
-    """One of the operators' orders. All roots begin with version 1."""
+    """Return one of the operators' write requests; all roots start with version 1."""
     base, version = VERSIONS[name]
     body = f"{version} on {base}, {name}".encode()
     return WriteRequest(request, base, version, body, hashlib.sha256(body).digest())
 
 
 def play(world: World, choice: Choice) -> None:
-    """Make a step."""
+    """Perform a step."""
     machine = world.machines[choice.machine]
     match choice.kind:
         case "deliver":
@@ -162,7 +162,7 @@
 
 
 def choices(world: World, bounds: Bounds, path: Sequence[Choice]) -> list[Choice]:
-    """The steps that can be made now, within the bounds."""
+    """Return the steps that are possible now, within the bounds."""
     faults = sum(each.is_fault for each in path)
     moves = sum(each.is_move for each in path)
     disk_lost = any(each.kind == "wipe" for each in path)  # one at a time is borne
--- a/tests/fleet/exploration/invariants.py
+++ b/tests/fleet/exploration/invariants.py
@@ -53,18 +53,18 @@
 
 @lru_cache(maxsize=4096)
 def on_disk(records: tuple[bytes, ...]) -> ReplicaState:
-    """What a start from these records would know. Not to be changed."""
+    """Return the state that a start from these records would restore; callers must not change it."""
     return load_replica_state(records)
 
 
 def _holds(disk: ReplicaState, sequence: int) -> bool:
-    """Whether a disk holds this sequence: in its state, or in one that it has accepted for the next view."""
+    """Return whether a disk holds a sequence, in its state or in the proposal accepted for the next view."""
     accepted = disk.accepted.state.sequence if disk.accepted is not None else 0
     return max(disk.newest.sequence, accepted) >= sequence
 
 
 class Ledger(History):  # type: ignore[misc]
-    """The history of one path through the states."""
+    """History of one path through the states, with the checks on it."""
 
     def __init__(self, world: World, judged: Collection[str] | None = None) -> None:
         super().__init__(world, judged)
@@ -75,13 +75,13 @@
     # Saved states
 
     def save(self) -> dict[str, Any]:
-        """Copies of everything that changes."""
+        """Return copies of everything that changes."""
         saved = {name: getattr(self, name).copy() for name in _CONTAINERS}
         saved.update({name: getattr(self, name) for name in _NUMBERS})
         return saved
 
     def load(self, saved: dict[str, Any]) -> None:
-        """Put a saved history back."""
+        """Restore a saved history."""
         for name in _CONTAINERS:
             setattr(self, name, saved[name].copy())
         for name in _NUMBERS:
@@ -89,7 +89,7 @@
 
     @staticmethod
     def key(saved: dict[str, Any]) -> tuple[Any, ...]:
-        """What of a history decides whether a later step is objected to."""
+        """Return the part of a history that decides whether a later step is a violation."""
         requests = saved["requests"]
         return (
             tuple(sorted(saved["line"].items())),
@@ -106,11 +106,11 @@
     # Disks
 
     def on_wipe(self, machine: Machine) -> None:
-        """The disk is another one from here on."""
+        """Handle the replacement of a machine's disk."""
         self.tags.pop(machine.control, None)
 
     def on_written(self, machine: Machine) -> None:
-        """Something reached the disk."""
+        """Check a disk after a write."""
         found = on_disk(machine.state.records)
         before = self.tags.get(machine.control, (0, 0))
         if found.newest.tag < before:
@@ -118,7 +118,7 @@
         self.tags[machine.control] = found.newest.tag
 
     def check(self, machine: Machine) -> None:
-        """After every step of a machine."""
+        """Check the invariants after a step of a machine."""
         super().check(machine)
         self._check_disk(machine)
 
@@ -141,7 +141,7 @@
     # Messages
 
     def on_sent(self, machine: Machine, message: CoreMessage) -> None:
-        """A message leaves a machine."""
+        """Check a message that a machine sends."""
         kind = message.WhichOneof("body")
         found = on_disk(machine.state.records)
         if kind == "promise":
@@ -177,20 +177,20 @@
         super().on_request(machine, request, order)
 
     def on_heard(self, machine: Machine, source: int) -> None:
-        """A message of another machine came."""
+        """Record a message that a machine received."""
         for number, asked in self.requests.items():
             if asked[0] is machine:
                 self.heard_since[number] |= {source}
 
     def on_answer(self, machine: Machine, request: int, outcome: Outcome) -> None:
-        """It is answered."""
+        """Check the reply to a request."""
         heard = self.heard_since.pop(request, frozenset())
         if isinstance(outcome, ReadResult | NoConfiguration | VersionConflict):
             self._check_certain(machine, heard, outcome)
         super().on_answer(machine, request, outcome)
 
     def on_end(self, machine: Machine) -> None:
-        """The process ends, and with it its requests."""
+        """Forget the requests of a process that has ended."""
         super().on_end(machine)
         self.heard_since = {number: heard for number, heard in self.heard_since.items() if number in self.requests}
 
@@ -206,7 +206,7 @@
             self._check_copies(machine, self.place[digest])
 
     def _check_copies(self, machine: Machine, sequence: int) -> None:
-        """Any majority of the acceptors holds an acknowledged order."""
+        """Check that any majority of the acceptors holds an acknowledged write."""
         assert machine.replica is not None
         view = machine.replica.view
         disks = [on_disk(each.state.records) for each in self.world.machines]
--- a/tests/fleet/exploration/machine.py
+++ b/tests/fleet/exploration/machine.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Records that are being written."""
+    """A batch of records on its way to the disk."""
 
     token: int
     records: tuple[bytes, ...]
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineState:
-    """Everything about one machine. `packed` is its process; None while there is none."""
+    """State of one machine. `packed` is its serialized replica; None while no process runs."""
 
     packed: bytes | None = None
     boots: int = 0
@@ -59,7 +59,7 @@
 
 
 class Machine:
-    """One core machine: what the checkers look at, and its state."""
+    """A core machine: its state, and the attributes that the checkers read."""
 
     def __init__(self, world: World, number: int, name: str) -> None:
         self.world = world
@@ -76,7 +76,7 @@
 
     @property
     def replica(self) -> Replica | None:
-        """The process, to be looked at only."""
+        """The replica, read-only."""
         packed = self.state.packed
         if packed and packed is not self._replica_of:
             self._replica, self._replica_of = unpack(packed), packed
@@ -100,7 +100,7 @@
 
     @property
     def works(self) -> bool:
-        """Whether its process runs and its disk writes."""
+        """Whether the process runs and the disk works."""
         return self.running and not self.state.hung
 
     def now(self) -> float:
@@ -108,7 +108,7 @@
         return self.clock.at(self.world.now)
 
     def slept_since(self, when: float) -> bool:
-        """Whether the machine was frozen at some time since then."""
+        """Return whether the machine was frozen at some time since then."""
         return self.state.thawed_at >= when
 
     # State
@@ -122,19 +122,19 @@
         return self.state
 
     def load(self, state: MachineState) -> None:
-        """Go back to a state."""
+        """Restore a state."""
         if self.state.packed == UNPACKED:
             self._replica_of = None
         self.state = state
 
     def change(self, **changes: Any) -> None:
-        """Change parts of the state."""
+        """Replace fields of the state."""
         self.state = replace(self.state, **changes)
 
     # Steps
 
     def start(self, bootstrap: bool = False) -> None:
-        """Start a process on what the disk holds."""
+        """Start a process from the records on the disk."""
         boots = self.boots + 1
         zone, world = f"zone-{self.number % 3}", self.world
         config = ReplicaConfig(self.name, zone, self.control, self.peer, bootstrap, world.seeds, world.timing)
@@ -159,7 +159,7 @@
         self.world.ledger.on_wipe(self)
 
     def run(self, call: Callable[[Replica], list[Action]]) -> None:
-        """Let the process handle something."""
+        """Make a call of the replica and perform its actions."""
         replica = self.replica
         assert replica is not None
         if self.state.packed != UNPACKED:
@@ -169,20 +169,20 @@
         self.world.ledger.check(self)
 
     def sync(self) -> None:
-        """The oldest batch reaches the disk, and the process is told."""
+        """Sync the oldest batch and report it to the replica."""
         batch = self.state.queue[0]
         self._write(batch)
         self.change(queue=self.state.queue[1:])
         self.run(lambda replica: replica.on_persisted(self.now(), batch.token))
 
     def refuse(self) -> None:
-        """The disk refuses the oldest batch, and all behind it: a snapshot has to come first."""
+        """Fail the oldest batch and all behind it: a snapshot has to come first."""
         batch = self.state.queue[0]
         self.change(queue=())
         self.run(lambda replica: replica.on_persist_failed(self.now(), batch.token))
 
     def snapshot(self) -> None:
-        """A snapshot of the whole state takes the place of the newest batch; without one, of the log at once."""
+        """Replace the newest batch by a snapshot; without a batch, replace the log at once."""
         assert self.replica is not None
         records, queue = tuple(self.replica.snapshot()), self.state.queue
         if queue:
--- a/tests/fleet/exploration/packing.py
+++ b/tests/fleet/exploration/packing.py
@@ -50,14 +50,14 @@
 
 
 def pack(replica: Replica) -> bytes:
-    """The replica as bytes."""
+    """Return a replica as bytes."""
     buffer = io.BytesIO()
     _Pickler(buffer, pickle.HIGHEST_PROTOCOL).dump(replica)
     return buffer.getvalue()
 
 
 def unpack(data: bytes) -> Replica:
-    """A copy of the replica that these bytes were made of."""
+    """Return a copy of the replica that was packed."""
     replica = pickle.loads(data)
     assert isinstance(replica, Replica)
     return replica
--- a/tests/fleet/exploration/plants.py
+++ b/tests/fleet/exploration/plants.py
@@ -1,4 +1,4 @@
-"""Faults that are planted into the coordination, each as a patch: the search has to find them.
+"""Faults planted into the coordination, each as a patch: the search has to find each of them.
 
 Each names where it is found and the checks that are to object. With `judged` only those checks count, so that a fault
 is found by its consequence and not by the first check that sees it.
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plant:
-    """One fault, and the search that finds it."""
+    """A planted fault, and the search that has to find it."""
 
     name: str
     patch: Patches
@@ -39,7 +39,7 @@
 
 @contextlib.contextmanager
 def planted(plant: Plant | None) -> Iterator[None]:
-    """The fault is there within this context."""
+    """Plant the fault within this context."""
     with contextlib.ExitStack() as stack:
         if plant is not None:
             plant.patch(stack)
@@ -139,7 +139,7 @@
 
 
 def _nothing(stack: contextlib.ExitStack) -> None:
-    """The fault is in the settings."""
+    """Patch nothing: the fault is in the time-outs."""
 
 
 _RESTARTS = frozenset({"crash", "restart", "calm"})
--- a/tests/fleet/exploration/probe.py
+++ b/tests/fleet/exploration/probe.py
@@ -1,4 +1,4 @@
-"""Whether a state can recover: all troubles end, calm time passes, and an order has to be acknowledged."""
+"""Recovery of a state: all faults end, and a write has to be acknowledged within a limit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def recover(world: World) -> float:
-    """Heal everything and give an order; the time until it is acknowledged. Raises `Violation`."""
+    """End all faults and write; return the seconds until the acknowledgement. Raises `Violation`."""
     world.outcomes.clear()  # of an earlier path
     end_troubles(world)
     began, request = world.now, FIRST_REQUEST
--- a/tests/fleet/exploration/search.py
+++ b/tests/fleet/exploration/search.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """A state and how it was reached."""
+    """A state, and the steps that lead to it."""
 
     saved: Saved
     path: tuple[Choice, ...]
@@ -26,7 +26,7 @@
 
 @dataclass
 class Report:
-    """What a search has covered."""
+    """Coverage of a search."""
 
     root: str
     size: int  # machines that the cluster was formed of
@@ -142,7 +142,7 @@
 
 
 def describe(world: World) -> list[str]:
-    """What each machine and each link holds."""
+    """Describe the state of each machine and link."""
     lines = []
     for machine in world.machines:
         replica = machine.replica
--- a/tests/fleet/exploration/world.py
+++ b/tests/fleet/exploration/world.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Saved:
-    """A state of the world."""
+    """State of the world."""
 
     now: float
     machines: tuple[MachineState, ...]
@@ -32,7 +32,7 @@
     ledger: dict[str, Any]
 
     def key(self) -> int:
-        """A hash of what matters for what can follow."""
+        """Return a hash of everything that decides which steps can follow."""
         links = tuple(
             (link, tuple(each.SerializeToString(deterministic=True) for each in queue))
             for link, queue in sorted(self.links.items())
@@ -41,7 +41,7 @@
 
 
 class World:
-    """True time, the machines and the links between them."""
+    """True time, the machines, and the links between them."""
 
     def __init__(self, size: int, timing: Timing | None = None, judged: Collection[str] | None = None) -> None:
         self.now = 0.0
@@ -66,13 +66,13 @@
     # Saved states
 
     def save(self) -> Saved:
-        """The state as it is; it never changes."""
+        """Return the current state, which is immutable."""
         states = tuple(each.save() for each in self.machines)
         links = {link: queue for link, queue in self.links.items() if queue}
         return Saved(self.now, states, links, self.cuts, self.used, self.ledger.save())
 
     def load(self, saved: Saved) -> None:
-        """Go back to a state."""
+        """Restore a state."""
         self.now = saved.now
         for machine, state in zip(self.machines, saved.machines, strict=True):
             machine.load(state)
@@ -96,7 +96,7 @@
         self.links[link] = (*queue, message)
 
     def deliverable(self) -> list[Link]:
-        """The links whose next message can come now."""
+        """Return the links whose next message can be delivered now."""
         return [
             link
             for link, queue in sorted(self.links.items())
