--- a/rosechute/control_plane/rate_lease_owners.py
+++ b/rosechute/control_plane/rate_lease_owners.py
@@ -70,7 +70,6 @@
             return None
         self._granted_at = {edge: granted_at for edge, granted_at in self._granted_at.items() if edge in live}
         self._granted_at.update(dict.fromkeys(self._unpersisted, now))
-        self._unpersisted.clear()
         self._pending = frozenset(self._granted_at)
         self._written_at = now
         return self._pending
--- a/tests/fleet/test_control_rate_lease_owners.py
+++ b/tests/fleet/test_control_rate_lease_owners.py
@@ -109,6 +109,25 @@
         self.assertIsNone(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S))
         self.assertEqual(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S + 0.1), names())
 
+    def test_a_set_without_edges_that_are_gone_is_not_written_again(self) -> None:
+        self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
+        self.assertIsNone(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S + 0.1))
+
+    def test_edges_that_are_gone_are_left_out_some_time_after_the_last_set(self) -> None:
+        self.owners.on_report(A)
+        self.owners.on_persisted(self.owners.to_persist(GAIN) or names())
+        self.owners.try_grant(GAIN + 6.0, B)
+        self.owners.on_persisted(self.owners.to_persist(GAIN + 6.0) or names())
+        self.assertIsNone(self.owners.to_persist(GAIN + PRUNE_INTERVAL_S + 2.0))
+        self.assertEqual(self.owners.to_persist(GAIN + 6.1 + PRUNE_INTERVAL_S), names())
+
+    def test_another_set_that_is_synced_changes_nothing(self) -> None:
+        self.owners.to_persist(GAIN)
+        self.owners.try_grant(GAIN, B)
+        self.owners.on_persisted(names(C))
+        self.assertIsNone(self.owners.to_persist(GAIN))
+        self.assertFalse(self.owners.try_grant(GAIN, C))
+
     def test_all_have_reported_once_each_has(self) -> None:
         owners = RateLeaseOwnerTracker(GAIN, names(A, B))
         owners.on_report(A)
@@ -157,6 +176,13 @@
         self.renew(GAIN + 0.1, B)
         self.assertGreater(self.issued_by(GAIN + 1.0), 0.45 * LIMIT.rate_per_s, "half of what it holds goes ahead")
 
+    def test_a_bucket_in_use_fills_at_the_whole_rate_once_all_have_reported(self) -> None:
+        self.gain(names(A, B))
+        self.issued_by(GAIN + 0.05)
+        self.renew(GAIN + 0.1, A)
+        self.renew(GAIN + 0.1, B)
+        self.assertGreater(self.issued_by(GAIN + 1.0), 0.4 * LIMIT.rate_per_s)
+
     def test_a_part_of_the_rate_while_one_is_silent(self) -> None:
         self.gain(names(A, B))
         self.renew(GAIN + 0.1, A)
--- a/tests/fleet/test_planted_control_quota.py
+++ b/tests/fleet/test_planted_control_quota.py
@@ -533,6 +533,14 @@
             self.assertEqual(self.leases.renew(now, A, report(900.0)).rate, 0.0)
         self.assertGreater(self.leases.renew(NO_LEASE_S, A, report(900.0)).rate, 0.0)
 
+    def test_the_longest_promise_of_earlier_leaders_holds(self) -> None:
+        new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
+        new.renew(0.0, A, report(0.0, no_lease_s=3.0))
+        new.renew(0.1, B, report(0.0))
+        new.on_all_reported(0.2)
+        self.assertEqual(new.renew(1.0, A, report(900.0)).rate, 0.0)
+        self.assertGreater(new.renew(3.0 * (1 + CLOCK_DRIFT), A, report(900.0)).rate, 0.0)
+
     def test_a_new_leader_promises_nothing_before_it_knows(self) -> None:
         large = LeaseReport("t", 0.0, 0.0, 0.0, 0.0, 900.0, 1500.0)
         new = RateLeases(TOTALS, leases_known_at=LEASE_EXPIRY_S)
