--- a/benchmarks/replay/hooks.py
+++ b/benchmarks/replay/hooks.py
@@ -54,6 +54,8 @@
 ROUTER: dict[str, Alternatives] = {
     STEP + "actions": (("tests.fleet.test_routing_properties", "Schedule", "take"),),
 }
+# A request as a server has read it: what the data plane sent.
+DATA_PLANE: dict[str, Alternatives] = {STEP + "request": (("tests.fleet.data_model", "Arrival", "__init__"),)}
 SIDECAR: dict[str, Alternatives] = {"trace": (("rosechute.lab.trace", "Trace", "add"),)}
 
 
--- a/benchmarks/replay/scenarios.py
+++ b/benchmarks/replay/scenarios.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.replay.hooks import COORDINATION, DISTRIBUTION, ROUTER, ROUTING, SIDECAR, Alternatives
+from benchmarks.replay.hooks import COORDINATION, DATA_PLANE, DISTRIBUTION, ROUTER, ROUTING, SIDECAR, Alternatives
 
 COORDINATION_STRIDE = 7  # the kind of a world is its seed modulo 100: few seeds meet all kinds
 DISTRIBUTION_DAY_S = 12.0
@@ -29,12 +29,15 @@
         prepare: called once in each process.
         play: plays a seed and returns its result.
         hooked: methods of the harness that are recorded.
+        replays: how often a differing seed is played again in both checkouts. It is equal where any two runs are:
+            of a scenario with real sockets, the order of events within one moment is the kernel's.
     """
 
     seeds: int
     prepare: Callable[[], None]
     play: Callable[[int], Any]
     hooked: dict[str, Alternatives]
+    replays: int = 0
 
 
 def _prepare_coordination() -> None:
@@ -89,6 +92,15 @@
     return schedule.now
 
 
+def _prepare_data_plane() -> None:
+    importlib.import_module("tests.fleet.data_schedules")
+
+
+def _play_data_plane(seed: int) -> Any:
+    records = importlib.import_module("tests.fleet.data_schedules").play(seed)
+    return [records.asked, records.conducts]
+
+
 def _prepare_sidecar() -> None:
     importlib.import_module("rosechute.lab.run")
 
@@ -114,5 +126,6 @@
     "quota": Scenario(36, _prepare_quota, _play_quota, {}),
     "routing": Scenario(6, _prepare_routing, _play_routing, ROUTING),
     "router": Scenario(100, _prepare_router, _play_router, ROUTER),
+    "data_plane": Scenario(40, _prepare_data_plane, _play_data_plane, DATA_PLANE, replays=4),
     "sidecar": Scenario(10, _prepare_sidecar, _play_sidecar, SIDECAR),
 }
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -81,6 +81,7 @@
             "quota": 0.03,
             "routing": 0.1,
             "router": 0.1,
+            "data_plane": 0.05,
             "sidecar": 0.05,
         }
         self.assertEqual(set(shares), set(SCENARIOS))
@@ -106,6 +107,9 @@
     def test_another_hash_of_prefixes_is_found(self) -> None:
         self.assert_found("routing", 0.1, "rosechute/routing", "0xD6E8FEB86659FD93", "0xD6E8FEB86659FD95")
 
+    def test_another_header_of_the_data_plane_is_found(self) -> None:
+        self.assert_found("data_plane", 0.025, "rosechute/data_plane", r"(?i)x-rosechute-expect-instance", "x-other")
+
     def test_another_share_of_the_time_left_in_the_sidecar_is_found(self) -> None:
         self.assert_found("sidecar", 0.05, "dunefield", r"(HOPEFUL\w* = )0\.8\b", r"\g<1>0.5")
 
