--- a/rosechute/data_plane/connection_pool.py
+++ b/rosechute/data_plane/connection_pool.py
@@ -172,7 +172,7 @@
         Raises:
             OSError: no descriptor is left, the server refuses, or does not accept within `CONNECT_TIMEOUT_S`.
         """
-        if not self._make_room():
+        if not self._may_open():
             raise OSError("no descriptor is left for servers")
         host, port = split_address(server.address)
         connection = PooledConnection(
@@ -229,7 +229,7 @@
             announced_s = float(found[1])
             server.idle_timeout_s = max(announced_s / 2, announced_s - IDLE_MARGIN_S)
 
-    def _make_room(self) -> bool:
+    def _may_open(self) -> bool:
         """Return whether one more connection may be opened, closing the longest idle one where that is needed."""
         return self._open_count < self.max_connections or self._close_longest_idle_of_all()
 
--- a/rosechute/data_plane/ports.py
+++ b/rosechute/data_plane/ports.py
@@ -7,17 +7,26 @@
 
 
 class QuotaTokens(Protocol):
-    """Tokens of a tenant's quota, issued by the leader and held by this edge until they expire."""
+    """Tokens of tenants' quotas, issued by the leader and cached at this edge until they expire."""
 
     def acquire(self, tenant: str, tokens: int, decided: Callable[[bool, float], None], priority: int) -> None:
-        """Take so many tokens of a limited tenant; where they are short, the most urgent request has them first.
-        `decided(allowed, retry_after_s)` is called exactly once, possibly before this returns, or after an exchange
-        with the leader (bounded; on silence it is refused)."""
+        """Acquire tokens of a limited tenant; where they are short, the most urgent request is served first.
+
+        Args:
+            tenant: Name of the tenant.
+            tokens: The cost of the request.
+            decided: Called exactly once, before this returns or after an exchange with the leader, which is bounded:
+                whether the tokens were acquired, and otherwise the `Retry-After` in seconds.
+            priority: Rank of the request; 0 is the most urgent.
+        """
 
 
 class Freshness(Protocol):
-    """How long ago this edge knew its configuration to be the newest one."""
+    """When this edge last knew its configuration to be the newest one."""
 
     def confirmed_at(self) -> float:
-        """Steady time (the loop's clock) as of which the configuration in force was the newest acknowledged one;
-        minus infinity before the first confirmation."""
+        """Return the steady time (the loop's clock) as of which the configuration in force was the newest one.
+
+        Returns:
+            Seconds; minus infinity before the first confirmation.
+        """
