--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -81,7 +81,7 @@
             "quota": 0.03,
             "routing": 0.1,
             "router": 0.1,
-            "data_plane": 0.05,
+            "data_plane": 0.7,
             "sidecar": 0.05,
         }
         self.assertEqual(set(shares), set(SCENARIOS))
