--- a/tests/fleet/distribution_checkers.py
+++ b/tests/fleet/distribution_checkers.py
@@ -12,7 +12,7 @@
 from rosechute.distribution.topics import CONFIG_TOPIC
 
 from .distribution_machines import Process
-from .distribution_timeline import RuleBroken
+from .distribution_timeline import InvariantViolationError
 
 if TYPE_CHECKING:
     from .distribution_world import World
@@ -61,23 +61,25 @@
     def applied_configuration(self, process: Process, change: ConfigurationChanged) -> None:
         """An edge puts a configuration in force."""
         if change.sequence <= process.configuration:
-            raise RuleBroken(f"configuration back from {process.configuration} to {change.sequence}")
+            raise InvariantViolationError(f"configuration back from {process.configuration} to {change.sequence}")
         if change.body != self._world.body(change.sequence) or change.version != change.sequence * 3:
-            raise RuleBroken(f"configuration {change.sequence} differs from what was committed")
+            raise InvariantViolationError(f"configuration {change.sequence} differs from what was committed")
         process.configuration = change.sequence
 
     def applied_list(self, process: Process, change: ServersChanged) -> None:
         """An edge uses a list."""
         if change.position <= process.lists.get(change.service, (0, 0)):
-            raise RuleBroken(f"list of {change.service} back to {change.position}")
+            raise InvariantViolationError(f"list of {change.service} back to {change.position}")
         process.lists[change.service] = change.position
         slots = {server.id: server.slots for server in change.servers}
         version = slots.get(f"{change.service}-0", 0)
         expected = {f"{change.service}-{number}" for number in range(4) if number == 0 or (version + number) % 3}
         if version and set(slots) != expected:
-            raise RuleBroken(f"list of {change.service} at version {version} holds {sorted(slots)}")
+            raise InvariantViolationError(f"list of {change.service} at version {version} holds {sorted(slots)}")
         if version and version < process.list_versions.get(change.service, 0):
-            raise RuleBroken(f"{process.machine.name}: list of {change.service}: an older reading, {version}")
+            raise InvariantViolationError(
+                f"{process.machine.name}: list of {change.service}: an older reading, {version}"
+            )
         process.list_versions[change.service] = version
 
     def _newer_acknowledged_at(self, process: Process) -> float:
@@ -97,11 +99,11 @@
         newer = self._newer_acknowledged_at(process)
         drift_s = self._world.drift * max(0.0, now - newer)
         if confirmed_at > min(newer, now) + drift_s + CLOCK_ERROR_S:
-            raise RuleBroken(
+            raise InvariantViolationError(
                 f"{process.machine.name}: {process.configuration} confirmed after a newer acknowledgement"
             )
         if process.subscriber.position(CONFIG_TOPIC) != (0, process.configuration):
-            raise RuleBroken("what is held is not what was applied")
+            raise InvariantViolationError("what is held is not what was applied")
 
     def _check_revoked(self, process: Process) -> None:
         """No request is run with a key that was taken away longer ago than the rule bears: were one sent now with a
@@ -111,20 +113,24 @@
         if world.now <= self._newer_acknowledged_at(process) + REVOKE_S:
             return
         if process.local_now() - process.subscriber.confirmed_at < REVOKE_S - LEASE_MARGIN_S:
-            raise RuleBroken(f"{process.machine.name}: a request was run with a revoked key at {world.now}")
+            raise InvariantViolationError(
+                f"{process.machine.name}: a request was run with a revoked key at {world.now}"
+            )
 
     def _check_in_force(self, process: Process) -> None:
         due_by = self._world.now - CONFIG_APPLY_S
         due = next(sequence for _, acked, sequence in reversed(self._world.committed) if acked <= due_by)
         if process.configuration < due:
-            raise RuleBroken(
+            raise InvariantViolationError(
                 f"{process.machine.name}: {process.configuration} in force at {self._world.now}, due is {due}"
             )
 
     def _check_fresh(self, process: Process) -> None:
         assert process.subscriber is not None
         if process.local_now() - process.subscriber.confirmed_at > FRESH_S:
-            raise RuleBroken(f"{process.machine.name}: confirmed long ago, in touch, at {self._world.now}")
+            raise InvariantViolationError(
+                f"{process.machine.name}: confirmed long ago, in touch, at {self._world.now}"
+            )
 
     def _check_list(self, process: Process) -> None:
         due_by = self._world.now - LIST_APPLY_S
@@ -133,7 +139,9 @@
         due = next(version for since, version in reversed(self._world.list_truth) if since <= due_by)
         for service in self._world.services:
             if not self._world.list_down and process.list_versions.get(service, 0) < due:
-                raise RuleBroken(f"{process.machine.name}: list of {service} is behind at {self._world.now}")
+                raise InvariantViolationError(
+                    f"{process.machine.name}: list of {service} is behind at {self._world.now}"
+                )
 
     def _check_total(self, process: Process) -> None:
         world = self._world
@@ -143,4 +151,4 @@
             return
         living = sum(machine.running for machine in world.edge)
         if process.total != living:
-            raise RuleBroken(f"{process.machine.name}: {process.total} edges told, {living} live")
+            raise InvariantViolationError(f"{process.machine.name}: {process.total} edges told, {living} live")
--- a/tests/fleet/distribution_days.py
+++ b/tests/fleet/distribution_days.py
@@ -15,7 +15,7 @@
 
 from .distribution_day_world import LEAVING_S, DayWorld
 from .distribution_machines import Machine
-from .distribution_timeline import RuleBroken
+from .distribution_timeline import InvariantViolationError
 from .distribution_world import RATE, setUpModule
 
 DRIFT = 0.01
@@ -92,12 +92,12 @@
         world = self.world
         for machine in world.edge:
             if machine.process is not None and not world.in_touch(machine):
-                raise RuleBroken(f"{machine.name} is not in touch after {CALM_S} s of calm")
+                raise InvariantViolationError(f"{machine.name} is not in touch after {CALM_S} s of calm")
         if world.checks == 0:
-            raise RuleBroken("nobody was ever in touch")
+            raise InvariantViolationError("nobody was ever in touch")
         excess = world.quota_excess()
         if excess > 0.0:
-            raise RuleBroken(f"quota: {excess:.0f} tokens too many in some window")
+            raise InvariantViolationError(f"quota: {excess:.0f} tokens too many in some window")
 
     # steps
 
@@ -265,7 +265,7 @@
 
 
 def play(seed: int, seconds: float = 60.0) -> Played:
-    """One day; RuleBroken where a checker finds something."""
+    """One day; InvariantViolationError where a checker finds something."""
     return Day(seed, seconds).play()
 
 
--- a/tests/fleet/distribution_machines.py
+++ b/tests/fleet/distribution_machines.py
@@ -42,7 +42,7 @@
     is_core: bool
     clock: Clock = Clock()
     process: Process | None = None
-    life: int = 0  # how often it was started
+    starts: int = 0  # how often it was started
     frozen: bool = False
     removed: bool = False  # it never comes back
     slow_s: float = 0.0
--- a/tests/fleet/distribution_timeline.py
+++ b/tests/fleet/distribution_timeline.py
@@ -13,8 +13,8 @@
 Call = Callable[[], None]
 
 
-class RuleBroken(AssertionError):
-    """A checker found a broken rule."""
+class InvariantViolationError(AssertionError):
+    """A checker of a simulated deployment found a violated invariant."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,4 +77,4 @@
             self._events_in_second = 0
         self._events_in_second += 1
         if self._events_in_second > EVENTS_LIMIT:
-            raise RuleBroken(f"a storm of events at {when}")
+            raise InvariantViolationError(f"a storm of events at {when}")
--- a/tests/fleet/distribution_world.py
+++ b/tests/fleet/distribution_world.py
@@ -144,9 +144,9 @@
         if machine.process is not None or machine.removed:
             return
         process = machine.process = Process(machine, self.timeline)
-        if machine.life:
+        if machine.starts:
             self.trouble(machine, over=True)
-        machine.life += 1
+        machine.starts += 1
         machine.calm_since = self.now
         if machine.is_core:
             self._start_core(process)
--- a/tests/fleet/test_distribution_message_order.py
+++ b/tests/fleet/test_distribution_message_order.py
@@ -34,8 +34,8 @@
     return [(send.connection, send.message) for send in sends if send.message.WhichOneof("body") == kind]
 
 
-class AtSubscriber:
-    """One subscriber that is spoken to by hand."""
+class SubscriberDriver:
+    """Drives one subscriber by hand, and records its renewals."""
 
     def __init__(self, name: str = "e1") -> None:
         self.subscriber = Subscriber(0.0, EdgeIdentity(name, "z", "10.1.0.1:7501"), 7, SEEDS)
@@ -43,9 +43,9 @@
         self.tick(0.0)
 
     def tick(self, now: float) -> list[Action]:
-        return self.noted(self.subscriber.tick(now))
+        return self.record_renewals(self.subscriber.tick(now))
 
-    def noted(self, actions: list[Action]) -> list[Action]:
+    def record_renewals(self, actions: list[Action]) -> list[Action]:
         for connection, message in sent(actions, "renew"):
             assert isinstance(connection, DialedLink)
             self.renewals.setdefault(connection.address, []).append(message.renew.request)
@@ -57,27 +57,29 @@
         number = request if request is not None else self.renewals[address][-1]
         values: dict[str, object] = {"is_leader": True, "members_term": 1, "config_known": True, **fields}
         answer = pb.Renewed(request=number, **values)  # type: ignore[arg-type]
-        return self.noted(self.subscriber.receive(now, DialedLink(address), pb.Distribution(renewed=answer)))
+        return self.record_renewals(
+            self.subscriber.receive(now, DialedLink(address), pb.Distribution(renewed=answer))
+        )
 
     def config(self, now: float, sequence: int, address: str = LEADER) -> list[Action]:
         value = Publisher(lambda at, request: None)
         value.configuration_committed(now, sequence, sequence, b"{}")
         answer = value.receive(now, "x", pb.Distribution(fetch=pb.Fetch(topic="config")))[0].message
-        return self.noted(self.subscriber.receive(now, DialedLink(address), answer))
+        return self.record_renewals(self.subscriber.receive(now, DialedLink(address), answer))
 
     def list(self, now: float, update: pb.ListUpdate, address: str = LEADER) -> list[Action]:
-        return self.noted(self.subscriber.receive(now, DialedLink(address), pb.Distribution(list=update)))
+        return self.record_renewals(self.subscriber.receive(now, DialedLink(address), pb.Distribution(list=update)))
 
 
 class ConfirmationTest(unittest.TestCase):
     def test_an_answer_confirms_as_of_its_renewal_less_its_age(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.config(0.01, 3)
         edge.renewed(0.5, config_sequence=3, config_age_ms=200)
         self.assertAlmostEqual(edge.subscriber.confirmed_at, -0.2)
 
     def test_nothing_is_confirmed_while_a_newer_one_is_missing(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.config(0.01, 3)
         edge.renewed(0.5, config_sequence=4, config_age_ms=0)
         self.assertEqual(edge.subscriber.confirmed_at, -math.inf)
@@ -85,7 +87,7 @@
         self.assertAlmostEqual(edge.subscriber.confirmed_at, 0.0)
 
     def test_a_late_answer_to_an_older_renewal_moves_nothing_forward(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.config(0.01, 3)
         edge.renewed(0.02, config_sequence=3, config_age_ms=0)
         first = edge.renewals[LEADER][-1]
@@ -100,7 +102,7 @@
         self.assertAlmostEqual(edge.subscriber.confirmed_at, 0.8)
 
     def test_an_age_that_is_not_known_confirms_nothing(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.config(0.01, 3)
         edge.renewed(0.02, config_sequence=3, config_known=False)
         self.assertEqual(edge.subscriber.confirmed_at, -math.inf)
@@ -108,7 +110,7 @@
 
 class LeaderTermTest(unittest.TestCase):
     def test_a_leader_of_an_older_term_is_not_followed(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         total = edge.renewed(0.01, members_term=5, edges_total=4)
         self.assertIn(EdgesTotalChanged(4), total)
         late = edge.renewed(0.02, OTHER, members_term=4, edges_total=9)
@@ -116,7 +118,7 @@
         self.assertEqual(edge.subscriber.leader, LEADER)
 
     def test_an_unknown_number_of_edges_changes_nothing(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.renewed(0.01, members_term=5, edges_total=4)
         edge.tick(0.5)
         edge.renewed(0.6, members_term=6, edges_total=0)
@@ -124,11 +126,11 @@
 
     def test_core_machines_at_other_addresses_are_found(self) -> None:
         """The seeds of the settings are all gone; the leader reported the others before it was lost too."""
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         others = [f"10.9.0.{number}:7500" for number in range(4)]
         core = [pb.CoreMachine(id=str(number), address=address) for number, address in enumerate(others)]
         edge.renewed(0.01, members_term=1, core=core, core_digest=5)
-        edge.noted(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
+        edge.record_renewals(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
         now = 0.02
         while not any(address in edge.renewals for address in others) and now < 1.0:
             now += 0.05
@@ -141,7 +143,7 @@
         self.assertTrue(edge.subscriber.is_attached)
 
     def test_new_seeds_are_asked(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.subscriber.set_seeds(["10.8.0.1:7500"])
         for step in range(1, 5):
             edge.tick(0.1 * step)
@@ -165,7 +167,7 @@
 
     def test_an_update_passes_a_snapshot(self) -> None:
         updates = self.updates()
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.list(1.0, updates[1][1])
         passed = edge.list(1.1, updates[3][0])
         self.assertEqual([where for where, _ in sent(passed, "fetch")], [DialedLink(LEADER)])
@@ -177,7 +179,7 @@
 
     def test_deltas_in_order_give_the_snapshot(self) -> None:
         updates = self.updates()
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         last: list[ServersChanged] = []
         for revision in (1, 2, 3):
             last = [one for one in edge.list(1.0, updates[revision][0]) if isinstance(one, ServersChanged)]
@@ -187,7 +189,7 @@
 
     def test_an_older_snapshot_changes_nothing(self) -> None:
         updates = self.updates()
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.list(1.0, updates[3][1])
         for revision in (1, 2, 3):
             for update in updates[revision]:
@@ -295,7 +297,7 @@
         self.assertEqual(quota[0].message.WhichOneof("body"), "renewed")
 
     def test_a_redirect_to_a_quota_request_sends_the_edge_searching(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.renewed(0.01, members_term=1)
         edge.renewed(0.2, LEADER, request=0, is_leader=False, leader=OTHER)
         self.assertFalse(edge.subscriber.is_attached)
@@ -306,7 +308,7 @@
     """An edge that finds nobody of the core asks the others of its zone."""
 
     def test_an_attached_edge_names_the_leader_and_reports_no_freshness(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         renew = pb.Distribution(renew=pb.Renew(request=9, edge=pb.Edge(name="e2", zone="z", address="b")))
         self.assertEqual(sent(edge.subscriber.receive(0.005, 7, renew), "renewed"), [])
         edge.renewed(0.01, config_sequence=0, config_age_ms=0)
@@ -316,10 +318,10 @@
         self.assertFalse(observed.is_leader or observed.config_known)
 
     def test_a_named_leader_counts_only_by_its_own_answer(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         zone = [pb.Edge(name=name, zone="z", address=f"10.1.0.{name[1]}:7501") for name in ("e1", "e2")]
         edge.renewed(0.01, members_term=5, zone_edges=zone)
-        edge.noted(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
+        edge.record_renewals(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
         now = 0.02
         while "10.1.0.2:7501" not in edge.renewals:
             now += 0.1
@@ -340,7 +342,7 @@
 class LeaderlessTest(unittest.TestCase):
     def test_a_silent_leader_gets_quota_requests_during_the_grace_time(self) -> None:
         """Over a crowded link it may still answer; whose link has ended can't."""
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         self.assertEqual(edge.subscriber.leaderless_since(), 0.0)
         edge.renewed(0.01)
         now = 0.01
@@ -354,7 +356,7 @@
         self.assertAlmostEqual(edge.subscriber.leaderless_since() or 0.0, now + 0.7)
         edge.renewed(now + 0.9)
         self.assertIsNone(edge.subscriber.leaderless_since())
-        edge.noted(edge.subscriber.connection_closed(now + 1.0, DialedLink(LEADER)))
+        edge.record_renewals(edge.subscriber.connection_closed(now + 1.0, DialedLink(LEADER)))
         self.assertAlmostEqual(edge.subscriber.leaderless_since() or 0.0, now + 1.0)
 
 
@@ -373,8 +375,8 @@
         self.publisher.receive(5.2, "c", self.renew)
         observed = sent(self.publisher.leadership_gained(5.5, 4), "renewed")
         self.assertEqual([(where, message.renewed.members_term) for where, message in observed], [("c", 4)])
-        edge = AtSubscriber()
-        edge.noted(edge.subscriber.receive(0.05, DialedLink(THIRD), observed[0][1]))
+        edge = SubscriberDriver()
+        edge.record_renewals(edge.subscriber.receive(0.05, DialedLink(THIRD), observed[0][1]))
         self.assertIn(THIRD, edge.renewals)
         self.assertFalse(edge.subscriber.is_attached)
         self.assertEqual(edge.subscriber.confirmed_at, -math.inf)
@@ -385,20 +387,20 @@
         observed = sent(self.publisher.leadership_lost(1.1), "renewed")
         self.assertEqual([where for where, _ in observed], ["c"])
         self.assertEqual(self.publisher.leadership_lost(1.2), [])
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.renewed(0.01)
         self.assertTrue(edge.subscriber.is_attached)
-        edge.noted(edge.subscriber.receive(0.2, DialedLink(LEADER), observed[0][1]))
+        edge.record_renewals(edge.subscriber.receive(0.2, DialedLink(LEADER), observed[0][1]))
         self.assertFalse(edge.subscriber.is_attached)
         self.assertIn(OTHER, edge.renewals)
 
     def test_an_announcement_of_an_older_term_is_not_probed(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         edge.renewed(0.01, members_term=6)
-        edge.noted(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
+        edge.record_renewals(edge.subscriber.connection_closed(0.02, DialedLink(LEADER)))
         asked = len(edge.renewals.get(THIRD, []))
         observed = pb.Distribution(renewed=pb.Renewed(is_leader=True, members_term=5))
-        edge.noted(edge.subscriber.receive(0.03, DialedLink(THIRD), observed))
+        edge.record_renewals(edge.subscriber.receive(0.03, DialedLink(THIRD), observed))
         self.assertEqual(len(edge.renewals.get(THIRD, [])), asked)
 
 
@@ -449,7 +451,7 @@
 
 class BrokenTest(unittest.TestCase):
     def test_a_body_that_can_not_be_read_changes_nothing(self) -> None:
-        edge = AtSubscriber()
+        edge = SubscriberDriver()
         update = pb.ConfigUpdate(sequence=9, version=9, body=b"no zlib")
         actions = edge.subscriber.receive(0.1, DialedLink(LEADER), pb.Distribution(config=update))
         self.assertEqual([one for one in actions if isinstance(one, ConfigurationChanged)], [])
--- a/tests/fleet/test_distribution_planted.py
+++ b/tests/fleet/test_distribution_planted.py
@@ -15,7 +15,7 @@
 from tests.fleet.distribution_checkers import Checkers
 from tests.fleet.distribution_days import play as play_day
 from tests.fleet.distribution_machines import ScriptedReplica
-from tests.fleet.distribution_timeline import RuleBroken
+from tests.fleet.distribution_timeline import InvariantViolationError
 from tests.fleet.distribution_world import World, setUpModule, tearDownModule  # noqa: F401
 from tests.fleet.test_distribution_clusters import (
     calm,
@@ -30,7 +30,7 @@
 
 class PlantedTest(unittest.TestCase):
     def found(self, play: Callable[[], object], what: str) -> None:
-        with self.assertRaisesRegex(RuleBroken, what):
+        with self.assertRaisesRegex(InvariantViolationError, what):
             play()
 
     def found_on_some_day(self, what: str, day: Callable[[int], object] = random_day) -> None:
@@ -38,7 +38,7 @@
         for seed in SEEDS:
             try:
                 day(seed)
-            except RuleBroken as broken:
+            except InvariantViolationError as broken:
                 found.append(str(broken))
                 if what in found[-1]:
                     return
