--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -21,7 +21,7 @@
 ZONES, MACHINES, CONFIG_CHANGES = 5, 9, 5400
 FAILED, RESTARTED = 13, 390
 ADDED_MS, FORCE_S, TOLD_S = 0.72, 19.0, 6.0
-RETRY_RATIO = 0.2  # of dunefield/rules.py
+RETRY_RATIO = 0.2  # of rosechute/load_balancing/rules.py
 CORE_MS_S, MEMORY_MB, BYTES_S = 13.0, 32.0, 4096.0  # of each second: 1.3% of a core
 
 ASSUMED = {
@@ -46,7 +46,7 @@
     "discovery_us_kb": 0.5,  # and for each KB of it: benchmarks.fleet --point 100 7200, "all start"
     "process_mb": 29.4,  # a real sidecar with a list of 100: benchmarks.fleet --point 100 100
     "process_7200_mb": 46.0,  # with 7,200, after all events: benchmarks.fleet --point 100 7200
-    "probe_bytes": 57.0,  # a probe's request alone: hollyport/http1/backend.py
+    "probe_bytes": 57.0,  # a probe's request alone: rosechute/proxy/http1/backend.py
 }
 
 
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -21,7 +21,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from hollyport import native
+from rosechute import native
 
 SECOND = 1_000_000_000
 ZONES = 5
@@ -56,9 +56,9 @@
 
 
 def module(servers: int) -> None:
-    from dunefield.interface import Directory, Settings
-    from dunefield.rules import Balancer
-    from hollyport.platform.discovery import read_listing
+    from rosechute.load_balancing.interface import Directory, Settings
+    from rosechute.load_balancing.rules import Balancer
+    from rosechute.sidecar.discovery import read_listing
 
     settings = Settings.parse(RAW)
     body = json.dumps({"index": 1, "snapshot": True, "endpoints": [line(i) for i in range(servers)]})
@@ -127,10 +127,10 @@
 
 
 async def sidecar(servers: int, port: int) -> None:
-    from dunefield.interface import Settings
-    from hollyport.core.address import Address
-    from hollyport.platform.config import Config
-    from hollyport.sidecar import Sidecar
+    from rosechute.load_balancing.interface import Settings
+    from rosechute.proxy.core.address import Address
+    from rosechute.sidecar.config import Config
+    from rosechute.sidecar.sidecar import Sidecar
 
     loop = asyncio.get_running_loop()
     known = {"index": 0, "snapshot": True, "endpoints": []}
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -2,11 +2,11 @@
 
     python -m benchmarks.cold [--instances 5 30 200] [--seeds 3] [--workers 2] [--reports none rates]
 
-One row for each case of `rosechute.lab.cold`, over all seeds: servers that started cold and were sent anything; the
-worst window of all of them, as calls beyond N + 2 x root of N + 2 (below 0: not reached), sent by any instance and
-where over two thirds came from told ones, with the seed; the latter by work, too, in means, which adds the chance of
-what each call costs; starts that broke the bound, by calls and by work; and the share served, with goodput. Exit code
-1 where a bound was broken by calls of told instances.
+One row for each case of `rosechute.simulation.cold`, over all seeds: servers that started cold and were sent
+anything; the worst window of all of them, as calls beyond N + 2 x root of N + 2 (below 0: not reached), sent by any
+instance and where over two thirds came from told ones, with the seed; the latter by work, too, in means, which adds
+the chance of what each call costs; starts that broke the bound, by calls and by work; and the share served, with
+goodput. Exit code 1 where a bound was broken by calls of told instances.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from multiprocessing import get_context
 from typing import NamedTuple
 
-from hollyport import native
+from rosechute import native
 
 native.prefer()
 
-from rosechute.lab.cold import FLEETS, SETTINGS, STARTS, Case, ColdStarts, Worst, scenario  # noqa: E402
-from rosechute.lab.figures import Figures  # noqa: E402 - compiled where it is
-from rosechute.lab.world import World  # noqa: E402
+from rosechute.simulation.cold import FLEETS, SETTINGS, STARTS, Case, ColdStarts, Worst, scenario  # noqa: E402
+from rosechute.simulation.figures import Figures  # noqa: E402 - compiled where it is
+from rosechute.simulation.world import World  # noqa: E402
 
 TRAFFIC = {"usual": (2.0, 0.5), "harsh": (4.0, 0.3)}  # burst, and use before it
 
--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -26,7 +26,7 @@
 
 import uvloop
 
-from hollyport import native
+from rosechute import native
 
 HERE = pathlib.Path(__file__).resolve().parent.parent
 TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
@@ -259,7 +259,7 @@
             if self.folder is None:
                 command = [sys.executable, "-m", "benchmarks.cpu", "--relay", str(port), str(servers[0])]
             else:
-                command = [sys.executable, *(self.arguments or ["-m", "hollyport"])]
+                command = [sys.executable, *(self.arguments or ["-m", "rosechute.sidecar"])]
             process = await asyncio.create_subprocess_exec(
                 *command,
                 cwd=self.folder or HERE,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -7,7 +7,7 @@
 Hollow sidecars share a few processes: the module, discovery's client and the list are those of the product, over
 connections of their own on loopback to the project's stand-in for discovery; there is no data path. One more has a
 process to itself, so that the stall of a loop is seen that is not shared; and one real program (`python -m
-hollyport`) carries calls beside them. `--tree` takes sidecars, hollow and real, from another checkout.
+rosechute.sidecar`) carries calls beside them. `--tree` takes sidecars, hollow and real, from another checkout.
 
 The events of a point: all start within a second, knowing nothing; nothing happens; single changes; a zone (a fifth
 of the servers) leaves within a second, told one by one, and comes back; discovery is killed, a server leaves
@@ -157,7 +157,7 @@
         gone: int | None = None,
     ) -> dict[str, Any]:
         """Listen, at a port of before and with what was known then, but for a server that is gone since."""
-        from rosechute.standin.discovery import StandInDiscovery
+        from rosechute.fakes.discovery import StandInDiscovery
 
         self.discovery = StandInDiscovery()
         self.backend = backend
@@ -205,10 +205,10 @@
     """A sidecar without a data path."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, told: Any, seed: int, port: int, stale: bool) -> None:
-        from dunefield.rules import Balancer
-        from hollyport.core.address import Address
-        from hollyport.core.clock import Clock
-        from hollyport.platform.discovery import Discovery
+        from rosechute.load_balancing.rules import Balancer
+        from rosechute.proxy.core.address import Address
+        from rosechute.proxy.core.clock import Clock
+        from rosechute.sidecar.discovery import Discovery
 
         self._loop, self._clock, self._ask, self._stale = loop, Clock(), told.must_ask, stale
         self.module = Balancer(told, seed, self._clock())
@@ -228,7 +228,7 @@
 
     def start(self) -> None:
         """Begin to ask, or to listen to what is pushed."""
-        from dunefield.interface import Directory
+        from rosechute.load_balancing.interface import Directory
 
         self.deliver(Directory("SAVED", (), 0))
         if not self._ask:
@@ -243,7 +243,7 @@
 
     def deliver(self, event: Any) -> None:
         """What the module says to an event, carried out."""
-        from dunefield.interface import Defer, Fetch, Subscribe
+        from rosechute.load_balancing.interface import Defer, Fetch, Subscribe
 
         if self.over:
             return
@@ -256,7 +256,7 @@
                 self._loop.call_later(action.in_ns / 1e9, self._alarm, self._clock() + action.in_ns, action.tag)
 
     def _alarm(self, due: int, tag: int) -> None:
-        from dunefield.interface import Alarm
+        from rosechute.load_balancing.interface import Alarm
 
         if self._clock() < due:  # timers of the loop may be early, and the module's clock is finer: as in the core
             self._loop.call_later(0.001, self._alarm, due, tag)
@@ -264,7 +264,7 @@
             self.deliver(Alarm(tag))
 
     def _told(self, listing: Any) -> None:
-        from dunefield.interface import Directory
+        from rosechute.load_balancing.interface import Directory
 
         if isinstance(listing, str):
             self.deliver(Directory(listing))
@@ -292,7 +292,7 @@
 
     def chosen(self, calls: int) -> set[str]:
         """Where the module sends so many calls."""
-        from dunefield.interface import Accept, Hangup, How, Response, Submit
+        from rosechute.load_balancing.interface import Accept, Hangup, How, Response, Submit
 
         servers = set()
         for number in range(calls):
@@ -313,7 +313,7 @@
     """Some hollow sidecars."""
 
     async def begin(self, count: int, first: int, port: int, mode: str, seed: int, fault: str) -> dict[str, Any]:
-        from dunefield.interface import Settings
+        from rosechute.load_balancing.interface import Settings
 
         self.told, self.port, self.seed, self.fault = settings(mode), port, seed, fault
         self.parse, self.first, self.count = Settings.parse, first, count
@@ -347,7 +347,7 @@
 
     async def check(self, lines: Mapping[str, Any]) -> dict[str, Any]:
         """What is not as it must be, of the list and of what the module would send."""
-        from hollyport.platform.discovery import LIFECYCLES
+        from rosechute.sidecar.discovery import LIFECYCLES
 
         listed = {name: LIFECYCLES[line["status"]] for name, line in lines.items() if line["status"] != "DELETED"}
         up = {name for name, lifecycle in listed.items() if lifecycle == "up"}
@@ -573,7 +573,7 @@
         )
         env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": str(folder), "PYTHONPATH": str(chosen.tree)}
         self.real = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hollyport", cwd=chosen.tree, env=env, stderr=subprocess.DEVNULL
+            sys.executable, "-m", "rosechute.sidecar", cwd=chosen.tree, env=env, stderr=subprocess.DEVNULL
         )
         await self.application.do("load", port=port, per_s=chosen.per_s, seed=chosen.seed)
 
@@ -814,19 +814,19 @@
 def main() -> int:
     chosen = options()
     if chosen.role:
-        from hollyport import native
+        from rosechute import native
 
         native.prefer()
         import gc
 
         import uvloop
 
-        from hollyport.core.log import setup
+        from rosechute.proxy.core.log import setup
 
         setup(level="error")
         if chosen.role == "hollow":
-            import dunefield.rules  # noqa: F401 - what is loaded is no part of a sidecar's memory
-            import hollyport.platform.discovery  # noqa: F401
+            import rosechute.load_balancing.rules  # noqa: F401 - what is loaded is no part of a sidecar's memory
+            import rosechute.sidecar.discovery  # noqa: F401
         gc.freeze()
         uvloop.run(act(chosen.role))
         return 0
--- a/benchmarks/fleet_list.py
+++ b/benchmarks/fleet_list.py
@@ -22,7 +22,7 @@
 from rosechute.control_plane.endpoint_list_client import EndpointListClient
 from rosechute.control_plane.endpoint_list_reader import EndpointListReader
 from rosechute.distribution.values import ListedServer
-from rosechute.standin.fleet.platform import Instance
+from rosechute.fakes.fleet.platform import Instance
 
 
 async def readings(listed: int, rate: float, seconds: float) -> tuple[list[float], int, int]:
--- a/benchmarks/fleet_slopes_core.py
+++ b/benchmarks/fleet_slopes_core.py
@@ -29,10 +29,10 @@
 from rosechute.distribution.subscriber import Subscriber
 from rosechute.distribution.topics import NO_POSITION
 from rosechute.distribution.values import Configuration, ListedServer, decode_configuration
+from rosechute.fakes.fleet.platform import Instance
 from rosechute.messages import coordination_pb2
 from rosechute.messages import distribution_pb2 as pb
 from rosechute.messages.framing import MessageKind, encode_frame
-from rosechute.standin.fleet.platform import Instance
 from rosechute.storage.files import DiskDirectory
 from rosechute.storage.record_store import RecordStore
 
--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -178,7 +178,7 @@
 
 def _dispatcher(loop: asyncio.AbstractEventLoop) -> tuple[Dispatcher, ConnectionPool]:
     """Router and connections with their limits told."""
-    from hollyport.core.flow import Budget
+    from rosechute.proxy.core.flow import Budget
 
     pool = ConnectionPool(loop, Budget(200), 1000)
     dispatcher = Dispatcher(loop, Router(random.Random(1).random, RouterTuning()), pool)
@@ -322,7 +322,7 @@
 
 
 def _connections(count: int) -> object:
-    from hollyport.core.flow import Budget
+    from rosechute.proxy.core.flow import Budget
 
     loop = asyncio.new_event_loop()
     pool = ConnectionPool(loop, Budget(200), 1000)
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -46,8 +46,8 @@
 from benchmarks.hollow_list import LargeList
 from benchmarks.hollow_meter import Meter
 from rosechute.coordination.replica_state import load_replica_state
-from rosechute.standin.fleet.operator import Operator
-from rosechute.standin.fleet.platform import Instance
+from rosechute.fakes.fleet.operator import Operator
+from rosechute.fakes.fleet.platform import Instance
 from rosechute.storage.files import DiskDirectory
 from rosechute.storage.record_store import RecordStore
 
--- a/benchmarks/hollow_list.py
+++ b/benchmarks/hollow_list.py
@@ -6,7 +6,7 @@
 from bisect import bisect_right
 
 from benchmarks.hollow_edges import add
-from rosechute.standin.fleet.platform import DRAINING, READY, Instance, PlatformList
+from rosechute.fakes.fleet.platform import DRAINING, READY, Instance, PlatformList
 
 
 class LargeList(PlatformList):
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -43,7 +43,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.cpu import ANSWER, HERE, config, free_port, length, processor_s, until_ready
-from hollyport import native
+from rosechute import native
 
 WARM_UP_S = 2.0
 AHEAD = 32  # client connections that are open before the first call; more follow where all are in use
@@ -302,7 +302,7 @@
             path.write_text(json.dumps(config(port, self.discovery, self.ports)))
             env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": place, native.OFF: str(int(self._chosen.plain))}
             process = subprocess.Popen(
-                [sys.executable, "-m", "hollyport"], cwd=folder, env=env, stderr=subprocess.DEVNULL
+                [sys.executable, "-m", "rosechute.sidecar"], cwd=folder, env=env, stderr=subprocess.DEVNULL
             )
             try:
                 asyncio.run(until_ready(port))
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -25,12 +25,12 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from dunefield import Settings
-from hollyport.core.address import Address
-from hollyport.http1.listener import LOOK_S
-from hollyport.http1.message import Message
-from hollyport.platform.config import Config
-from hollyport.sidecar import Sidecar
+from rosechute.load_balancing import Settings
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.http1.listener import LOOK_S
+from rosechute.proxy.http1.message import Message
+from rosechute.sidecar.config import Config
+from rosechute.sidecar.sidecar import Sidecar
 
 AHEAD = 12  # requests that each client sends at once
 SERVE_S = 0.02
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -14,10 +14,10 @@
 
 import uvloop
 
-from hollyport.core.log import setup
-from rosechute.standin.load import Kind, Outcome
-from rosechute.standin.scene import Scene
-from rosechute.standin.server import Conduct
+from rosechute.fakes.load import Kind, Outcome
+from rosechute.fakes.scene import Scene
+from rosechute.fakes.server import Conduct
+from rosechute.proxy.core.log import setup
 
 LIMITS = """version = 1
 [[route]]
--- a/benchmarks/reality.py
+++ b/benchmarks/reality.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from rosechute.file.problems import FileError
-from rosechute.lab.library import load, names
-from rosechute.lab.real.world import playable, real
-from rosechute.lab.run import run
+from rosechute.sidecar.operator_configuration.problems import FileError
+from rosechute.simulation.library import load, names
+from rosechute.simulation.real.world import playable, real
+from rosechute.simulation.run import run
 
 SHOWN = ("goodput", "refused", "attempts_a_request", "p50_ms", "p99_ms")
 
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -14,10 +14,10 @@
 from collections import Counter
 from typing import Any
 
-from dunefield.rules import Balancer
-from rosechute.lab import rivals
-from rosechute.lab.library import load
-from rosechute.lab.run import run
+from rosechute.load_balancing.rules import Balancer
+from rosechute.simulation import rivals
+from rosechute.simulation.library import load
+from rosechute.simulation.run import run
 
 reasons: Counter[str] = Counter()
 levels: list[float] = []
--- a/benchmarks/replay/hooks.py
+++ b/benchmarks/replay/hooks.py
@@ -17,7 +17,7 @@
 from benchmarks.replay.recorder import Recorder
 
 # Module prefixes of the simulated clocks: other users of `heapq` are not recorded.
-CLOCKS = ("tests.", "rosechute.lab.")
+CLOCKS = ("tests.", "rosechute.simulation.", "rosechute.lab.")
 STEP = "step: "  # prefix of the hooks at which a step begins, beside the events of a simulated clock
 
 MESSAGE_MODULES = ("rosechute.messages.coordination_pb2", "rosechute.messages.distribution_pb2")
@@ -56,7 +56,9 @@
 }
 # A request as a server has read it: what the data plane sent.
 DATA_PLANE: dict[str, Alternatives] = {STEP + "request": (("tests.fleet.data_model", "Arrival", "__init__"),)}
-SIDECAR: dict[str, Alternatives] = {"trace": (("rosechute.lab.trace", "Trace", "add"),)}
+SIDECAR: dict[str, Alternatives] = {
+    "trace": (("rosechute.simulation.trace", "Trace", "add"), ("rosechute.lab.trace", "Trace", "add")),
+}
 
 
 class HookError(RuntimeError):
--- a/benchmarks/replay/scenarios.py
+++ b/benchmarks/replay/scenarios.py
@@ -7,6 +7,7 @@
 import pathlib
 from collections.abc import Callable
 from dataclasses import dataclass
+from importlib.util import find_spec
 from typing import Any
 
 from benchmarks.replay.hooks import COORDINATION, DATA_PLANE, DISTRIBUTION, ROUTER, ROUTING, SIDECAR, Alternatives
@@ -18,6 +19,7 @@
 ROUTER_EVENTS = 250
 SIDECAR_RUN = {"duration": "4s", "warmup": "1s"}
 SIDECAR_FAULT_AT = "1500ms"
+SIMULATIONS = ("rosechute.simulation", "rosechute.lab")  # the first one that exists is taken
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,12 +103,18 @@
     return [records.asked, records.conducts]
 
 
+def _simulation(name: str) -> Any:
+    """Return a module of the sidecar's simulation, whose package was named otherwise in older checkouts."""
+    package = next(each for each in SIMULATIONS if find_spec(each))
+    return importlib.import_module(f"{package}.{name}")
+
+
 def _prepare_sidecar() -> None:
-    importlib.import_module("rosechute.lab.run")
+    _simulation("run")
 
 
 def _play_sidecar(seed: int) -> Any:
-    library = importlib.import_module("rosechute.lab.library")
+    library = _simulation("library")
     names = sorted(library.names())
     name = names[seed % len(names)]
     text = (
@@ -116,7 +124,7 @@
         .read_text(encoding="utf-8")
     )
     faults = {f"fault[{number}].at": SIDECAR_FAULT_AT for number in range(text.count("[[fault]]"))}
-    run = importlib.import_module("rosechute.lab.run").run(library.load(name, SIDECAR_RUN | faults), "module", seed)
+    run = _simulation("run").run(library.load(name, SIDECAR_RUN | faults), "module", seed)
     return [run.digest, run.played]
 
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -141,7 +141,9 @@
     try:
         if core is not None:
             os.sched_setaffinity(0, {core})
-        return subprocess.Popen([sys.executable, "-m", "hollyport"], cwd=ROOT, env=env, stderr=subprocess.DEVNULL)
+        return subprocess.Popen(
+            [sys.executable, "-m", "rosechute.sidecar"], cwd=ROOT, env=env, stderr=subprocess.DEVNULL
+        )
     finally:
         os.sched_setaffinity(0, before)
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -13,8 +13,8 @@
 import time
 from collections.abc import Callable
 
-from rosechute.routes.pattern import parse
-from rosechute.routes.table import Match, Table
+from rosechute.sidecar.route_matching.pattern import parse
+from rosechute.sidecar.route_matching.table import Match, Table
 
 SIZES = (1, 10, 200, 2000)
 Asked = tuple[bytes, bytes, bytes | None, dict[bytes, bytes]]
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,7 +14,7 @@
 import sys
 import time
 
-from hollyport import native
+from rosechute import native
 
 SECONDS = 10
 
@@ -23,9 +23,9 @@
     native.prefer()
     import gc
 
-    from rosechute.file.units import Span
-    from rosechute.lab.run import run
-    from rosechute.lab.spec import Class, Clients, Fleet, Instances, Scenario
+    from rosechute.sidecar.operator_configuration.units import Span
+    from rosechute.simulation.run import run
+    from rosechute.simulation.spec import Class, Clients, Fleet, Instances, Scenario
 
     gc.set_threshold(200_000, 50, 50)
     use = 0.6
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -99,11 +99,11 @@
     """Milliseconds at one size, and bytes."""
     import asyncio
 
-    from dunefield.interface import Accept, Directory, Hangup, How, Response, Settings, Submit
-    from dunefield.rules import Balancer
-    from hollyport.http1.upstream import Upstream
-    from hollyport.platform.discovery import read_listing
-    from hollyport.platform.stats import Gauges, Stats
+    from rosechute.load_balancing.interface import Accept, Directory, Hangup, How, Response, Settings, Submit
+    from rosechute.load_balancing.rules import Balancer
+    from rosechute.proxy.http1.upstream import Upstream
+    from rosechute.sidecar.discovery import read_listing
+    from rosechute.sidecar.stats import Gauges, Stats
 
     settings = Settings.parse(SETTINGS)
     draw = random.Random(seed)
@@ -193,12 +193,12 @@
     list once more; the median of a few each. Its client is the checkout's own; only its connection is not there."""
     import asyncio
 
-    from dunefield.interface import Settings
-    from hollyport.core.address import Address
-    from hollyport.http1.connection import Reply
-    from hollyport.platform import discovery
-    from hollyport.platform.config import Config
-    from hollyport.sidecar import Sidecar
+    from rosechute.load_balancing.interface import Settings
+    from rosechute.proxy.core.address import Address
+    from rosechute.proxy.http1.connection import Reply
+    from rosechute.sidecar import discovery
+    from rosechute.sidecar.config import Config
+    from rosechute.sidecar.sidecar import Sidecar
 
     zone = [i for i in range(size) if i % len(ZONES) == 1]
     whole = [line(i) for i in range(size)]
@@ -259,10 +259,10 @@
     """Megabytes at one size."""
     import asyncio
 
-    from dunefield.interface import Directory, Settings
-    from dunefield.rules import Balancer
-    from hollyport.http1.upstream import Upstream
-    from hollyport.platform.discovery import read_listing
+    from rosechute.load_balancing.interface import Directory, Settings
+    from rosechute.load_balancing.rules import Balancer
+    from rosechute.proxy.http1.upstream import Upstream
+    from rosechute.sidecar.discovery import read_listing
 
     settings = Settings.parse(SETTINGS)
     whole = body([line(i) for i in range(size)], 1, True)
@@ -313,7 +313,7 @@
 
 def one(kind: str, size: int, seed: int) -> None:
     """In the process of its own: print what was found."""
-    from hollyport import native
+    from rosechute import native
 
     native.prefer()
     found: dict[str, Any] = {"times": times, "stalls": stalls, "memory": memory}[kind](size, seed)
--- a/benchmarks/theory.py
+++ b/benchmarks/theory.py
@@ -16,14 +16,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-from hollyport import native
+from rosechute import native
 
 native.prefer()
 
-from rosechute.lab.draw import Streams  # noqa: E402 - compiled where it is
-from rosechute.lab.engine import Engine  # noqa: E402
-from rosechute.lab.server import Job, Server  # noqa: E402
-from rosechute.lab.spec import Fleet  # noqa: E402
+from rosechute.simulation.draw import Streams  # noqa: E402 - compiled where it is
+from rosechute.simulation.engine import Engine  # noqa: E402
+from rosechute.simulation.server import Job, Server  # noqa: E402
+from rosechute.simulation.spec import Fleet  # noqa: E402
 
 MEAN = 10_000_000  # ns of work a request
 ROOM = 1_000_000
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -12,7 +12,8 @@
     cp requirements.txt .venv/requirements.txt
 fi
 # Byte code is made now: the file system is read-only later, and restarts are on the clock.
-.venv/bin/python -m compileall -q hollyport dunefield
+.venv/bin/python -m compileall -q rosechute/__init__.py rosechute/native.py rosechute/sidecar \
+    rosechute/proxy rosechute/load_balancing
 
 if .venv/bin/python deploy/compile.py --check; then
     exit 0
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -5,7 +5,7 @@
     python deploy/compile.py --check    exit 0 where what is there was made from the sources as they are now
 
 The libraries appear at once and only when all are there and can be loaded: a build that breaks off leaves what was
-there before, and libraries of other sources are never loaded (hollyport/native.py).
+there before, and libraries of other sources are never loaded (rosechute/native.py).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 NEW, OBJECTS = ROOT / ".compiled.new", ROOT / ".compiled.objects"
 sys.path.insert(0, str(ROOT))
 
-from hollyport import native  # noqa: E402 - the checkout's, wherever this is started
+from rosechute import native  # noqa: E402 - the checkout's, wherever this is started
 
 
 def main() -> int:
@@ -58,9 +58,9 @@
     shutil.copyfile(ROOT / "setup.py", NEW / "setup.py")  # which modules are compiled, and how
     # A library that can't be loaded here must not be what keeps the sidecar from its start.
     trial = (
-        f"import importlib, sys; sys.path.insert(0, {str(ROOT)!r}); from hollyport import native; "
+        f"import importlib, sys; sys.path.insert(0, {str(ROOT)!r}); from rosechute import native; "
         f"sys.meta_path.insert(0, native.Libraries(native.found({str(ROOT)!r}, {str(NEW)!r}))); "
-        f"import hollyport.sidecar; {'import rosechute.lab.run; ' if lab else ''}"
+        f"import rosechute.sidecar.sidecar; {'import rosechute.simulation.run; ' if lab else ''}"
         f"assert all(sys.modules[name].__file__.endswith('.so') for name in {names!r})"
     )
     done = subprocess.run([sys.executable, "-c", trial], cwd=ROOT)
--- a/deploy/system.sh
+++ b/deploy/system.sh
@@ -23,4 +23,4 @@
     wanted > "$STAMP"
 fi
 # The tree is read-only while the fleet runs, and restarts are on the clock: compile what the processes load.
-python3 -m compileall -q rosechute hollyport dunefield
+python3 -m compileall -q rosechute
--- a/rosechute/__main__.py
+++ b/rosechute/__main__.py
@@ -1,6 +1,6 @@
 """`python -m rosechute`: the same as the `rosechute` command."""
 
-from rosechute.command.main import main
+from rosechute.cli.main import main
 
 if __name__ == "__main__":
     main()
--- a/rosechute/command/check.py
+++ b/rosechute/cli/check.py
@@ -6,9 +6,9 @@
 
 import click
 
-from rosechute.command.common import AGAINST, FILE, FORMAT, dumped, look, refuse, table
-from rosechute.file.effective import Effective, Site
-from rosechute.file.units import shown
+from rosechute.cli.common import AGAINST, FILE, FORMAT, dumped, look, refuse, table
+from rosechute.sidecar.operator_configuration.effective import Effective, Site
+from rosechute.sidecar.operator_configuration.units import shown
 
 HEAD = (
     "route",
--- a/rosechute/command/common.py
+++ b/rosechute/cli/common.py
@@ -10,12 +10,12 @@
 import click
 import msgspec
 
-from hollyport.platform.config import Config, ConfigError, load
-from rosechute.file.effective import BARE, Site
-from rosechute.file.problems import FileError, Problem
-from rosechute.file.proof import Proven, prove
-from rosechute.file.reading import read
-from rosechute.serve.policy import load as load_file
+from rosechute.sidecar.config import Config, ConfigError, load
+from rosechute.sidecar.operator_configuration.effective import BARE, Site
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem
+from rosechute.sidecar.operator_configuration.proof import Proven, prove
+from rosechute.sidecar.operator_configuration.reading import read
+from rosechute.sidecar.operator_policy.policy import load as load_file
 
 REFUSED = 2
 FILE = click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
--- a/rosechute/command/demo.py
+++ b/rosechute/cli/demo.py
@@ -15,11 +15,11 @@
 from rich.live import Live
 from rich.table import Table
 
-from hollyport.core.log import SINK, setup
-from rosechute.file.problems import FileError
-from rosechute.standin.load import Application, Kind
-from rosechute.standin.scene import Scene
-from rosechute.standin.server import Conduct
+from rosechute.fakes.load import Application, Kind
+from rosechute.fakes.scene import Scene
+from rosechute.fakes.server import Conduct
+from rosechute.proxy.core.log import SINK, setup
+from rosechute.sidecar.operator_configuration.problems import FileError
 
 FILE = """version = 1
 
--- a/rosechute/command/explain.py
+++ b/rosechute/cli/explain.py
@@ -8,10 +8,10 @@
 
 import click
 
-from rosechute.command.common import AGAINST, FILE, FORMAT, REFUSED, dumped, look, refuse, table
-from rosechute.file.effective import Effective
-from rosechute.file.proof import Proven
-from rosechute.routes.pattern import decoded
+from rosechute.cli.common import AGAINST, FILE, FORMAT, REFUSED, dumped, look, refuse, table
+from rosechute.sidecar.operator_configuration.effective import Effective
+from rosechute.sidecar.operator_configuration.proof import Proven
+from rosechute.sidecar.route_matching.pattern import decoded
 
 MOST_OTHERS = 12
 
--- a/rosechute/command/lab.py
+++ b/rosechute/cli/lab.py
@@ -19,15 +19,15 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from rosechute.file.problems import FileError
-from rosechute.lab.judge import Breach, Judge
-from rosechute.lab.library import load, names
-from rosechute.lab.rivals import NAMES
-from rosechute.lab.run import run as play
-from rosechute.lab.statistic import interval, verdict
-from rosechute.lab.store import Row, Store, program
-from rosechute.lab.sweep import sweep, tasks
-from rosechute.lab.trace import read as read_trace
+from rosechute.sidecar.operator_configuration.problems import FileError
+from rosechute.simulation.judge import Breach, Judge
+from rosechute.simulation.library import load, names
+from rosechute.simulation.rivals import NAMES
+from rosechute.simulation.run import run as play
+from rosechute.simulation.statistic import interval, verdict
+from rosechute.simulation.store import Row, Store, program
+from rosechute.simulation.sweep import sweep, tasks
+from rosechute.simulation.trace import read as read_trace
 
 LESS_IS_BETTER = ("_ms", "refused", "failed", "late", "lost", "unanswered", "attempts_a_request", "breaches")
 TRUSTED_LAG_MS = 10.0  # by how much a bench in real time may be late before its figures are its own
@@ -134,7 +134,7 @@
     else:
         done = play(wanted, policy, seed)
     if report is not None:
-        from rosechute.lab.report import page
+        from rosechute.simulation.report import page
 
         again = _again(["run", scenario, "--policy", policy, "--seed", str(seed)], changes)
         report.write_text(page(done, wanted, policy, seed, again), encoding="utf-8")
@@ -171,7 +171,7 @@
     """
     import uvloop
 
-    from rosechute.lab.real.world import real as play_real
+    from rosechute.simulation.real.world import real as play_real
 
     wanted = _load(scenario, changes)
     try:
@@ -184,7 +184,7 @@
         raise click.ClickException("; ".join(map(str, reasons))) from None
     model = play(wanted, "module", seed)
     if report is not None:
-        from rosechute.lab.report import beside
+        from rosechute.simulation.report import beside
 
         again = _again(["real", scenario, "--seed", str(seed)], changes)
         lag = done.lag_p99_ms, done.lag_max_ms
@@ -434,7 +434,7 @@
     for row in _open(store).rows(scenario, made_by=None if any_program else program()):
         at = json.loads(row.changes).get(path)
         if isinstance(at, str):
-            from rosechute.file.units import span
+            from rosechute.sidecar.operator_configuration.units import span
 
             try:
                 at = span(at) / 1e9
@@ -449,7 +449,7 @@
     found: dict[str, list[Any]] = defaultdict(list)
     for (policy, at), sample in values.items():
         found[policy].append((at, interval(sample)))
-    from rosechute.lab.report import curves
+    from rosechute.simulation.report import curves
 
     again = shlex.join(["rosechute", "lab", "curve", scenario, path, str(target), "--figure", figure])
     target.write_text(curves(scenario, path, figure, found, again), encoding="utf-8")
@@ -519,8 +519,8 @@
     from when it was due. Exit code 1 where any was not answered."""
     import uvloop
 
-    from rosechute.file.units import span
-    from rosechute.lab.load import due, load, target
+    from rosechute.sidecar.operator_configuration.units import span
+    from rosechute.simulation.load import due, load, target
 
     try:
         to = target(url)
--- a/rosechute/command/main.py
+++ b/rosechute/cli/main.py
@@ -10,12 +10,12 @@
 from rosechute import __version__
 
 COMMANDS = {
-    "check": ("rosechute.command.check", "Say whether an operator's file is safe."),
-    "explain": ("rosechute.command.explain", "Say which route a request takes, and why."),
-    "run": ("rosechute.command.run", "Run a sidecar."),
-    "demo": ("rosechute.command.demo", "Watch a sidecar decide while servers turn slow, drain and start cold."),
-    "lab": ("rosechute.command.lab", "Measure policies in a simulated fleet, with faults."),
-    "completion": ("rosechute.command.completion", "Print a shell's completion script."),
+    "check": ("rosechute.cli.check", "Say whether an operator's file is safe."),
+    "explain": ("rosechute.cli.explain", "Say which route a request takes, and why."),
+    "run": ("rosechute.cli.run", "Run a sidecar."),
+    "demo": ("rosechute.cli.demo", "Watch a sidecar decide while servers turn slow, drain and start cold."),
+    "lab": ("rosechute.cli.lab", "Measure policies in a simulated fleet, with faults."),
+    "completion": ("rosechute.cli.completion", "Print a shell's completion script."),
 }
 EXTRAS = {"demo": "demo", "lab": "lab"}  # what a command needs besides the extra `tool`
 
@@ -30,7 +30,7 @@
         if name not in COMMANDS:
             return None
         if name == "lab":
-            from hollyport import native
+            from rosechute import native
 
             native.prefer()
         try:
--- a/rosechute/command/run.py
+++ b/rosechute/cli/run.py
@@ -1,4 +1,4 @@
-"""`rosechute run`: the same process as `python -m hollyport`, with an operator's file if one is named."""
+"""`rosechute run`: the same process as `python -m rosechute.sidecar`, with an operator's file if one is named."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     env = dict(os.environ)
     if config is not None:
         env["NODE_CONFIG"] = str(config)
-    from hollyport import native
+    from rosechute import native
 
     native.prefer()
-    from hollyport.__main__ import run
+    from rosechute.sidecar.__main__ import run
 
     if file is None:
         sys.exit(run(env))
-    from hollyport.core.log import setup
-    from rosechute.file.problems import FileError
-    from rosechute.file.reading import read
-    from rosechute.serve.policy import load, policy
+    from rosechute.proxy.core.log import setup
+    from rosechute.sidecar.operator_configuration.problems import FileError
+    from rosechute.sidecar.operator_configuration.reading import read
+    from rosechute.sidecar.operator_policy.policy import load, policy
 
     try:
         log = read(load(file)).file.log
--- a/rosechute/data_plane/admission.py
+++ b/rosechute/data_plane/admission.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hollyport.http1.message import Message
 from rosechute.configuration.operator import Configuration, Route, Tenant
 from rosechute.configuration.route_table import RouteTable
 from rosechute.data_plane.request_headers import (
@@ -23,6 +22,7 @@
     parse_token_counts,
 )
 from rosechute.data_plane.server_request import serialize_head
+from rosechute.proxy.http1.message import Message
 from rosechute.routing.model import RoutingRequest, Ticket
 
 PRIORITIES = 10  # values of the header `Priority`, 0 to 9
--- a/rosechute/data_plane/attempt.py
+++ b/rosechute/data_plane/attempt.py
@@ -6,12 +6,12 @@
 import enum
 from typing import Protocol
 
-from hollyport.core.flow import Body, Sink
-from hollyport.core.log import LOG
-from hollyport.http1.connection import Echo, Reply
 from rosechute.data_plane import attempt_outcome
 from rosechute.data_plane.attempt_outcome import AttemptOutcome
 from rosechute.data_plane.connection_pool import ConnectionPool, PooledConnection, ServerConnections
+from rosechute.proxy.core.flow import Body, Sink
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.connection import Echo, Reply
 
 
 class AttemptOwner(Protocol):
--- a/rosechute/data_plane/attempt_outcome.py
+++ b/rosechute/data_plane/attempt_outcome.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from hollyport.http1.connection import Reply
+from rosechute.proxy.http1.connection import Reply
 from rosechute.routing.model import AttemptResult
 
 STAMP = b"x-rosechute-server-stamp"
--- a/rosechute/data_plane/client_listener.py
+++ b/rosechute/data_plane/client_listener.py
@@ -6,17 +6,17 @@
 import itertools
 from collections.abc import Callable, Iterator
 
-from hollyport.core.address import Address
-from hollyport.core.flow import Budget
-from hollyport.core.log import LOG
-from hollyport.http1.client import ClientTerms
-from hollyport.http1.listener import Listener, ListenerTimes
-from hollyport.http1.message import Headers, Message
 from rosechute.configuration.operator import Limits
 from rosechute.data_plane.admission import AdmittedRequest, Rejection
 from rosechute.data_plane.client_limits import IDLE_TIMEOUT_MARGIN_S, ClientLimits
 from rosechute.data_plane.request import SHUTDOWN_RETRY_AFTER_S, ClientRequest
 from rosechute.data_plane.request_headers import REQUEST_ID
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.flow import Budget
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.client import ClientTerms
+from rosechute.proxy.http1.listener import Listener, ListenerTimes
+from rosechute.proxy.http1.message import Headers, Message
 
 METHODS = frozenset({b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"})
 # Own statuses after which the connection closes: the bytes that follow such a request can't be trusted.
--- a/rosechute/data_plane/client_response.py
+++ b/rosechute/data_plane/client_response.py
@@ -12,13 +12,13 @@
 
 from contextlib import suppress
 
-from hollyport.core.flow import Source
-from hollyport.http1.connection import Reply
-from hollyport.http1.message import HOP_BY_HOP, Headers, Message
 from rosechute.data_plane.admission import AdmittedRequest
 from rosechute.data_plane.event_stream import VERSIONS, BrokenStreamError, EventStream
 from rosechute.data_plane.request_headers import REQUEST_ID
 from rosechute.data_plane.server_request import ResumePoint
+from rosechute.proxy.core.flow import Source
+from rosechute.proxy.http1.connection import Reply
+from rosechute.proxy.http1.message import HOP_BY_HOP, Headers, Message
 
 NOT_FORWARDED_TO_CLIENTS = HOP_BY_HOP | {b"content-length"}
 MAX_EVENT_BYTES = 256 * 1024  # of one event, where only complete ones are forwarded
--- a/rosechute/data_plane/connection_pool.py
+++ b/rosechute/data_plane/connection_pool.py
@@ -8,9 +8,9 @@
 from collections import deque
 from collections.abc import Sequence
 
-from hollyport.core.flow import Budget
-from hollyport.http1.connection import Connection, Reply
 from rosechute.configuration.process import split_address
+from rosechute.proxy.core.flow import Budget
+from rosechute.proxy.http1.connection import Connection, Reply
 from rosechute.routing.model import ServerEntry
 
 CONNECT_TIMEOUT_S = 0.3  # a server that is up accepts within milliseconds
--- a/rosechute/data_plane/dispatcher.py
+++ b/rosechute/data_plane/dispatcher.py
@@ -7,10 +7,10 @@
 from collections.abc import Collection, Sequence
 from typing import Protocol
 
-from hollyport.core.log import LOG
 from rosechute.configuration.process import Bounds
 from rosechute.data_plane.connection_pool import ConnectionPool
 from rosechute.data_plane.request import ClientRequest
+from rosechute.proxy.core.log import LOG
 from rosechute.routing.model import (
     AttemptResult,
     CloseIdle,
--- a/rosechute/data_plane/plane.py
+++ b/rosechute/data_plane/plane.py
@@ -8,9 +8,6 @@
 import time
 from collections.abc import Callable, Sequence
 
-from hollyport.core.flow import Budget
-from hollyport.core.shares import Descriptors, descriptors
-from hollyport.http1.message import Message
 from rosechute.configuration.operator import Configuration, Tenant
 from rosechute.configuration.process import ProcessSettings
 from rosechute.data_plane.admission import ActiveConfiguration, AdmittedRequest, Rejection
@@ -23,6 +20,9 @@
 from rosechute.data_plane.route_durations import RouteDurations
 from rosechute.data_plane.shutdown import Shutdown
 from rosechute.data_plane.traffic_split import SplitSequences
+from rosechute.proxy.core.flow import Budget
+from rosechute.proxy.core.shares import Descriptors, descriptors
+from rosechute.proxy.http1.message import Message
 from rosechute.routing.counts import Counts
 from rosechute.routing.model import AttemptResult, ServerEntry
 
--- a/rosechute/data_plane/request.py
+++ b/rosechute/data_plane/request.py
@@ -9,10 +9,6 @@
 import asyncio
 from typing import Protocol
 
-from hollyport.core.flow import Sink
-from hollyport.core.log import LOG
-from hollyport.http1.connection import Reply
-from hollyport.http1.message import Message
 from rosechute.data_plane import attempt_outcome
 from rosechute.data_plane.admission import AdmittedRequest, Rejection
 from rosechute.data_plane.attempt import Attempt
@@ -24,6 +20,10 @@
 from rosechute.data_plane.request_headers import REQUEST_ID
 from rosechute.data_plane.request_state import NOT_SENT_STATES, SENT_STATES, RequestState, validated_transition
 from rosechute.data_plane.server_request import serialize_attempt
+from rosechute.proxy.core.flow import Sink
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.connection import Reply
+from rosechute.proxy.http1.message import Message
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
 DEFAULT_RETRY_AFTER_S = 0.25  # `Retry-After` where nothing better is known
@@ -221,7 +221,7 @@
         return self
 
     def pass_on(self, data: bytes) -> None:
-        """Forward bytes of the server's response to the client. See `hollyport.core.flow.Sink`."""
+        """Forward bytes of the server's response to the client. See `rosechute.proxy.core.flow.Sink`."""
         if self.state is not RequestState.STREAMING:
             return
         self._inactivity.on_bytes_received()
@@ -289,7 +289,7 @@
         self._change(RequestState.FINISHED)
 
     def pause(self) -> None:
-        """Pause the server's response: the client accepts no more for now. See `hollyport.core.flow.Source`."""
+        """Pause the server's response: the client accepts no more for now. See `rosechute.proxy.core.flow.Source`."""
         self._client_paused = self._inactivity.is_client_paused = True
         if self._attempt is not None and self.state is RequestState.STREAMING:
             self._attempt.pause()
--- a/rosechute/data_plane/request_headers.py
+++ b/rosechute/data_plane/request_headers.py
@@ -4,7 +4,7 @@
 
 import re
 
-from hollyport.http1.message import Message
+from rosechute.proxy.http1.message import Message
 from rosechute.routing.model import PromptPart
 
 REQUEST_ID = b"x-rosechute-request-id"
--- a/rosechute/data_plane/server_request.py
+++ b/rosechute/data_plane/server_request.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hollyport.http1.message import HOP_BY_HOP, Message
 from rosechute.configuration.operator import Tenant
 from rosechute.data_plane.request_headers import (
     CREDENTIAL,
@@ -16,6 +15,7 @@
     REQUEST_ID,
     TOKEN_COUNT,
 )
+from rosechute.proxy.http1.message import HOP_BY_HOP, Message
 
 if TYPE_CHECKING:
     from rosechute.data_plane.admission import AdmittedRequest
--- a/rosechute/data_plane/shutdown.py
+++ b/rosechute/data_plane/shutdown.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from hollyport.core.log import LOG
 from rosechute.data_plane.admission import AdmittedRequest, completion_deadline
 from rosechute.data_plane.client_listener import ClientListener
 from rosechute.data_plane.request_state import NOT_SENT_STATES
 from rosechute.data_plane.route_durations import RouteDurations
+from rosechute.proxy.core.log import LOG
 
 MIN_DRAIN_S = 2.5  # for so long clients may still be sent here: readiness checks need time to fail
 RESPONSE_QUANTILE = 0.9  # of its route's durations, by which the duration of a request is estimated
--- a/rosechute/standin/fleet/clients.py
+++ b/rosechute/fakes/fleet/clients.py
@@ -8,8 +8,8 @@
 
 import aiohttp
 
-from rosechute.standin.fleet import words
-from rosechute.standin.fleet.entry import Entry
+from rosechute.fakes.fleet import words
+from rosechute.fakes.fleet.entry import Entry
 
 LONGEST_TRIES = 4
 PAUSE_S = 0.05
--- a/rosechute/standin/fleet/engine.py
+++ b/rosechute/fakes/fleet/engine.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from rosechute.standin.fleet import words
+from rosechute.fakes.fleet import words
 
 KEPT_PARTS = 64
 """How many parts of prompts a server keeps."""
--- a/rosechute/standin/fleet/judge.py
+++ b/rosechute/fakes/fleet/judge.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from rosechute.standin.fleet import words
-from rosechute.standin.fleet.clients import Done
-from rosechute.standin.fleet.engine import Engine
+from rosechute.fakes.fleet import words
+from rosechute.fakes.fleet.clients import Done
+from rosechute.fakes.fleet.engine import Engine
 
 SERVED_LEAST = 0.97
 """The share of requests that a fleet serves while one process at a time is down."""
--- a/rosechute/standin/fleet/operator.py
+++ b/rosechute/fakes/fleet/operator.py
@@ -11,7 +11,7 @@
 import aiohttp
 import msgspec
 
-from rosechute.standin.fleet import words
+from rosechute.fakes.fleet import words
 
 SILENCE_S = 1.0
 REDIRECTS = 2
--- a/rosechute/standin/fleet/processes.py
+++ b/rosechute/fakes/fleet/processes.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from rosechute.configuration.process import SETTINGS_VARIABLE
-from rosechute.standin.fleet.entry import Gate
+from rosechute.fakes.fleet.entry import Gate
 
 ROOT = Path(__file__).resolve().parents[3]
 FRONT_PORT, READINESS_PORT, CONTROL_PORT = 8360, 8365, 8367
--- a/rosechute/standin/fleet/scene.py
+++ b/rosechute/fakes/fleet/scene.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from rosechute.standin.fleet.clients import Clients, Kind
-from rosechute.standin.fleet.engine import Engine
-from rosechute.standin.fleet.entry import Entry
-from rosechute.standin.fleet.judge import Verdict, judge
-from rosechute.standin.fleet.operator import Operator, Outcome
-from rosechute.standin.fleet.platform import Instance, PlatformList
-from rosechute.standin.fleet.processes import Fleet
+from rosechute.fakes.fleet.clients import Clients, Kind
+from rosechute.fakes.fleet.engine import Engine
+from rosechute.fakes.fleet.entry import Entry
+from rosechute.fakes.fleet.judge import Verdict, judge
+from rosechute.fakes.fleet.operator import Operator, Outcome
+from rosechute.fakes.fleet.platform import Instance, PlatformList
+from rosechute.fakes.fleet.processes import Fleet
 
 HOST = "fleet.example"
 KEY, OTHER_KEY = "k-harbour-1", "k-harbour-2"
--- a/rosechute/standin/scene.py
+++ b/rosechute/fakes/scene.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any
 
-from dunefield.interface import Settings
-from hollyport.core.address import Address
-from hollyport.platform.config import Config
-from hollyport.sidecar import Sidecar
-from rosechute.serve.policy import FilePolicy
-from rosechute.standin.discovery import StandInDiscovery
-from rosechute.standin.load import Application, Outcome
-from rosechute.standin.server import Conduct, StandInServer
+from rosechute.fakes.discovery import StandInDiscovery
+from rosechute.fakes.load import Application, Outcome
+from rosechute.fakes.server import Conduct, StandInServer
+from rosechute.load_balancing.interface import Settings
+from rosechute.proxy.core.address import Address
+from rosechute.sidecar.config import Config
+from rosechute.sidecar.operator_policy.policy import FilePolicy
+from rosechute.sidecar.sidecar import Sidecar
 
 MS = 1_000_000
 GRACE_S = 0.25 + 0.05  # after a drain is told; the rule's time, and what the loopback takes
--- a/dunefield/__init__.py
+++ b/rosechute/load_balancing/__init__.py
@@ -1,6 +1,6 @@
-"""dunefield: the decisions of a sidecar balancer for service-to-service calls."""
+"""rosechute.load_balancing: the decisions of a sidecar balancer for service-to-service calls."""
 
-from dunefield.interface import (
+from rosechute.load_balancing.interface import (
     Accept,
     Action,
     Alarm,
@@ -31,7 +31,7 @@
     Subscribe,
     Tell,
 )
-from dunefield.rules import Balancer
+from rosechute.load_balancing.rules import Balancer
 
 __all__ = [
     "Accept",
--- a/dunefield/adapter.py
+++ b/rosechute/load_balancing/adapter.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from dunefield.interface import (
+from rosechute.load_balancing.interface import (
     Accept,
     Action,
     Alarm,
@@ -35,7 +35,7 @@
     Subscribe,
     Tell,
 )
-from dunefield.rules import Balancer
+from rosechute.load_balancing.rules import Balancer
 
 Fields = dict[str, str]
 TEXT_FIELDS = {"open_instance": " env="}
@@ -313,7 +313,7 @@
 
 
 def main() -> int:
-    """Entry point of `python -m dunefield.adapter`."""
+    """Entry point of `python -m rosechute.load_balancing.adapter`."""
     # Decoded line by line, so that the number of a line that is not text is known.
     return Host((raw.decode("utf-8") for raw in sys.stdin.buffer), sys.stdout).run()
 
--- a/dunefield/backoff.py
+++ b/rosechute/load_balancing/backoff.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from dunefield.interface import TOLD_NS
+from rosechute.load_balancing.interface import TOLD_NS
 
 ANSWER_NS = TOLD_NS * 3 // 8
 """How long the answer to a call that does not wait may take, its connecting included. Discovery handles calls in turn
--- a/dunefield/crowding.py
+++ b/rosechute/load_balancing/crowding.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Sequence
 
-from dunefield.interface import RequestClass
-from dunefield.state import GAIN
+from rosechute.load_balancing.interface import RequestClass
+from rosechute.load_balancing.state import GAIN
 
 CROWDED = 0.4  # crowding from which calls are shed
 JAMMED = 4.0  # crowding that one call's finding counts for at most
--- a/dunefield/memory.py
+++ b/rosechute/load_balancing/memory.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from dunefield.rules import Balancer
-from dunefield.state import Server
+from rosechute.load_balancing.rules import Balancer
+from rosechute.load_balancing.state import Server
 
 VERSION = 1
 SERVER = ("k", "backoff", "retry_at", "seen", "heard", "struck", "mute_until", "credit_at")
--- a/dunefield/rules.py
+++ b/rosechute/load_balancing/rules.py
@@ -1,4 +1,4 @@
-"""The decisions of one sidecar. Settings, events and actions are defined in `dunefield/interface.py`.
+"""The decisions of one sidecar. Settings, events and actions are defined in `rosechute/load_balancing/interface.py`.
 
 The ordinary path is the design's: each server has an in-flight budget of k steps times a learned
 concurrency figure; a call goes to the less loaded of two random servers by own calls in flight, ties by
@@ -13,9 +13,9 @@
 import random
 from collections.abc import Mapping
 
-from dunefield.backoff import ANSWER_NS, APART_NS, LONGEST_NS, Backoff
-from dunefield.crowding import CROWDED, Crowding
-from dunefield.interface import (
+from rosechute.load_balancing.backoff import ANSWER_NS, APART_NS, LONGEST_NS, Backoff
+from rosechute.load_balancing.crowding import CROWDED, Crowding
+from rosechute.load_balancing.interface import (
     NEVER_RAN,
     Accept,
     Action,
@@ -39,7 +39,7 @@
     Submit,
     Subscribe,
 )
-from dunefield.state import FIGURE, GAIN, Attempt, Call, Classes, Roster, Server, pulse
+from rosechute.load_balancing.state import FIGURE, GAIN, Attempt, Call, Classes, Roster, Server, pulse
 
 UNMUTED = (0, 0)  # what stands for a class that was not left unanswered
 SILENCE_NS = 400_000_000  # the longest pause before a watch that fell silent is opened anew
--- a/dunefield/state.py
+++ b/rosechute/load_balancing/state.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from zlib import crc32
 
-from dunefield.interface import Bounds, Entry, Invariants, RequestClass
+from rosechute.load_balancing.interface import Bounds, Entry, Invariants, RequestClass
 
 GAIN = 0.3  # weight of one new observation against what was known
 FIGURE = 2.0  # concurrency figure of a server nothing is known of, and its ceiling: each step admits so many
--- a/hollyport/native.py
+++ b/rosechute/native.py
@@ -78,7 +78,7 @@
 
 def in_force() -> bool:
     """Whether the decision module of this process was loaded from a library."""
-    module = sys.modules.get("dunefield.rules")
+    module = sys.modules.get("rosechute.load_balancing.rules")
     return module is not None and str(module.__file__).endswith(EXTENSION_SUFFIXES[0])
 
 
--- a/rosechute/processes/demo.py
+++ b/rosechute/processes/demo.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from rosechute.fakes.fleet.judge import endings
+from rosechute.fakes.fleet.scene import KINDS, Scene
 from rosechute.processes import state
-from rosechute.standin.fleet.judge import endings
-from rosechute.standin.fleet.scene import KINDS, Scene
 
 LEAST_SECONDS = 12.0
 ACKNOWLEDGED_WITHIN_S = 20.0
--- a/hollyport/core/calls.py
+++ b/rosechute/proxy/core/calls.py
@@ -1,7 +1,7 @@
 """The core: the table of calls and attempts, the guards, and delivery to the decision module.
 
 Nothing is decided here, and nothing is known of any wire. What happens at a front or a backend becomes an
-event for `dunefield.rules`, and what that answers is carried out.
+event for `rosechute.load_balancing.rules`, and what that answers is carried out.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterator
 from typing import Generic, Protocol
 
-from dunefield.interface import (
+from rosechute.load_balancing.interface import (
     NEVER_RAN,
     Accept,
     Action,
@@ -36,12 +36,12 @@
     Subscribe,
     Tell,
 )
-from dunefield.rules import Balancer
-from hollyport.core.clock import Clock
-from hollyport.core.flow import Sink
-from hollyport.core.log import LOG
-from hollyport.core.ports import REFUSE, WAIT, Asked, Attempt, Backend, Ending, Limiter, Load, Q, R
-from hollyport.core.shares import MARGIN_NS
+from rosechute.load_balancing.rules import Balancer
+from rosechute.proxy.core.clock import Clock
+from rosechute.proxy.core.flow import Sink
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.core.ports import REFUSE, WAIT, Asked, Attempt, Backend, Ending, Limiter, Load, Q, R
+from rosechute.proxy.core.shares import MARGIN_NS
 
 GUARD_NS = 5_000_000  # the last guard, between the module's deadline and the client's
 LAST_S = 0.05  # how long before its own end this process gives the answers that are still owed
--- a/hollyport/core/ports.py
+++ b/rosechute/proxy/core/ports.py
@@ -11,8 +11,8 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple, Protocol, TypeVar
 
-from dunefield.interface import Bounds, How, RequestClass
-from hollyport.core.flow import Body, Sink, Source
+from rosechute.load_balancing.interface import Bounds, How, RequestClass
+from rosechute.proxy.core.flow import Body, Sink, Source
 
 Q = TypeVar("Q", bound="Front[Any]")
 R = TypeVar("R")
@@ -171,7 +171,7 @@
 
 
 class Limiter(Protocol):
-    """Limits of routes and tenants: clock and calls in, verdicts out. See `rosechute.limits`."""
+    """Limits of routes and tenants: clock and calls in, verdicts out. See `rosechute.sidecar.request_limits`."""
 
     def asks(self, now: int, tid: str, asked: Asked) -> Verdict:
         """A request has come."""
--- a/hollyport/http1/admission.py
+++ b/rosechute/proxy/http1/admission.py
@@ -5,9 +5,9 @@
 import math
 import re
 
-from dunefield.interface import RequestClass, Settings
-from hollyport.core.ports import Asked, Routes
-from hollyport.http1.message import Message
+from rosechute.load_balancing.interface import RequestClass, Settings
+from rosechute.proxy.core.ports import Asked, Routes
+from rosechute.proxy.http1.message import Message
 
 ID = re.compile(rb"[!-~]{1,256}")
 OLD_FORM_S = 2.0  # how long the form that held before new settings is still taken: clients follow 1.2 s later
--- a/hollyport/http1/backend.py
+++ b/rosechute/proxy/http1/backend.py
@@ -4,12 +4,12 @@
 
 import json
 
-from dunefield.interface import How
-from hollyport.core.flow import Sink
-from hollyport.core.ports import Attempt, Echoed, Load, Watch
-from hollyport.http1.connection import Reply
-from hollyport.http1.message import HOP_BY_HOP, Message
-from hollyport.http1.upstream import Flow, Upstream
+from rosechute.load_balancing.interface import How
+from rosechute.proxy.core.flow import Sink
+from rosechute.proxy.core.ports import Attempt, Echoed, Load, Watch
+from rosechute.proxy.http1.connection import Reply
+from rosechute.proxy.http1.message import HOP_BY_HOP, Message
+from rosechute.proxy.http1.upstream import Flow, Upstream
 
 MOST_LOAD = 1e5  # a report of more is none
 NOT_FORWARDED = HOP_BY_HOP | {b"content-length", b"expect", b"x-timeout"}
--- a/hollyport/http1/client.py
+++ b/rosechute/proxy/http1/client.py
@@ -13,10 +13,10 @@
 
 import httptools
 
-from hollyport.core.flow import Body, Budget, Source
-from hollyport.core.log import LOG
-from hollyport.http1 import quick
-from hollyport.http1.message import Headers, Message, head
+from rosechute.proxy.core.flow import Body, Budget, Source
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1 import quick
+from rosechute.proxy.http1.message import Headers, Message, head
 
 MAX_BODY = 33 << 20  # of a request; 32 MB are promised
 PASS_PIECE = 64 * 1024  # and in a body that goes out as it comes in, which begins nothing
--- a/hollyport/http1/connection.py
+++ b/rosechute/proxy/http1/connection.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from hollyport.core.flow import RECEIVE, Body, Budget, Sink
-from hollyport.http1 import quick
+from rosechute.proxy.core.flow import RECEIVE, Body, Budget, Sink
+from rosechute.proxy.http1 import quick
 
 MAX_BODY = 33 << 20  # of an answer that is passed on; 32 MB are promised
 MAX_KEPT = 1 << 20  # of one that is not
--- a/hollyport/http1/listener.py
+++ b/rosechute/proxy/http1/listener.py
@@ -8,10 +8,10 @@
 import socket
 from dataclasses import dataclass, field
 
-from hollyport.core.address import Address
-from hollyport.core.flow import RECEIVE, Budget
-from hollyport.core.log import LOG
-from hollyport.http1.client import ClientConnection, ClientTerms, Queue, Service
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.flow import RECEIVE, Budget
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.client import ClientConnection, ClientTerms, Queue, Service
 
 BACKLOG = 1024
 BATCH = 64  # connections taken in one go, so that a flood does not keep the loop from its other work
--- a/hollyport/http1/message.py
+++ b/rosechute/proxy/http1/message.py
@@ -4,9 +4,9 @@
 
 from typing import Protocol
 
-from hollyport.core.flow import Body, Source
-from hollyport.core.ports import Ending
-from hollyport.http1.connection import Reply
+from rosechute.proxy.core.flow import Body, Source
+from rosechute.proxy.core.ports import Ending
+from rosechute.proxy.http1.connection import Reply
 
 REASONS = {
     200: "OK",
--- a/hollyport/http1/upstream.py
+++ b/rosechute/proxy/http1/upstream.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from dunefield.interface import How
-from hollyport.core.address import Address
-from hollyport.core.flow import Body, Budget, Sink
-from hollyport.core.log import LOG
-from hollyport.http1.connection import Begin, Connection, Reply, Wrote
-from hollyport.http1.pool import Demand, Terms
+from rosechute.load_balancing.interface import How
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.flow import Body, Budget, Sink
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.connection import Begin, Connection, Reply, Wrote
+from rosechute.proxy.http1.pool import Demand, Terms
 
 OK = How.OK
 OWN_WANT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
--- a/rosechute/routing/server.py
+++ b/rosechute/routing/server.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Callable
 
-from dunefield.backoff import Backoff
+from rosechute.load_balancing.backoff import Backoff
 from rosechute.routing.model import AttemptResult, ServerEntry
 from rosechute.routing.tuning import RouterTuning
 
--- a/hollyport/__main__.py
+++ b/rosechute/sidecar/__main__.py
@@ -7,7 +7,7 @@
 # SIGHUP asks for a fresh look at the file, which is yet to be read: until the loop listens, it must not kill.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-from hollyport import native
+from rosechute import native
 
 if __name__ == "__main__":
     native.prefer()  # before anything is loaded that may be compiled
@@ -20,10 +20,10 @@
 
 import uvloop
 
-from hollyport.core.log import LOG, SINK
-from hollyport.platform.config import Config, ConfigError, load
-from hollyport.platform.reload import fixed, read_again
-from hollyport.sidecar import Policy, Sidecar
+from rosechute.proxy.core.log import LOG, SINK
+from rosechute.sidecar.config import Config, ConfigError, load
+from rosechute.sidecar.reload import fixed, read_again
+from rosechute.sidecar.sidecar import Policy, Sidecar
 
 Policies = Callable[[Config], Policy]
 
@@ -95,7 +95,7 @@
 
 
 def main() -> int:
-    """Entry point of `python -m hollyport`."""
+    """Entry point of `python -m rosechute.sidecar`."""
     return run(dict(os.environ))
 
 
--- a/hollyport/platform/config.py
+++ b/rosechute/sidecar/config.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dunefield.interface import Settings, SettingsError
-from hollyport.core.address import Address, parse_address
+from rosechute.load_balancing.interface import Settings, SettingsError
+from rosechute.proxy.core.address import Address, parse_address
 
 REPEATS = frozenset({"free", "guarded", "single_shot"})
 GROUPS = frozenset({"all", "zone", "cell"})
--- a/hollyport/platform/control.py
+++ b/rosechute/sidecar/control.py
@@ -8,9 +8,9 @@
 
 import httptools
 
-from hollyport.core.address import Address
-from hollyport.core.log import LOG
-from hollyport.http1.message import head
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.message import head
 
 MOST = 8  # connections at a time; their descriptors are out of the program's reserve
 MAX_CALL = 8 * 1024  # bytes of one call, its body included
--- a/hollyport/platform/discovery.py
+++ b/rosechute/sidecar/discovery.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from dunefield.backoff import ANSWER_NS, WAIT_NS, Backoff
-from dunefield.interface import Entry, Settings
-from hollyport.core.address import Address, parse_address
-from hollyport.core.log import LOG
-from hollyport.http1.connection import Connection, Reply
-from hollyport.platform.slices import Pace, decode
+from rosechute.load_balancing.backoff import ANSWER_NS, WAIT_NS, Backoff
+from rosechute.load_balancing.interface import Entry, Settings
+from rosechute.proxy.core.address import Address, parse_address
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.connection import Connection, Reply
+from rosechute.sidecar.slices import Pace, decode
 
 SILENT_S = 1.0  # how much longer than it may wait one that waits is waited for; what is missed counts from 2 s on
 EARLY_S = 0.1  # pause where answers tell nothing and come before their time; a watch goes on for 0.2 s
--- a/rosechute/file/effective.py
+++ b/rosechute/sidecar/operator_configuration/effective.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from dunefield.interface import Bounds, How, RequestClass, Settings
-from rosechute.file.spec import CAUSES, Budget, Class, File, Rate, Route
-from rosechute.file.units import SECOND_NS, shown
-from rosechute.limits.budget import Share
-from rosechute.limits.limiter import Limits
-from rosechute.limits.rate import RateLimit, per_second
-from rosechute.routes.pattern import Pattern, parse
-from rosechute.routes.table import Match
+from rosechute.load_balancing.interface import Bounds, How, RequestClass, Settings
+from rosechute.sidecar.operator_configuration.spec import CAUSES, Budget, Class, File, Rate, Route
+from rosechute.sidecar.operator_configuration.units import SECOND_NS, shown
+from rosechute.sidecar.request_limits.budget import Share
+from rosechute.sidecar.request_limits.limiter import Limits
+from rosechute.sidecar.request_limits.rate import RateLimit, per_second
+from rosechute.sidecar.route_matching.pattern import Pattern, parse
+from rosechute.sidecar.route_matching.table import Match
 
 HOWS = {
     "connect-failed": How.CONNECT_FAILED,
--- a/rosechute/file/proof.py
+++ b/rosechute/sidecar/operator_configuration/proof.py
@@ -16,10 +16,10 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import NamedTuple
 
-from dunefield.interface import RequestClass
-from hollyport.core.flow import PROGRAM_MB, SLACK
-from hollyport.core.shares import MARGIN_NS, descriptors
-from rosechute.file.effective import (
+from rosechute.load_balancing.interface import RequestClass
+from rosechute.proxy.core.flow import PROGRAM_MB, SLACK
+from rosechute.proxy.core.shares import MARGIN_NS, descriptors
+from rosechute.sidecar.operator_configuration.effective import (
     HARMLESS,
     Effective,
     Site,
@@ -29,11 +29,11 @@
     first_part,
     match_of,
 )
-from rosechute.file.problems import FileError, Problem, brief, nearest
-from rosechute.file.reading import line_of
-from rosechute.file.spec import GROUPS, REPEATS, File
-from rosechute.file.units import LONGEST_NS, shown
-from rosechute.routes.table import Match, Table, ambiguous
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem, brief, nearest
+from rosechute.sidecar.operator_configuration.reading import line_of
+from rosechute.sidecar.operator_configuration.spec import GROUPS, REPEATS, File
+from rosechute.sidecar.operator_configuration.units import LONGEST_NS, shown
+from rosechute.sidecar.route_matching.table import Match, Table, ambiguous
 
 LEAST_NS = 2 * MARGIN_NS  # a shorter time leaves a server nothing
 OPEN_BYTES = 16 * 1024  # memory of one open request with its connection
--- a/rosechute/file/reading.py
+++ b/rosechute/sidecar/operator_configuration/reading.py
@@ -11,9 +11,9 @@
 from msgspec import Struct
 from msgspec.structs import fields
 
-from rosechute.file.problems import FileError, Problem, nearest
-from rosechute.file.spec import Budget, Class, File, Log, Rate, Route
-from rosechute.file.units import Span, span
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem, nearest
+from rosechute.sidecar.operator_configuration.spec import Budget, Class, File, Log, Rate, Route
+from rosechute.sidecar.operator_configuration.units import Span, span
 
 MOST_BYTES = 4 << 20
 MOST_ROUTES = 10_000
--- a/rosechute/file/spec.py
+++ b/rosechute/sidecar/operator_configuration/spec.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from rosechute.file.units import Span
+from rosechute.sidecar.operator_configuration.units import Span
 
 VERSION = 1
 CAUSES = ("connect-failed", "full", "reset", "error", "timeout")
--- a/rosechute/serve/policy.py
+++ b/rosechute/sidecar/operator_policy/policy.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from dunefield.interface import Settings
-from hollyport.platform.config import Config, ConfigError
-from rosechute.file.effective import Site
-from rosechute.file.problems import FileError, Problem
-from rosechute.file.proof import Proven, most_lanes, prove
-from rosechute.file.reading import MOST_BYTES, read
-from rosechute.limits.limiter import Limits, RouteLimiter
-from rosechute.routes.table import Table
+from rosechute.load_balancing.interface import Settings
+from rosechute.sidecar.config import Config, ConfigError
+from rosechute.sidecar.operator_configuration.effective import Site
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem
+from rosechute.sidecar.operator_configuration.proof import Proven, most_lanes, prove
+from rosechute.sidecar.operator_configuration.reading import MOST_BYTES, read
+from rosechute.sidecar.request_limits.limiter import Limits, RouteLimiter
+from rosechute.sidecar.route_matching.table import Table
 
 
 class Prepared(NamedTuple):
--- a/hollyport/platform/reload.py
+++ b/rosechute/sidecar/reload.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from hollyport.platform.config import Config, ConfigError, load
+from rosechute.sidecar.config import Config, ConfigError, load
 
 MAY_BE_ABSENT = frozenset({"aimStretch", "passesDeadline", "warmKeys"})  # by the settings' description
 FIXED = ("name", "listen", "control", "sockets")  # what only a new process can take over
--- a/rosechute/limits/limiter.py
+++ b/rosechute/sidecar/request_limits/limiter.py
@@ -18,10 +18,10 @@
 from typing import Any
 from zlib import crc32
 
-from dunefield.interface import Bounds
-from hollyport.core.ports import GO, REFUSE, WAIT, Asked, Verdict
-from rosechute.limits.budget import AttemptBudget, Share
-from rosechute.limits.rate import RateLimit
+from rosechute.load_balancing.interface import Bounds
+from rosechute.proxy.core.ports import GO, REFUSE, WAIT, Asked, Verdict
+from rosechute.sidecar.request_limits.budget import AttemptBudget, Share
+from rosechute.sidecar.request_limits.rate import RateLimit
 
 SHARED = 256  # lanes of a route that keys share once there is no room for more
 LOOKS = 4  # lanes looked at for one that can be forgotten, each time one is made
--- a/rosechute/routes/table.py
+++ b/rosechute/sidecar/route_matching/table.py
@@ -12,7 +12,7 @@
 from itertools import combinations
 from typing import Generic, NamedTuple, TypeVar
 
-from rosechute.routes.pattern import Pattern, decoded
+from rosechute.sidecar.route_matching.pattern import Pattern, decoded
 
 T = TypeVar("T")
 
--- a/hollyport/sidecar.py
+++ b/rosechute/sidecar/sidecar.py
@@ -11,26 +11,26 @@
 import resource
 from typing import Any, Protocol
 
-from dunefield import memory
-from dunefield.interface import Directory, Entry, Reconfigure, Settings
-from dunefield.rules import Balancer
-from hollyport.core.address import Address
-from hollyport.core.calls import Core
-from hollyport.core.flow import Budget
-from hollyport.core.log import LOG, settle
-from hollyport.core.ports import Ending, Limiter, Routes
-from hollyport.core.shares import descriptors
-from hollyport.http1.admission import Gate
-from hollyport.http1.backend import HttpBackend
-from hollyport.http1.connection import Reply
-from hollyport.http1.listener import Listener
-from hollyport.http1.message import STATUS, Message
-from hollyport.http1.upstream import Upstream
-from hollyport.platform.config import Config
-from hollyport.platform.control import Control
-from hollyport.platform.discovery import Discovery, Ended, Line, Listing, read_listing
-from hollyport.platform.stats import Gauges, Stats
-from hollyport.platform.takeover import Takeover, packed, unpacked
+from rosechute.load_balancing import memory
+from rosechute.load_balancing.interface import Directory, Entry, Reconfigure, Settings
+from rosechute.load_balancing.rules import Balancer
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.calls import Core
+from rosechute.proxy.core.flow import Budget
+from rosechute.proxy.core.log import LOG, settle
+from rosechute.proxy.core.ports import Ending, Limiter, Routes
+from rosechute.proxy.core.shares import descriptors
+from rosechute.proxy.http1.admission import Gate
+from rosechute.proxy.http1.backend import HttpBackend
+from rosechute.proxy.http1.connection import Reply
+from rosechute.proxy.http1.listener import Listener
+from rosechute.proxy.http1.message import STATUS, Message
+from rosechute.proxy.http1.upstream import Upstream
+from rosechute.sidecar.config import Config
+from rosechute.sidecar.control import Control
+from rosechute.sidecar.discovery import Discovery, Ended, Line, Listing, read_listing
+from rosechute.sidecar.stats import Gauges, Stats
+from rosechute.sidecar.takeover import Takeover, packed, unpacked
 
 KEEP_ACCEPTING_S = 0.45  # after SIGTERM; new connections go on coming for 0.4 s
 LIVE_ON_S = 3.0  # past that the platform does not wait, however long the deadlines
--- a/hollyport/platform/takeover.py
+++ b/rosechute/sidecar/takeover.py
@@ -13,10 +13,10 @@
 import struct
 from typing import Any, Protocol, cast
 
-from dunefield.interface import Entry
-from hollyport.core.address import Address
-from hollyport.core.log import LOG
-from hollyport.platform.discovery import Line, Listing
+from rosechute.load_balancing.interface import Entry
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.log import LOG
+from rosechute.sidecar.discovery import Line, Listing
 
 VERSION = 1
 NAME = "takeover.sock"
--- a/rosechute/lab/clients.py
+++ b/rosechute/simulation/clients.py
@@ -6,12 +6,12 @@
 from collections.abc import Sequence
 from itertools import accumulate
 
-from rosechute.lab.draw import Streams, Zipf
-from rosechute.lab.engine import Engine
-from rosechute.lab.host import Host
-from rosechute.lab.instance import Request
-from rosechute.lab.spec import Scenario
-from rosechute.lab.trace import ASK, FAILED, LOST, REFUSED, Trace
+from rosechute.simulation.draw import Streams, Zipf
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.host import Host
+from rosechute.simulation.instance import Request
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.trace import ASK, FAILED, LOST, REFUSED, Trace
 
 FAR_NS = 100_000_000.0
 
--- a/rosechute/lab/cold.py
+++ b/rosechute/simulation/cold.py
@@ -12,9 +12,9 @@
 from collections import deque
 from typing import NamedTuple
 
-from rosechute.file.units import SECOND_NS, Span
-from rosechute.lab.spec import Class, Clients, Discovery, Fault, Fleet, Instances, Scenario
-from rosechute.lab.trace import ARRIVE, FELL, GONE, SERVER, TOLD, UP, Record
+from rosechute.sidecar.operator_configuration.units import SECOND_NS, Span
+from rosechute.simulation.spec import Class, Clients, Discovery, Fault, Fleet, Instances, Scenario
+from rosechute.simulation.trace import ARRIVE, FELL, GONE, SERVER, TOLD, UP, Record
 
 MS = 1_000_000
 TOLD_PART = 2 / 3  # of a window's requests, from which the rule is broken
--- a/rosechute/lab/faults.py
+++ b/rosechute/simulation/faults.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
 
-from rosechute.lab.draw import Stream
-from rosechute.lab.network import FROM, TO
-from rosechute.lab.spec import Fault
-from rosechute.lab.trace import LEVEL
+from rosechute.simulation.draw import Stream
+from rosechute.simulation.network import FROM, TO
+from rosechute.simulation.spec import Fault
+from rosechute.simulation.trace import LEVEL
 
 if TYPE_CHECKING:
-    from rosechute.lab.world import World
+    from rosechute.simulation.world import World
 
 STEPS = 10
 RAMPED = ("slow", "load", "tenant-burst", "loss", "shared-slow", "false-reports")  # the kinds that have degrees
--- a/rosechute/lab/figures.py
+++ b/rosechute/simulation/figures.py
@@ -8,8 +8,22 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from rosechute.lab.spec import Scenario
-from rosechute.lab.trace import ASK, END, FAILED, GAUGE, LEFT, LEVEL, LOST, REFUSED, SEND, SERVED, SERVER, UP, Record
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.trace import (
+    ASK,
+    END,
+    FAILED,
+    GAUGE,
+    LEFT,
+    LEVEL,
+    LOST,
+    REFUSED,
+    SEND,
+    SERVED,
+    SERVER,
+    UP,
+    Record,
+)
 
 BIN_NS = 250_000_000
 ENDINGS = {SERVED: "served", REFUSED: "refused", FAILED: "failed", LEFT: "unanswered", LOST: "lost"}
--- a/rosechute/lab/host.py
+++ b/rosechute/simulation/host.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from dunefield.interface import Directory, Entry
-from rosechute.lab.instance import Request
+from rosechute.load_balancing.interface import Directory, Entry
+from rosechute.simulation.instance import Request
 
 
 class Host(Protocol):
--- a/rosechute/lab/instance.py
+++ b/rosechute/simulation/instance.py
@@ -1,7 +1,7 @@
 """One instance: a policy, the requests it holds, its connections, attempts and timers.
 
-The policy speaks the decision module's wire: events of `dunefield.interface` in, actions out. The module and its
-rivals are hosted alike, so that nothing but the decisions differs between two runs.
+The policy speaks the decision module's wire: events of `rosechute.load_balancing.interface` in, actions out. The
+module and its rivals are hosted alike, so that nothing but the decisions differs between two runs.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from dunefield.interface import (
+from rosechute.load_balancing.interface import (
     Accept,
     Action,
     Alarm,
@@ -31,12 +31,12 @@
     Submit,
     Subscribe,
 )
-from rosechute.lab.engine import Engine
-from rosechute.lab.listing import Listing
-from rosechute.lab.network import FROM, TO, Paths
-from rosechute.lab.server import Job, Server
-from rosechute.lab.spec import Instances
-from rosechute.lab.trace import (
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.listing import Listing
+from rosechute.simulation.network import FROM, TO, Paths
+from rosechute.simulation.server import Job, Server
+from rosechute.simulation.spec import Instances
+from rosechute.simulation.trace import (
     ARRIVE,
     DRAINING,
     END,
--- a/rosechute/lab/judge.py
+++ b/rosechute/simulation/judge.py
@@ -20,8 +20,8 @@
 from collections import Counter, deque
 from typing import NamedTuple
 
-from rosechute.lab.spec import Scenario
-from rosechute.lab.trace import (
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.trace import (
     ARRIVE,
     ASK,
     BEGIN,
--- a/rosechute/lab/library.py
+++ b/rosechute/simulation/library.py
@@ -9,21 +9,21 @@
 
 import msgspec
 
-from rosechute.file.problems import FileError, Problem, nearest
-from rosechute.lab.reading import read, structure
-from rosechute.lab.spec import Scenario
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem, nearest
+from rosechute.simulation.reading import read, structure
+from rosechute.simulation.spec import Scenario
 
 
 def names() -> list[str]:
     """The scenarios that come with the lab, in order of their names."""
-    folder = resources.files("rosechute.lab") / "scenarios"
+    folder = resources.files("rosechute.simulation") / "scenarios"
     return sorted(item.name[:-5] for item in folder.iterdir() if item.name.endswith(".toml"))
 
 
 def text(name: str) -> str:
     """The text of a scenario, by its name or its file's path; raise FileError where there is neither."""
     if name in names():
-        return (resources.files("rosechute.lab") / "scenarios" / f"{name}.toml").read_text(encoding="utf-8")
+        return (resources.files("rosechute.simulation") / "scenarios" / f"{name}.toml").read_text(encoding="utf-8")
     path = Path(name)
     if path.suffix == ".toml" and path.is_file():
         return path.read_text(encoding="utf-8")
--- a/rosechute/lab/listing.py
+++ b/rosechute/simulation/listing.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from dunefield.interface import Directory, Entry
-from rosechute.lab.engine import Engine
-from rosechute.lab.spec import Discovery
+from rosechute.load_balancing.interface import Directory, Entry
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.spec import Discovery
 
 Tell = Callable[[int, Directory], None]
 
--- a/rosechute/lab/load.py
+++ b/rosechute/simulation/load.py
@@ -18,7 +18,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from rosechute.lab.clients import level, peak
+from rosechute.simulation.clients import level, peak
 
 MOST_RATE = 20_000.0
 MOST_S = 600.0
--- a/rosechute/lab/network.py
+++ b/rosechute/simulation/network.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from rosechute.lab.draw import Stream
-from rosechute.lab.spec import Network
+from rosechute.simulation.draw import Stream
+from rosechute.simulation.spec import Network
 
 TO, FROM = 1, 2  # towards the servers, and back
 
--- a/rosechute/lab/reading.py
+++ b/rosechute/simulation/reading.py
@@ -5,9 +5,9 @@
 import tomllib
 from typing import Any
 
-from rosechute.file.problems import FileError, Problem, nearest
-from rosechute.file.reading import Reader, line_of, places
-from rosechute.lab.spec import Class, Clients, Discovery, Fault, Fleet, Instances, Network, Scenario
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem, nearest
+from rosechute.sidecar.operator_configuration.reading import Reader, line_of, places
+from rosechute.simulation.spec import Class, Clients, Discovery, Fault, Fleet, Instances, Network, Scenario
 
 TABLES = {"clients": Clients, "fleet": Fleet, "instances": Instances, "network": Network, "discovery": Discovery}
 
--- a/rosechute/lab/real/asking.py
+++ b/rosechute/simulation/real/asking.py
@@ -8,14 +8,14 @@
 
 import httptools
 
-from dunefield.interface import Directory, Entry
-from rosechute.lab.engine import Engine
-from rosechute.lab.instance import Request
-from rosechute.lab.real.process import Process
-from rosechute.lab.real.pump import Pump
-from rosechute.lab.spec import Class
-from rosechute.lab.trace import DRAINING, END, FAILED, GONE, LEFT, LOST, REFUSED, SERVED, TOLD, UP, Trace
-from rosechute.standin.discovery import StandInDiscovery
+from rosechute.fakes.discovery import StandInDiscovery
+from rosechute.load_balancing.interface import Directory, Entry
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.instance import Request
+from rosechute.simulation.real.process import Process
+from rosechute.simulation.real.pump import Pump
+from rosechute.simulation.spec import Class
+from rosechute.simulation.trace import DRAINING, END, FAILED, GONE, LEFT, LOST, REFUSED, SERVED, TOLD, UP, Trace
 
 SLACK_NS = 50_000_000  # how much longer than its time an answer is waited for, so that it can be seen to be late
 STATUSES = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
@@ -39,7 +39,7 @@
 
 
 class Sidecar:
-    """One instance of a run, as a process. `rosechute.lab.host.Host` says what for."""
+    """One instance of a run, as a process. `rosechute.simulation.host.Host` says what for."""
 
     def __init__(
         self, number: int, zone: int, engine: Engine, pump: Pump, trace: Trace, classes: Sequence[Class], known: Known
--- a/rosechute/lab/real/process.py
+++ b/rosechute/simulation/real/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from dunefield.interface import Settings
+from rosechute.load_balancing.interface import Settings
 
 READY_S = 20.0
 LOOK_S = 0.02
@@ -115,7 +115,7 @@
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "hollyport",
+                "rosechute.sidecar",
                 env=env,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.DEVNULL,
--- a/rosechute/lab/real/pump.py
+++ b/rosechute/simulation/real/pump.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from rosechute.lab.engine import Engine
+from rosechute.simulation.engine import Engine
 
 T = TypeVar("T")
 
--- a/rosechute/lab/real/serving.py
+++ b/rosechute/simulation/real/serving.py
@@ -9,14 +9,14 @@
 
 import httptools
 
-from dunefield.interface import How
-from rosechute.lab.engine import Engine
-from rosechute.lab.instance import Request, report
-from rosechute.lab.network import FROM, TO, Paths
-from rosechute.lab.real.pump import Pump
-from rosechute.lab.server import Job, Server
-from rosechute.lab.spec import Fleet
-from rosechute.lab.trace import ARRIVE, OUTCOME, SEND, Trace
+from rosechute.load_balancing.interface import How
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.instance import Request, report
+from rosechute.simulation.network import FROM, TO, Paths
+from rosechute.simulation.real.pump import Pump
+from rosechute.simulation.server import Job, Server
+from rosechute.simulation.spec import Fleet
+from rosechute.simulation.trace import ARRIVE, OUTCOME, SEND, Trace
 
 BACKLOG = 1024
 LINES = {
--- a/rosechute/lab/real/world.py
+++ b/rosechute/simulation/real/world.py
@@ -10,22 +10,22 @@
 from pathlib import Path
 from typing import BinaryIO, NamedTuple
 
-from dunefield.interface import Directory
-from rosechute.file.problems import FileError, Problem
-from rosechute.lab.draw import Streams
-from rosechute.lab.figures import Figures
-from rosechute.lab.host import Host
-from rosechute.lab.instance import Request
-from rosechute.lab.judge import Judge
-from rosechute.lab.real.asking import SLACK_NS, Sidecar
-from rosechute.lab.real.process import Process, free_ports
-from rosechute.lab.real.pump import Pump
-from rosechute.lab.real.serving import Listening
-from rosechute.lab.run import Run, concluded
-from rosechute.lab.server import Server
-from rosechute.lab.spec import Scenario
-from rosechute.lab.trace import INSTANCE, Reader
-from rosechute.lab.world import TAIL_NS, World, settings
+from rosechute.load_balancing.interface import Directory
+from rosechute.sidecar.operator_configuration.problems import FileError, Problem
+from rosechute.simulation.draw import Streams
+from rosechute.simulation.figures import Figures
+from rosechute.simulation.host import Host
+from rosechute.simulation.instance import Request
+from rosechute.simulation.judge import Judge
+from rosechute.simulation.real.asking import SLACK_NS, Sidecar
+from rosechute.simulation.real.process import Process, free_ports
+from rosechute.simulation.real.pump import Pump
+from rosechute.simulation.real.serving import Listening
+from rosechute.simulation.run import Run, concluded
+from rosechute.simulation.server import Server
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.trace import INSTANCE, Reader
+from rosechute.simulation.world import TAIL_NS, World, settings
 
 MOST_RATE, MOST_SERVERS, MOST_INSTANCES, LONGEST_NS = 2000.0, 100, 64, 600_000_000_000
 AT_A_TIME = 8  # processes that start at once
--- a/rosechute/lab/report.py
+++ b/rosechute/simulation/report.py
@@ -12,12 +12,12 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from rosechute.file.units import shown
-from rosechute.lab.figures import BIN_NS
-from rosechute.lab.judge import RULES
-from rosechute.lab.run import Run
-from rosechute.lab.spec import Scenario
-from rosechute.lab.statistic import Interval
+from rosechute.sidecar.operator_configuration.units import shown
+from rosechute.simulation.figures import BIN_NS
+from rosechute.simulation.judge import RULES
+from rosechute.simulation.run import Run
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.statistic import Interval
 
 matplotlib.rcParams.update(
     {
--- a/rosechute/lab/rivals.py
+++ b/rosechute/simulation/rivals.py
@@ -25,8 +25,8 @@
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
 
-from dunefield import Balancer
-from dunefield.interface import (
+from rosechute.load_balancing import Balancer
+from rosechute.load_balancing.interface import (
     NEVER_RAN,
     SECOND,
     Accept,
@@ -47,9 +47,9 @@
     Submit,
     Subscribe,
 )
-from rosechute.lab.engine import Engine
-from rosechute.lab.instance import Policy
-from rosechute.lab.server import Server
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.instance import Policy
+from rosechute.simulation.server import Server
 
 OK = How.OK
 
--- a/rosechute/lab/run.py
+++ b/rosechute/simulation/run.py
@@ -4,10 +4,10 @@
 
 from typing import Any, BinaryIO, NamedTuple
 
-from rosechute.lab.figures import Figures
-from rosechute.lab.judge import Judge
-from rosechute.lab.spec import Scenario
-from rosechute.lab.world import World
+from rosechute.simulation.figures import Figures
+from rosechute.simulation.judge import Judge
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.world import World
 
 
 class Run(NamedTuple):
--- a/rosechute/lab/server.py
+++ b/rosechute/simulation/server.py
@@ -16,8 +16,8 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from rosechute.lab.engine import Engine
-from rosechute.lab.spec import Fleet
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.spec import Fleet
 
 RATES_NS = 1_000_000_000  # over which rates are smoothed that a server tells
 STEPS_COLD = 20  # times that a cold server's speed is looked at while it warms
--- a/rosechute/lab/spec.py
+++ b/rosechute/simulation/spec.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from rosechute.file.units import SECOND_NS, Span
+from rosechute.sidecar.operator_configuration.units import SECOND_NS, Span
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
--- a/rosechute/lab/store.py
+++ b/rosechute/simulation/store.py
@@ -21,7 +21,7 @@
 ) without rowid;
 create index if not exists by_scenario on run (scenario, policy, seed);
 """
-PARTS = ("dunefield", "rosechute/lab", "rosechute/file")
+PARTS = ("rosechute/load_balancing", "rosechute/simulation", "rosechute/sidecar/operator_configuration")
 
 
 class Row(NamedTuple):
--- a/rosechute/lab/sweep.py
+++ b/rosechute/simulation/sweep.py
@@ -9,9 +9,9 @@
 from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
 from typing import Any, NamedTuple
 
-from rosechute.lab.library import key, load
-from rosechute.lab.store import Row, Store, identity
-from rosechute.lab.worker import play
+from rosechute.simulation.library import key, load
+from rosechute.simulation.store import Row, Store, identity
+from rosechute.simulation.worker import play
 
 
 class Task(NamedTuple):
--- a/rosechute/lab/trace.py
+++ b/rosechute/simulation/trace.py
@@ -9,7 +9,7 @@
 | SEND | request, attempt, server |
 | ARRIVE | request, attempt, server, instance, work, 1 where it was taken |
 | BEGIN | request, attempt, server |
-| OUTCOME | request, attempt, how (`dunefield.How`) |
+| OUTCOME | request, attempt, how (`rosechute.load_balancing.How`) |
 | END | request, ending (`SERVED` ...), ns until it may be asked again |
 | TOLD | instance, server, state (`UP`, `DRAINING`, `GONE`), ns at which that process started (0: long ago) |
 | SERVER | server, state, work a ns it does by now when warm, share of that it has when cold |
--- a/rosechute/lab/worker.py
+++ b/rosechute/simulation/worker.py
@@ -7,14 +7,14 @@
 import time
 from typing import Any
 
-from hollyport import native
+from rosechute import native
 
 
 def play(scenario: str, changes: str, policy: str, seed: int) -> tuple[str, float, dict[str, Any]]:
     """Do one run; its digest, the seconds it took and its figures."""
     native.prefer()
-    from rosechute.lab.library import load
-    from rosechute.lab.run import run
+    from rosechute.simulation.library import load
+    from rosechute.simulation.run import run
 
     gc.set_threshold(100_000, 20, 20)  # what a run makes is freed by counting; cycles are rare
     start = time.perf_counter()
--- a/rosechute/lab/world.py
+++ b/rosechute/simulation/world.py
@@ -5,19 +5,19 @@
 from collections.abc import Iterable, Sequence
 from typing import BinaryIO
 
-from dunefield.interface import Directory, Entry, Invariants, Limits, RequestClass, Settings, Tenant
-from rosechute.lab.clients import Clients
-from rosechute.lab.draw import Streams
-from rosechute.lab.engine import Engine
-from rosechute.lab.faults import Actor
-from rosechute.lab.host import Host
-from rosechute.lab.instance import Instance, Policy
-from rosechute.lab.listing import Listing
-from rosechute.lab.network import Paths
-from rosechute.lab.rivals import Place, make
-from rosechute.lab.server import Job, Server
-from rosechute.lab.spec import Scenario
-from rosechute.lab.trace import BEGIN, BLOCK, DRAINING, FELL, GAUGE, GONE, INSTANCE, SERVER, UP, Reader, Trace
+from rosechute.load_balancing.interface import Directory, Entry, Invariants, Limits, RequestClass, Settings, Tenant
+from rosechute.simulation.clients import Clients
+from rosechute.simulation.draw import Streams
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.faults import Actor
+from rosechute.simulation.host import Host
+from rosechute.simulation.instance import Instance, Policy
+from rosechute.simulation.listing import Listing
+from rosechute.simulation.network import Paths
+from rosechute.simulation.rivals import Place, make
+from rosechute.simulation.server import Job, Server
+from rosechute.simulation.spec import Scenario
+from rosechute.simulation.trace import BEGIN, BLOCK, DRAINING, FELL, GAUGE, GONE, INSTANCE, SERVER, UP, Reader, Trace
 
 GAUGE_NS = 100_000_000
 COLUMNS = {"none": (), "some": ("inflight", "queue", "util"), "rates": ("inflight", "queue", "util", "qps")}
--- a/setup.py
+++ b/setup.py
@@ -15,27 +15,27 @@
 # (mypyc 1.19.1) fails on their properties where what uses them is in the same library.
 GROUPS = [
     [
-        "dunefield/interface.py",
-        "dunefield/backoff.py",
-        "dunefield/state.py",
-        "dunefield/crowding.py",
-        "dunefield/rules.py",
-        "hollyport/core/calls.py",
-        "hollyport/core/clock.py",
-        "hollyport/core/flow.py",
-        "hollyport/http1/quick.py",
-        "hollyport/http1/admission.py",
-        "hollyport/http1/backend.py",
-        "hollyport/http1/pool.py",
-        "hollyport/http1/upstream.py",
-        "hollyport/http1/message.py",
-        "hollyport/http1/connection.py",
-        "hollyport/http1/client.py",
+        "rosechute/load_balancing/interface.py",
+        "rosechute/load_balancing/backoff.py",
+        "rosechute/load_balancing/state.py",
+        "rosechute/load_balancing/crowding.py",
+        "rosechute/load_balancing/rules.py",
+        "rosechute/proxy/core/calls.py",
+        "rosechute/proxy/core/clock.py",
+        "rosechute/proxy/core/flow.py",
+        "rosechute/proxy/http1/quick.py",
+        "rosechute/proxy/http1/admission.py",
+        "rosechute/proxy/http1/backend.py",
+        "rosechute/proxy/http1/pool.py",
+        "rosechute/proxy/http1/upstream.py",
+        "rosechute/proxy/http1/message.py",
+        "rosechute/proxy/http1/connection.py",
+        "rosechute/proxy/http1/client.py",
     ],
-    ["hollyport/core/ports.py"],
+    ["rosechute/proxy/core/ports.py"],
 ]
 LAB = [
-    f"rosechute/lab/{name}.py"
+    f"rosechute/simulation/{name}.py"
     for name in (
         "draw",
         "engine",
--- a/tests/backend.py
+++ b/tests/backend.py
@@ -10,11 +10,11 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from typing import Any
 
-from dunefield import Settings
-from hollyport.core.address import Address
-from hollyport.core.log import SINK
-from hollyport.platform.config import Config
-from hollyport.sidecar import Sidecar
+from rosechute.load_balancing import Settings
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.log import SINK
+from rosechute.sidecar.config import Config
+from rosechute.sidecar.sidecar import Sidecar
 
 ROOT = pathlib.Path(__file__).parent.parent
 IDS = itertools.count(1000)
--- a/tests/build.py
+++ b/tests/build.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from dunefield import Accept, Balancer, Directory, Entry, How, Response, Settings, Submit
+from rosechute.load_balancing import Accept, Balancer, Directory, Entry, How, Response, Settings, Submit
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,10 +3,10 @@
 import pytest
 from hypothesis import settings
 
-from hollyport import native
+from rosechute import native
 
-settings.register_profile("dunefield", derandomize=True, deadline=None, max_examples=150, database=None)
-settings.load_profile("dunefield")
+settings.register_profile("load_balancing", derandomize=True, deadline=None, max_examples=150, database=None)
+settings.load_profile("load_balancing")
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
--- a/tests/fleet/planted_faults/trial.py
+++ b/tests/fleet/planted_faults/trial.py
@@ -15,7 +15,7 @@
 from tests.fleet.planted_faults.faults import Fault
 
 ROOT = Path(__file__).resolve().parents[3]
-COPIED = ("dunefield", "hollyport", "rosechute", "tests", "deploy", "docs")
+COPIED = ("rosechute", "tests", "deploy", "docs")
 PROCESS = Path(__file__).with_name("trial_process.py")
 TRIAL_LIMIT_S = 400
 
--- a/tests/fleet/test_data_plane_checkers.py
+++ b/tests/fleet/test_data_plane_checkers.py
@@ -11,8 +11,6 @@
 from typing import Any
 from unittest import mock
 
-from hollyport.http1.client import ClientConnection
-from hollyport.http1.connection import Connection, Reply
 from rosechute.data_plane import attempt, attempt_outcome, request, server_request
 from rosechute.data_plane.admission import AdmittedRequest
 from rosechute.data_plane.attempt_outcome import AttemptOutcome
@@ -21,6 +19,8 @@
 from rosechute.data_plane.inactivity import InactivityWatch
 from rosechute.data_plane.plane import DataPlane
 from rosechute.data_plane.request import ClientRequest
+from rosechute.proxy.http1.client import ClientConnection
+from rosechute.proxy.http1.connection import Connection, Reply
 from rosechute.routing.model import AttemptResult
 from rosechute.routing.router import Router
 from tests.fleet import data_judges
--- a/tests/fleet/test_data_plane_protocol.py
+++ b/tests/fleet/test_data_plane_protocol.py
@@ -5,8 +5,8 @@
 import asyncio
 import socket
 
-from hollyport.http1.client import ClientConnection
 from rosechute.data_plane.request_state import RequestState
+from rosechute.proxy.http1.client import ClientConnection
 from tests.fleet.data_site import (
     Answer,
     Call,
--- a/tests/fleet/test_deploy_files.py
+++ b/tests/fleet/test_deploy_files.py
@@ -70,7 +70,7 @@
                     found = sys.executable if name == "python3" else shutil.which(name)
                     assert found is not None, name
                     (programs / name).symlink_to(found)
-            for name in ("rosechute", "hollyport", "dunefield", "deploy"):
+            for name in ("rosechute", "deploy"):
                 shutil.copytree(DEPLOY.parent / name, root / name, ignore=shutil.ignore_patterns("__pycache__"))
             shutil.copy(DEPLOY.parent / "requirements-fleet.txt", root)
             kept = {name: value for name, value in os.environ.items() if name.startswith(("PIP_", "SSL_"))}
--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -29,11 +29,11 @@
 DATA_PLANE = ROOT / "docs" / "fleet" / "data-plane.md"
 DISTRIBUTION = ROOT / "docs" / "fleet" / "distribution.md"
 PAGES = (ARCHITECTURE, GLOSSARY, CONTRIBUTING)
-PACKAGES = ("rosechute", "hollyport", "dunefield")
+PACKAGES = ("rosechute",)
 BASES = (ROOT, ROOT / "rosechute")  # paths of modules are given below either
 
 MODULE_PATH = re.compile(r"[\w./-]+\.py\b")
-DOTTED_NAME = re.compile(r"(?<![\w./])(?:rosechute|hollyport|dunefield|benchmarks|tests)(?:\.\w+)+(?![\w/])")
+DOTTED_NAME = re.compile(r"(?<![\w./])(?:rosechute|benchmarks|tests)(?:\.\w+)+(?![\w/])")
 FILE_ENDINGS = ("py", "md", "toml", "txt", "json")
 COMMAND = re.compile(r"(?:python3?|/python) -m\s+([a-z_][\w.]*)")
 LINK = re.compile(r"(?<!!)\[[^\]]*\]\(([^)\s]+)\)")
--- a/tests/fleet/test_planted_data_plane_connections.py
+++ b/tests/fleet/test_planted_data_plane_connections.py
@@ -7,7 +7,6 @@
 from typing import Any
 from unittest import mock
 
-from hollyport.http1.connection import Reply
 from rosechute.data_plane import connection_pool, request_state
 from rosechute.data_plane.connection_pool import (
     DEFAULT_IDLE_TIMEOUT_S,
@@ -17,6 +16,7 @@
     ServerConnections,
 )
 from rosechute.data_plane.request_state import InvalidTransitionError, RequestState, validated_transition
+from rosechute.proxy.http1.connection import Reply
 from rosechute.routing.model import ServerEntry
 
 from .test_planted_data_plane_requests import NOW, Loop
--- a/tests/fleet/test_planted_data_plane_requests.py
+++ b/tests/fleet/test_planted_data_plane_requests.py
@@ -13,8 +13,6 @@
 from typing import Any
 from unittest import mock
 
-from hollyport.core.log import LOG
-from hollyport.http1.connection import Reply
 from rosechute.configuration.operator import Route, Tenant
 from rosechute.data_plane import admission, attempt_outcome, inactivity, request, shutdown
 from rosechute.data_plane.admission import ActiveConfiguration, AdmittedRequest, Rejection
@@ -34,6 +32,8 @@
 from rosechute.data_plane.request_state import RequestState
 from rosechute.data_plane.route_durations import RouteDurations
 from rosechute.data_plane.server_request import ResumePoint, serialize_attempt
+from rosechute.proxy.core.log import LOG
+from rosechute.proxy.http1.connection import Reply
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
 from .data_site import SiteCase, configuration, event, route
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -17,7 +17,7 @@
 from benchmarks.replay.scenarios import SCENARIOS
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-COPIED = ("rosechute", "tests", "benchmarks", "dunefield", "hollyport")
+COPIED = ("rosechute", "tests", "benchmarks")
 
 
 def replay(after: pathlib.Path, scenario: str, share: float) -> tuple[int, str]:
@@ -111,7 +111,7 @@
         self.assert_found("data_plane", 0.025, "rosechute/data_plane", r"(?i)x-rosechute-expect-instance", "x-other")
 
     def test_another_share_of_the_time_left_in_the_sidecar_is_found(self) -> None:
-        self.assert_found("sidecar", 0.05, "dunefield", r"(HOPEFUL\w* = )0\.8\b", r"\g<1>0.5")
+        self.assert_found("sidecar", 0.05, "rosechute/load_balancing", r"(HOPEFUL\w* = )0\.8\b", r"\g<1>0.5")
 
     def test_a_tree_that_cannot_be_played_is_no_equal_tree(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/fleet/test_standin_engine.py
+++ b/tests/fleet/test_standin_engine.py
@@ -10,12 +10,12 @@
 import aiohttp
 from aiohttp import web
 
-from rosechute.standin.fleet import words
-from rosechute.standin.fleet.clients import Clients, Done, Kind, Try
-from rosechute.standin.fleet.engine import Engine, Run, Speed
-from rosechute.standin.fleet.entry import Entry, Gate
-from rosechute.standin.fleet.judge import judge
-from rosechute.standin.fleet.operator import Operator
+from rosechute.fakes.fleet import words
+from rosechute.fakes.fleet.clients import Clients, Done, Kind, Try
+from rosechute.fakes.fleet.engine import Engine, Run, Speed
+from rosechute.fakes.fleet.entry import Entry, Gate
+from rosechute.fakes.fleet.judge import judge
+from rosechute.fakes.fleet.operator import Operator
 
 FAST = Speed(token_read=0.0, event=0.0, plain=0.0)
 STREAM = Kind("stream", "h", "/s/1", 1, streaming=True, repeatable=True, output_tokens=40)
--- a/tests/fleet/test_standin_platform.py
+++ b/tests/fleet/test_standin_platform.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from rosechute.standin.fleet.entry import MISSES, Entry, Gate
-from rosechute.standin.fleet.platform import Instance, PlatformList
+from rosechute.fakes.fleet.entry import MISSES, Entry, Gate
+from rosechute.fakes.fleet.platform import Instance, PlatformList
 
 
 def listed(count: int) -> PlatformList:
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from dunefield import Settings
-from rosechute.file.effective import Site
-from rosechute.file.proof import CHECKS, Check, Proven, prove
-from rosechute.file.reading import read
+from rosechute.load_balancing import Settings
+from rosechute.sidecar.operator_configuration.effective import Site
+from rosechute.sidecar.operator_configuration.proof import CHECKS, Check, Proven, prove
+from rosechute.sidecar.operator_configuration.reading import read
 
 MS = 1_000_000
 
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dunefield import Directory, Entry, How, Settings
-from dunefield.rules import Balancer
-from hollyport.core.calls import MARGIN_NS, Core
-from hollyport.core.ports import Asked, Ending
-from rosechute.limits.limiter import RouteLimiter
+from rosechute.load_balancing import Directory, Entry, How, Settings
+from rosechute.load_balancing.rules import Balancer
+from rosechute.proxy.core.calls import MARGIN_NS, Core
+from rosechute.proxy.core.ports import Asked, Ending
+from rosechute.sidecar.request_limits.limiter import RouteLimiter
 
 MS = 1_000_000
 START = 1_000_000_000_000
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from dunefield.adapter import Host
+from rosechute.load_balancing.adapter import Host
 
 ENV = {
     "classes": [{"name": "read", "onTimeNs": 400_000_000, "hardLimitNs": 1_000_000_000, "repeat": "free"}],
@@ -97,7 +97,7 @@
 
 def test_as_a_program():
     made = subprocess.run(
-        [sys.executable, "-m", "dunefield.adapter"],
+        [sys.executable, "-m", "rosechute.load_balancing.adapter"],
         input="clock wallNs=1\neob\nclock wallNs=2\neob\n",
         capture_output=True,
         text=True,
@@ -108,7 +108,7 @@
 
 def test_bytes_that_are_not_text():
     made = subprocess.run(
-        [sys.executable, "-m", "dunefield.adapter"],
+        [sys.executable, "-m", "rosechute.load_balancing.adapter"],
         input=b"clock wallNs=1\n\xff\neob\n",
         capture_output=True,
     )
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -19,8 +19,8 @@
 from peers import until
 from virtual import HOST, HOW, Busy, Loop, Place, by, config, play, sidecar, told
 
-from dunefield.interface import SECOND, TOLD_NS
-from hollyport.core.address import Address
+from rosechute.load_balancing.interface import SECOND, TOLD_NS
+from rosechute.proxy.core.address import Address
 
 TOLD_S = TOLD_NS / 1e9
 KINDS = ["refused", "503", "reset", "silent", "late"]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -3,7 +3,19 @@
 import pytest
 from build import MS, SECOND, balancer, only, outcome
 
-from dunefield import Accept, Alarm, Bounds, Defer, Directory, Entry, Fail, How, Refuse, Retract, Submit
+from rosechute.load_balancing import (
+    Accept,
+    Alarm,
+    Bounds,
+    Defer,
+    Directory,
+    Entry,
+    Fail,
+    How,
+    Refuse,
+    Retract,
+    Submit,
+)
 
 FREE, SINGLE, GUARDED = 0, 1, 2
 LIMITS = {"maxAttempts": 3, "secondCopies": True, "cancel": True, "connectTimeoutNs": 10 * MS}
@@ -158,7 +170,7 @@
 def test_a_call_keeps_its_bounds_when_settings_change():
     from build import settings
 
-    from dunefield import Reconfigure
+    from rosechute.load_balancing import Reconfigure
 
     b = balancer(servers=6, limits=LIMITS)
     send = first(b, call("a", attempts=2))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,9 +8,9 @@
 import pytest
 from backend import Call, Client, Conversation, Server, line, ok, play, sidecar
 
-from hollyport.http1 import client as client_side
-from hollyport.http1 import listener
-from hollyport.http1.client import AHEAD, MAX_HEAD
+from rosechute.proxy.http1 import client as client_side
+from rosechute.proxy.http1 import listener
+from rosechute.proxy.http1.client import AHEAD, MAX_HEAD
 
 HEAD = b"GET /free HTTP/1.1\r\nHost: app\r\nX-Request-ID: %s\r\nX-Timeout: 5\r\n"
 POST = b"POST /single_shot HTTP/1.1\r\nHost: app\r\nX-Request-ID: p1\r\nX-Timeout: 5\r\n"
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,6 +1,7 @@
 """The `rosechute` command: exit codes, tables, JSON, and what it says of a request."""
 
 import json
+import re
 import subprocess
 import sys
 
@@ -10,7 +11,7 @@
 from samples import RAW, file, route
 
 from rosechute import __version__
-from rosechute.command.main import COMMANDS, main
+from rosechute.cli.main import COMMANDS, main
 
 GOOD = file(
     route(name='"rooms"', path='"/list-rooms/{id}"', attempts=2, rate="{ per_s = 4, burst = 2 }"),
@@ -141,15 +142,21 @@
     assert __version__ in made.stdout
 
 
+# The modules of the sidecar itself: a package beside them that is not named here is of the product.
+SIDECAR = re.compile(
+    r"rosechute(\.native|\.(proxy|load_balancing)(\..+)?"
+    r"|\.sidecar(\.(__main__|sidecar|config|control|discovery|reload|slices|stats|takeover))?)?"
+)
+
+
 def test_what_run_loads_without_a_file_is_none_of_the_product():
     """The platform's own `run`, and `rosechute run` up to the point where a file is named."""
-    code = (
-        "import sys, hollyport.__main__; "
-        "rest = ('rosechute', 'click', 'msgspec', 'rich', 'numpy'); "
-        "print([m for m in sys.modules if m.split('.')[0] in rest])"
-    )
+    code = "import sys, rosechute.sidecar.__main__; print(*sys.modules)"
     made = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert made.stdout.strip() == "[]"
+    loaded = made.stdout.split()
+    rest = ("rosechute", "click", "msgspec", "rich", "numpy")
+    assert "rosechute.sidecar.sidecar" in loaded
+    assert [m for m in loaded if m.split(".")[0] in rest and not SIDECAR.fullmatch(m)] == []
 
 
 def test_run_ends_with_two_where_a_file_is_bad(files):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -7,8 +7,8 @@
 import pytest
 from backend import Call, Client, Conversation, Server, line, ok, operate, play, sidecar
 
-from hollyport.platform import control
-from hollyport.platform.stats import Gauges, Stats
+from rosechute.sidecar import control
+from rosechute.sidecar.stats import Gauges, Stats
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -14,9 +14,9 @@
 from backend import LIMIT_S, Call, Client, Conversation, Server, line, listing, ok, operate, play, sidecar
 from test_process import ROOT, config, free_port, logged, written
 
-from hollyport import sidecar as core
-from hollyport.http1 import listener
-from hollyport.http1.listener import HALT_S
+from rosechute.proxy.http1 import listener
+from rosechute.proxy.http1.listener import HALT_S
+from rosechute.sidecar import sidecar as core
 
 SLOW = b"GET /free HTTP/1.1\r\nHost: app\r\nX-Request-ID: slow\r\nX-Timeout: 5\r\nX-Pad: pppppppppp\r\n\r\n"
 HALVES = (b"", b"GET /fr", b"GET /free HTTP/1.1\r\nHost: app\r\nX-Req", b"\r\n", b"POST /single")
@@ -147,7 +147,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "hollyport",
+                "rosechute.sidecar",
                 cwd=ROOT,
                 env={**os.environ, **written(tmp_path, raw)},
                 stderr=asyncio.subprocess.PIPE,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,20 @@
 import pytest
 from build import MS, SECOND, accept, balancer, fleet, only, outcome
 
-from dunefield import Accept, Alarm, CloseIdle, Defer, Directory, Echo, Entry, Fail, How, Probe, Refuse, Submit
+from rosechute.load_balancing import (
+    Accept,
+    Alarm,
+    CloseIdle,
+    Defer,
+    Directory,
+    Echo,
+    Entry,
+    Fail,
+    How,
+    Probe,
+    Refuse,
+    Submit,
+)
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -27,7 +40,9 @@
 
 
 def test_exceptions_in_code_and_docs_match():
-    code = set(re.findall(r'Exception "([^"]+)"', (ROOT / "dunefield/rules.py").read_text(encoding="utf-8")))
+    code = set(
+        re.findall(r'Exception "([^"]+)"', (ROOT / "rosechute/load_balancing/rules.py").read_text(encoding="utf-8"))
+    )
     rows = set(re.findall(r'^\| "([^"]+)" \|', (ROOT / "docs/design.md").read_text(encoding="utf-8"), re.M))
     assert code == rows
 
@@ -36,7 +51,7 @@
     text = (ROOT / "deploy/balancer.toml").read_text(encoding="utf-8")
     named = re.search(r"^policy = \[(.*)\]", text, re.M)
     names = re.findall(r'"([^"]+)"', named[1])
-    assert names and all((ROOT / name).is_file() and name.startswith("dunefield/") for name in names)
+    assert names and all((ROOT / name).is_file() and name.startswith("rosechute/load_balancing/") for name in names)
     assert "interface.py" in (ROOT / names[0]).read_text(encoding="utf-8").splitlines()[0]
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -26,8 +26,8 @@
 from test_process import ROOT, config, free_port
 from test_takeover import heard
 
-from hollyport.http1 import listener
-from hollyport.http1.listener import Listener
+from rosechute.proxy.http1 import listener
+from rosechute.proxy.http1.listener import Listener
 
 MOST = 64
 IDLE = 150  # more than twice as many as may be open
@@ -73,7 +73,7 @@
         self.started = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "hollyport",
+            "rosechute.sidecar",
             cwd=ROOT,
             env=self.env,
             pass_fds=[self.held.fileno()],
--- a/tests/test_file_bad.py
+++ b/tests/test_file_bad.py
@@ -3,8 +3,8 @@
 import pytest
 from samples import file, proven, route, site
 
-from rosechute.file.effective import BARE
-from rosechute.file.problems import FileError
+from rosechute.sidecar.operator_configuration.effective import BARE
+from rosechute.sidecar.operator_configuration.problems import FileError
 
 
 def cls(**keys):
@@ -319,7 +319,7 @@
 
 
 def test_bytes_that_are_no_text_and_files_too_large():
-    from rosechute.file.reading import MOST_BYTES, read
+    from rosechute.sidecar.operator_configuration.reading import MOST_BYTES, read
 
     for raw, reason in ((b"\xff\xfe", "UTF-8"), (b"#" * (MOST_BYTES + 1), "are the most")):
         with pytest.raises(FileError, match=reason):
--- a/tests/test_file_good.py
+++ b/tests/test_file_good.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 from samples import MS, file, proven, route, settings, site
 
-from dunefield import How
-from rosechute.file.effective import BARE, Site
-from rosechute.file.units import LONGEST_NS, UNITS, shown, span
-from rosechute.limits.rate import RateLimit
+from rosechute.load_balancing import How
+from rosechute.sidecar.operator_configuration.effective import BARE, Site
+from rosechute.sidecar.operator_configuration.units import LONGEST_NS, UNITS, shown, span
+from rosechute.sidecar.request_limits.rate import RateLimit
 
 CLASS = """[[class]]
 name = "confirm-booking"
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -2,7 +2,7 @@
 
 from build import MS, SECOND, accept, balancer, only, outcome
 
-from dunefield import Alarm, Defer, Directory, Fail, Refuse, Submit
+from rosechute.load_balancing import Alarm, Defer, Directory, Fail, Refuse, Submit
 
 
 def fill(b, now=0):
--- a/tests/test_lab_cold.py
+++ b/tests/test_lab_cold.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from rosechute.file.units import Span
-from rosechute.lab.cold import FLEETS, SETTINGS, Case, ColdStarts, scenario
-from rosechute.lab.draw import Streams
-from rosechute.lab.engine import Engine
-from rosechute.lab.listing import Listing
-from rosechute.lab.server import Job, Server
-from rosechute.lab.spec import Class, Discovery, Fleet, Instances, Scenario
-from rosechute.lab.trace import ARRIVE, ASK, GONE, INSTANCE, SERVER, TOLD, UP
-from rosechute.lab.world import World
+from rosechute.sidecar.operator_configuration.units import Span
+from rosechute.simulation.cold import FLEETS, SETTINGS, Case, ColdStarts, scenario
+from rosechute.simulation.draw import Streams
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.listing import Listing
+from rosechute.simulation.server import Job, Server
+from rosechute.simulation.spec import Class, Discovery, Fleet, Instances, Scenario
+from rosechute.simulation.trace import ARRIVE, ASK, GONE, INSTANCE, SERVER, TOLD, UP
+from rosechute.simulation.world import World
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/tests/test_lab_files.py
+++ b/tests/test_lab_files.py
@@ -9,16 +9,16 @@
 import pytest
 from click.testing import CliRunner
 
-from rosechute.command.main import main
-from rosechute.file.problems import FileError
-from rosechute.file.units import Span
-from rosechute.lab.faults import schedule
-from rosechute.lab.library import load
-from rosechute.lab.reading import read
-from rosechute.lab.spec import Fault
-from rosechute.lab.statistic import interval, verdict
-from rosechute.lab.store import Store, program
-from rosechute.lab.sweep import grid, sweep, tasks
+from rosechute.cli.main import main
+from rosechute.sidecar.operator_configuration.problems import FileError
+from rosechute.sidecar.operator_configuration.units import Span
+from rosechute.simulation.faults import schedule
+from rosechute.simulation.library import load
+from rosechute.simulation.reading import read
+from rosechute.simulation.spec import Fault
+from rosechute.simulation.statistic import interval, verdict
+from rosechute.simulation.store import Store, program
+from rosechute.simulation.sweep import grid, sweep, tasks
 
 HEAD = 'version = 1\nname = "x"\nabout = "y"\n'
 SECOND = 10**9
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from rosechute.file.units import Span
-from rosechute.lab.judge import Judge
-from rosechute.lab.spec import Class, Fleet, Instances, Scenario
-from rosechute.lab.trace import (
+from rosechute.sidecar.operator_configuration.units import Span
+from rosechute.simulation.judge import Judge
+from rosechute.simulation.spec import Class, Fleet, Instances, Scenario
+from rosechute.simulation.trace import (
     ARRIVE,
     ASK,
     BEGIN,
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -5,9 +5,9 @@
 import pytest
 from click.testing import CliRunner
 
-from rosechute.command.main import main
-from rosechute.lab.load import Target, due, load, target
-from rosechute.standin.server import Conduct, StandInServer
+from rosechute.cli.main import main
+from rosechute.fakes.server import Conduct, StandInServer
+from rosechute.simulation.load import Target, due, load, target
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from hollyport import native
-from rosechute.file.units import Span
-from rosechute.lab.draw import Streams, Zipf
-from rosechute.lab.engine import Engine
-from rosechute.lab.library import load, names
-from rosechute.lab.network import FROM, TO, Paths
-from rosechute.lab.rivals import NAMES
-from rosechute.lab.run import run
-from rosechute.lab.server import Job, Server
-from rosechute.lab.spec import Class, Clients, Fault, Fleet, Instances, Network, Scenario
+from rosechute import native
+from rosechute.sidecar.operator_configuration.units import Span
+from rosechute.simulation.draw import Streams, Zipf
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.library import load, names
+from rosechute.simulation.network import FROM, TO, Paths
+from rosechute.simulation.rivals import NAMES
+from rosechute.simulation.run import run
+from rosechute.simulation.server import Job, Server
+from rosechute.simulation.spec import Class, Clients, Fault, Fleet, Instances, Network, Scenario
 
 MS = 1_000_000
 
@@ -180,11 +180,11 @@
 
 
 CODE = """import json, sys
-from hollyport import native
+from rosechute import native
 if sys.argv[1] == "compiled":
     native.prefer()
-from rosechute.lab.library import load
-from rosechute.lab.run import run
+from rosechute.simulation.library import load
+from rosechute.simulation.run import run
 out = []
 for name, policy in (("overload", "module"), ("crash-loop", "prequal"), ("mass-restart", "module")):
     scenario = load(name, {"duration": "6s", "warmup": "1s", "fault[0].at": "1500ms"})
--- a/tests/test_lab_real.py
+++ b/tests/test_lab_real.py
@@ -9,20 +9,20 @@
 import pytest
 from click.testing import CliRunner
 
-from dunefield.interface import Settings
-from rosechute.command.main import main
-from rosechute.file.problems import FileError
-from rosechute.lab.engine import Engine
-from rosechute.lab.figures import Figures
-from rosechute.lab.judge import Judge
-from rosechute.lab.library import load, names
-from rosechute.lab.real.asking import SLACK_NS
-from rosechute.lab.real.process import Process, free_ports, told
-from rosechute.lab.real.pump import Pump
-from rosechute.lab.real.world import RealWorld, playable, real
-from rosechute.lab.run import run
-from rosechute.lab.trace import ASK, END, OUTCOME, REFUSED, SEND, SERVED, TOLD
-from rosechute.lab.world import settings
+from rosechute.cli.main import main
+from rosechute.load_balancing.interface import Settings
+from rosechute.sidecar.operator_configuration.problems import FileError
+from rosechute.simulation.engine import Engine
+from rosechute.simulation.figures import Figures
+from rosechute.simulation.judge import Judge
+from rosechute.simulation.library import load, names
+from rosechute.simulation.real.asking import SLACK_NS
+from rosechute.simulation.real.process import Process, free_ports, told
+from rosechute.simulation.real.pump import Pump
+from rosechute.simulation.real.world import RealWorld, playable, real
+from rosechute.simulation.run import run
+from rosechute.simulation.trace import ASK, END, OUTCOME, REFUSED, SEND, SERVED, TOLD
+from rosechute.simulation.world import settings
 
 MS = 1_000_000
 SMALL = {"duration": "2s", "clients.rate": 100.0, "fleet.servers": 4, "instances.count": 2}
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -11,13 +11,13 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-import hollyport.sidecar
-from dunefield import Settings
-from hollyport.core.address import Address
-from hollyport.core.log import SINK
-from hollyport.platform import discovery, slices
-from hollyport.platform.discovery import Discovery, Listing, read_in_slices, read_listing
-from hollyport.platform.slices import Pace, decode
+import rosechute.sidecar.sidecar
+from rosechute.load_balancing import Settings
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.log import SINK
+from rosechute.sidecar import discovery, slices
+from rosechute.sidecar.discovery import Discovery, Listing, read_in_slices, read_listing
+from rosechute.sidecar.slices import Pace, decode
 
 ASKS = settings(discovery="subscribe")
 SITE = Settings.parse(ASKS)
@@ -325,7 +325,7 @@
 
 
 def test_of_a_burst_the_other_process_is_told_the_first_change_and_the_outcome(monkeypatch):
-    monkeypatch.setattr(hollyport.sidecar, "APART_S", 0.1)
+    monkeypatch.setattr(rosechute.sidecar.sidecar, "APART_S", 0.1)
 
     async def scene():
         async with sidecar(*many(300)) as world:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,11 +4,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dunefield import RequestClass
-from hollyport.core.ports import Asked
-from rosechute.limits.budget import AttemptBudget, Share
-from rosechute.limits.limiter import SHARED, Limits, RouteLimiter
-from rosechute.limits.rate import RateLimit, per_second
+from rosechute.load_balancing import RequestClass
+from rosechute.proxy.core.ports import Asked
+from rosechute.sidecar.request_limits.budget import AttemptBudget, Share
+from rosechute.sidecar.request_limits.limiter import SHARED, Limits, RouteLimiter
+from rosechute.sidecar.request_limits.rate import RateLimit, per_second
 
 SECOND = 10**9
 KIND = RequestClass("c", SECOND, SECOND)
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -4,11 +4,11 @@
 
 from build import MS, SECOND, balancer, fleet, only
 
-from dunefield import Alarm, Defer, Directory, Reconfigure, Subscribe
-from dunefield.backoff import ANSWER_NS, APART_NS, LONGEST_NS, WAIT_NS
-from dunefield.interface import TOLD_NS
-from dunefield.rules import SILENCE_NS
-from hollyport.platform.discovery import SILENT_S
+from rosechute.load_balancing import Alarm, Defer, Directory, Reconfigure, Subscribe
+from rosechute.load_balancing.backoff import ANSWER_NS, APART_NS, LONGEST_NS, WAIT_NS
+from rosechute.load_balancing.interface import TOLD_NS
+from rosechute.load_balancing.rules import SILENCE_NS
+from rosechute.sidecar.discovery import SILENT_S
 
 
 def test_saved_list_leads_to_a_subscription():
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -7,7 +7,7 @@
 import pytest
 import structlog
 
-from hollyport.core import log
+from rosechute.proxy.core import log
 
 
 @pytest.fixture
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hollyport import native
+from rosechute import native
 
 SUFFIX = EXTENSION_SUFFIXES[0]
 
@@ -54,7 +54,10 @@
 
 
 def test_operators_can_have_the_sources_whatever_was_built():
-    code = "from hollyport import native; native.prefer(); import dunefield.rules; print(native.in_force())"
+    code = (
+        "from rosechute import native; native.prefer(); "
+        "import rosechute.load_balancing.rules; print(native.in_force())"
+    )
     done = subprocess.run(
         [sys.executable, "-c", code],
         env={native.OFF: "1"},
@@ -67,8 +70,8 @@
 
 
 def test_nothing_is_mixed_where_a_module_is_loaded_from_its_source_already(root, monkeypatch):
-    monkeypatch.setattr(native, "found", lambda: {"dunefield.rules": "/nowhere.so"})
+    monkeypatch.setattr(native, "found", lambda: {"rosechute.load_balancing.rules": "/nowhere.so"})
     monkeypatch.setattr(sys, "meta_path", [f for f in sys.meta_path if not isinstance(f, native.Libraries)])
-    assert "dunefield.rules" in sys.modules or __import__("dunefield.rules")
+    assert "rosechute.load_balancing.rules" in sys.modules or __import__("rosechute.load_balancing.rules")
     assert not native.prefer({})
     assert not any(isinstance(finder, native.Libraries) for finder in sys.meta_path)
--- a/tests/test_odd.py
+++ b/tests/test_odd.py
@@ -8,8 +8,21 @@
 import pytest
 from build import MS, SECOND, accept, balancer, fleet, only, outcome
 
-from dunefield import Accept, Alarm, Defer, Directory, Echo, Entry, Fail, Hangup, How, Refuse, Response, Submit
-from dunefield.adapter import Host
+from rosechute.load_balancing import (
+    Accept,
+    Alarm,
+    Defer,
+    Directory,
+    Echo,
+    Entry,
+    Fail,
+    Hangup,
+    How,
+    Refuse,
+    Response,
+    Submit,
+)
+from rosechute.load_balancing.adapter import Host
 
 
 def finals(actions):
@@ -128,7 +141,7 @@
 
 def test_the_number_of_a_line_that_is_not_text():
     made = subprocess.run(
-        [sys.executable, "-m", "dunefield.adapter"],
+        [sys.executable, "-m", "rosechute.load_balancing.adapter"],
         capture_output=True,
         input=b"clock wallNs=1\neob\nclock wallNs=2\neob\nclock wallNs=3\n\xff\neob\n",
     )
--- a/tests/test_operated.py
+++ b/tests/test_operated.py
@@ -12,11 +12,11 @@
 from backend import ROOT, SINK, Client, Server, dump, line, listing, ok, operate
 from samples import file, route
 
-from dunefield import Settings
-from hollyport.core.address import Address
-from hollyport.platform.config import Config, ConfigError
-from hollyport.sidecar import Sidecar
-from rosechute.serve.policy import FilePolicy, policy
+from rosechute.load_balancing import Settings
+from rosechute.proxy.core.address import Address
+from rosechute.sidecar.config import Config, ConfigError
+from rosechute.sidecar.operator_policy.policy import FilePolicy, policy
+from rosechute.sidecar.sidecar import Sidecar
 
 MS = 1_000_000
 LIMIT_S = 20.0
--- a/tests/test_other_deployment.py
+++ b/tests/test_other_deployment.py
@@ -6,7 +6,7 @@
 
 from backend import Server, line, listing, play, sidecar
 
-from hollyport.platform.discovery import read_listing
+from rosechute.sidecar.discovery import read_listing
 
 OTHER = {
     "classes": [
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from peers import Gated, until
 
-from dunefield import How
-from hollyport.core.address import Address
-from hollyport.http1 import upstream as upstream_side
-from hollyport.http1.pool import MEMORY_S, PAUSE_S, Demand, Terms
-from hollyport.http1.upstream import Upstream
+from rosechute.load_balancing import How
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.http1 import upstream as upstream_side
+from rosechute.proxy.http1.pool import MEMORY_S, PAUSE_S, Demand, Terms
+from rosechute.proxy.http1.upstream import Upstream
 
 REST_S = 0.01
 FREE, PRICED = Terms.of({}), Terms.of({"connection": 0.1})
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,7 +13,7 @@
 import pytest
 from backend import LIMIT_S, Call, Client, Conversation, Server, line, listing, play, settings
 
-from hollyport.platform.config import ConfigError, load
+from rosechute.sidecar.config import ConfigError, load
 
 ROOT = Path(__file__).parent.parent
 
@@ -85,7 +85,7 @@
 
 async def start(env):
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "hollyport", cwd=ROOT, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "rosechute.sidecar", cwd=ROOT, env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
     )
 
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from world import Broken, World
 
-from dunefield import Balancer, Settings, Submit, rules
+from rosechute.load_balancing import Balancer, Settings, Submit, rules
 
 MODES = {
     "blind": {"reporting": {"how": "none"}},
--- a/tests/test_proof_property.py
+++ b/tests/test_proof_property.py
@@ -13,10 +13,10 @@
 from simulated import Play
 from simulated import Site as Simulated
 
-from dunefield import How
-from rosechute.file import proof
-from rosechute.file.problems import FileError
-from rosechute.routes.table import Table
+from rosechute.load_balancing import How
+from rosechute.sidecar.operator_configuration import proof
+from rosechute.sidecar.operator_configuration.problems import FileError
+from rosechute.sidecar.route_matching.table import Table
 
 NAMES = ("hold-desk", "confirm-booking", "list-rooms")
 CAUSES = ["connect-failed", "full", "reset", "error", "timeout"]
--- a/tests/test_quick.py
+++ b/tests/test_quick.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from hollyport.http1 import quick
+from rosechute.proxy.http1 import quick
 
 MOST = 1 << 16
 
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -14,8 +14,8 @@
 from samples import file, route
 from test_operated import Running
 
-from hollyport.http1 import listener
-from hollyport.platform.discovery import read_listing
+from rosechute.proxy.http1 import listener
+from rosechute.sidecar.discovery import read_listing
 
 WAYS = pytest.mark.parametrize("how", ["close", "reset"])
 SENDABLE_S = 0.3  # from then on nothing of a request whose client has left may be sent
--- a/tests/test_races_ends.py
+++ b/tests/test_races_ends.py
@@ -12,14 +12,14 @@
 from test_servers import GOOD, outcomes
 from test_watch import Registry
 
-from dunefield import Defer, Directory, How, Settings
-from dunefield.rules import SILENCE_NS, Balancer
-from hollyport import sidecar as process
-from hollyport.core.address import Address
-from hollyport.http1 import upstream as upstream_side
-from hollyport.http1.client import ClientConnection
-from hollyport.http1.upstream import Upstream
-from hollyport.platform.discovery import SILENT_S, read_listing
+from rosechute.load_balancing import Defer, Directory, How, Settings
+from rosechute.load_balancing.rules import SILENCE_NS, Balancer
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.http1 import upstream as upstream_side
+from rosechute.proxy.http1.client import ClientConnection
+from rosechute.proxy.http1.upstream import Upstream
+from rosechute.sidecar import sidecar as process
+from rosechute.sidecar.discovery import SILENT_S, read_listing
 
 
 def ends_soon(monkeypatch, accepting: float = 0.05, live_on: float = 0.3) -> None:
--- a/tests/test_races_leaving.py
+++ b/tests/test_races_leaving.py
@@ -19,9 +19,9 @@
 from test_operated import Running
 from test_races_clients import FULL, WAYS, calls, held, unread
 
-from hollyport.http1 import listener, upstream
-from hollyport.http1.client import AHEAD, ClientConnection
-from hollyport.platform.discovery import read_listing
+from rosechute.proxy.http1 import listener, upstream
+from rosechute.proxy.http1.client import AHEAD, ClientConnection
+from rosechute.sidecar.discovery import read_listing
 
 LONG_S = 0.15
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,10 +14,10 @@
 from build import settings as built
 from test_process import LIMIT_S, config, free_port, logged, start, written
 
-from dunefield import Accept, Reconfigure, RequestClass, Response, Settings, Submit
-from hollyport.http1 import admission
-from hollyport.platform.config import ConfigError, load
-from hollyport.platform.reload import read_again
+from rosechute.load_balancing import Accept, Reconfigure, RequestClass, Response, Settings, Submit
+from rosechute.proxy.http1 import admission
+from rosechute.sidecar.config import ConfigError, load
+from rosechute.sidecar.reload import read_again
 
 
 def changed(raw: dict, path: str, value: object) -> dict:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dunefield import (
+from rosechute.load_balancing import (
     Accept,
     Alarm,
     Balancer,
@@ -27,7 +27,7 @@
     Submit,
     rules,
 )
-from dunefield.state import Server
+from rosechute.load_balancing.state import Server
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -68,7 +68,7 @@
 
 def plain_rules():
     """The decision module from its source, also where a compiled one is loaded: that takes no subclass."""
-    source = pathlib.Path(__file__).parents[1] / "dunefield" / "rules.py"
+    source = pathlib.Path(__file__).parents[1] / "rosechute" / "load_balancing" / "rules.py"
     spec = importlib.util.spec_from_file_location("rules_from_source", source)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosechute.routes.pattern import decoded, parse
-from rosechute.routes.table import Match, Table, ambiguous
+from rosechute.sidecar.route_matching.pattern import decoded, parse
+from rosechute.sidecar.route_matching.table import Match, Table, ambiguous
 
 PARTS = st.sampled_from(["a", "b", "{x}", "c"])
 VALUES = st.sampled_from([b"1", b"2"])
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -8,11 +8,11 @@
 import pytest
 from backend import Call, Conversation, Server, line, play, settings, sidecar
 
-from dunefield import How
-from hollyport.core.address import Address
-from hollyport.http1.backend import load as _load
-from hollyport.http1.connection import Connection
-from hollyport.http1.upstream import Upstream
+from rosechute.load_balancing import How
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.http1.backend import load as _load
+from rosechute.proxy.http1.connection import Connection
+from rosechute.proxy.http1.upstream import Upstream
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,10 +10,23 @@
 import pytest
 from backend import Call, Conversation, Server, dump, line, listing, ok, play, settings, sidecar
 
-from dunefield import Accept, CloseIdle, Fail, Fetch, Hangup, How, Note, Probe, Refuse, Response, Retract, Submit
-from hollyport.core.address import Address
-from hollyport.http1.connection import Connection
-from hollyport.http1.upstream import Upstream
+from rosechute.load_balancing import (
+    Accept,
+    CloseIdle,
+    Fail,
+    Fetch,
+    Hangup,
+    How,
+    Note,
+    Probe,
+    Refuse,
+    Response,
+    Retract,
+    Submit,
+)
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.http1.connection import Connection
+from rosechute.proxy.http1.upstream import Upstream
 
 
 async def reset(talk: Conversation, call: Call) -> None:
--- a/tests/test_standin_discovery.py
+++ b/tests/test_standin_discovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from rosechute.standin.discovery import StandInDiscovery
+from rosechute.fakes.discovery import StandInDiscovery
 
 
 class Asking:
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -11,10 +11,10 @@
 import pytest
 from backend import IDS, Call, Client, Conversation, Server, line, ok, play, sidecar
 
-from dunefield import How, Response
-from hollyport.core.flow import CEILING, FLOOR, Body, Budget
-from hollyport.http1 import client as client_side
-from hollyport.http1 import upstream as server_side
+from rosechute.load_balancing import How, Response
+from rosechute.proxy.core.flow import CEILING, FLOOR, Body, Budget
+from rosechute.proxy.http1 import client as client_side
+from rosechute.proxy.http1 import upstream as server_side
 
 MB = 1 << 20
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -15,10 +15,10 @@
 from build import MS, SECOND, accept, balancer, fleet, only, outcome
 from test_process import LIMIT_S, config, free_port
 
-from dunefield import Directory, Entry, Submit, memory
-from hollyport.platform import takeover
-from hollyport.platform.config import ConfigError, load
-from hollyport.platform.takeover import LENGTH, Takeover
+from rosechute.load_balancing import Directory, Entry, Submit, memory
+from rosechute.sidecar import takeover
+from rosechute.sidecar.config import ConfigError, load
+from rosechute.sidecar.takeover import LENGTH, Takeover
 
 ROOT = Path(__file__).parent.parent
 
@@ -57,7 +57,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "hollyport",
+            "rosechute.sidecar",
             cwd=ROOT,
             env=env,
             pass_fds=[self.socket.fileno()],
@@ -208,10 +208,10 @@
     async def scene():
         from backend import settings
 
-        from dunefield import Settings
-        from hollyport.core.address import Address
-        from hollyport.platform.config import Config
-        from hollyport.sidecar import Sidecar
+        from rosechute.load_balancing import Settings
+        from rosechute.proxy.core.address import Address
+        from rosechute.sidecar.config import Config
+        from rosechute.sidecar.sidecar import Sidecar
 
         async def greet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(said)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from dunefield import Accept, Balancer, Directory, Entry, How, Response, Settings, Submit
+from rosechute.load_balancing import Accept, Balancer, Directory, Entry, How, Response, Settings, Submit
 
 SECOND = 1_000_000_000
 MS = 1_000_000
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -142,7 +142,7 @@
         registry = Registry(listing(), listing())
         async with Server(registry) as place, sidecar(discovery=place.port, raw=ASKS) as world:
             with monkeypatch.context() as patch:
-                patch.setattr("hollyport.platform.discovery.read_listing", lambda raw, settings: 1 // 0)
+                patch.setattr("rosechute.sidecar.discovery.read_listing", lambda raw, settings: 1 // 0)
                 for _ in range(2):  # the second call proves that the module asked again
                     await registry.asked.get()
             assert world.sidecar.ready() is False
--- a/tests/test_wire_rows.py
+++ b/tests/test_wire_rows.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dunefield import (
+from rosechute.load_balancing import (
     Accept,
     Alarm,
     Begun,
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -17,11 +17,11 @@
 
 from backend import line, listing, settings
 
-from dunefield import Settings
-from hollyport import sidecar as process
-from hollyport.core.address import Address
-from hollyport.core.calls import Core
-from hollyport.platform.config import Config
+from rosechute.load_balancing import Settings
+from rosechute.proxy.core.address import Address
+from rosechute.proxy.core.calls import Core
+from rosechute.sidecar import sidecar as process
+from rosechute.sidecar.config import Config
 
 START = 1_000_000_000_000_000_000  # Unix time at the loop's 0, in nanoseconds
 HOST = "10.9.0.1"  # no address of this machine: what isn't scripted can't come up
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,7 +10,7 @@
 
 from build import MS, SECOND
 
-from dunefield import (
+from rosechute.load_balancing import (
     Accept,
     Alarm,
     Defer,
