--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -33,7 +33,7 @@
 BASES = (ROOT, ROOT / "rosechute")  # paths of modules are given below either
 
 MODULE_PATH = re.compile(r"[\w./-]+\.py\b")
-DOTTED_NAME = re.compile(r"(?<![\w./])(?:rosechute|benchmarks|tests)(?:\.\w+)+(?![\w/])")
+DOTTED_NAME = re.compile(r"(?<![\w./])(?:rosechute|hollyport|dunefield|benchmarks|tests)(?:\.\w+)+(?![\w/])")
 FILE_ENDINGS = ("py", "md", "toml", "txt", "json")
 COMMAND = re.compile(r"(?:python3?|/python) -m\s+([a-z_][\w.]*)")
 LINK = re.compile(r"(?<!!)\[[^\]]*\]\(([^)\s]+)\)")
