--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -152,14 +152,14 @@
     gc.collect()
     gc.freeze()
     took: list[float] = []
-    take = made._take_list
+    take = made._apply_list
 
     def watched(listing: Any, scope: str) -> None:
         start = time.thread_time()
         take(listing, scope)
         took.append(time.thread_time() - start)
 
-    made._take_list = watched  # type: ignore[method-assign]
+    made._apply_list = watched  # type: ignore[method-assign]
 
     async def longest_turn(work: Callable[[], Awaitable[None]]) -> float:
         last, most, on = time.thread_time(), 0.0, True
@@ -179,10 +179,10 @@
 
     async def play(what: str) -> None:
         count = {"ones": CHANGES, "zone": len(range(2, servers, ZONES))}.get(what, 1)
-        until = (made._index if made._index > 0 else 1) + count
+        until = (made._list_version if made._list_version > 0 else 1) + count
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /put/%s HTTP/1.1\r\n\r\n" % what.replace(" ", "_").encode())
-        while made._index < until:
+        while made._list_version < until:
             await asyncio.sleep(0.001)
         writer.close()
 
@@ -206,7 +206,7 @@
     if chosen.serve:
         asyncio.run(serve(chosen.serve))
         return
-    if not chosen.plain and not native.prefer():
+    if not chosen.plain and not native.install_finder():
         sys.exit("nothing was compiled from these sources: run deploy/build.sh, or choose --plain")
     print(
         "| servers | KB | read, ms | first, ms | again, ms | one change, us | longest | a zone, one by one, ms "
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -20,7 +20,7 @@
 
 from rosechute import native
 
-native.prefer()
+native.install_finder()
 
 from rosechute.simulation.cold import FLEETS, SETTINGS, STARTS, Case, ColdStarts, Worst, scenario  # noqa: E402
 from rosechute.simulation.figures import Figures  # noqa: E402 - compiled where it is
@@ -88,7 +88,7 @@
         "3 s late" if case.late else "soon",
         str(sum(r.starts for r in rows)),
         f"{anyone.any.over:.1f}" if anyone and anyone.any else "-",
-        f"{worst.told.over:.1f} ({worst.told.sent:.0f}, N {worst.told.bears:.1f}; {worst.seed})"
+        f"{worst.told.over:.1f} ({worst.told.sent:.0f}, N {worst.told.budget:.1f}; {worst.seed})"
         if worst and worst.told
         else "-",
         f"{work:.1f}",
--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -255,7 +255,12 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "config.json")
             path.write_text(json.dumps(config(port, discovery, servers)))
-            env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": folder, native.OFF: str(int(self.plain))}
+            env = {
+                **os.environ,
+                "NODE_CONFIG": str(path),
+                "TMPDIR": folder,
+                native.DISABLE_VARIABLE: str(int(self.plain)),
+            }
             if self.folder is None:
                 command = [sys.executable, "-m", "benchmarks.cpu", "--relay", str(port), str(servers[0])]
             else:
@@ -331,7 +336,7 @@
     subjects = [Subject("relay", None, [])]
     if not chosen.program:
         subjects.append(Subject("sidecar", HERE, [], plain=True))
-        if native.found():
+        if native.find_libraries():
             subjects.append(Subject("compiled", HERE, []))
     for text in chosen.program:
         name, _, rest = text.partition("=")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -157,9 +157,9 @@
         gone: int | None = None,
     ) -> dict[str, Any]:
         """Listen, at a port of before and with what was known then, but for a server that is gone since."""
-        from rosechute.fakes.discovery import StandInDiscovery
+        from rosechute.fakes.discovery import FakeDiscovery
 
-        self.discovery = StandInDiscovery()
+        self.discovery = FakeDiscovery()
         self.backend = backend
         for number in range(servers):
             told = (lines or {}).get(name_of(number), {"status": "SERVING", "since_ms": 0})
@@ -275,7 +275,7 @@
         lines = listing.lines
         if self._stale:  # the planted fault: what has gone stays
             lines = tuple(line for line in lines if line.entry.lifecycle != "removed")
-        if listing.whole:
+        if listing.is_snapshot:
             self.lines.clear()
         for line in lines:
             if line.entry.lifecycle == "removed":
@@ -284,7 +284,7 @@
                 self.lines[line.entry.server] = line
         self.deliver(
             Directory(
-                "FULL" if listing.whole else "INCREMENTAL", tuple(line.entry for line in lines), listing.version
+                "FULL" if listing.is_snapshot else "INCREMENTAL", tuple(line.entry for line in lines), listing.version
             )
         )
         if listing.version != self.version and not getattr(listing, "part", False):
@@ -816,7 +816,7 @@
     if chosen.role:
         from rosechute import native
 
-        native.prefer()
+        native.install_finder()
         import gc
 
         import uvloop
--- a/benchmarks/fleet_list.py
+++ b/benchmarks/fleet_list.py
@@ -48,7 +48,7 @@
     finally:
         await client.close()
         await platform.stop()
-    return whole, platform.seen.calls, platform.seen.refused
+    return whole, platform.stats.calls, platform.stats.refused
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/benchmarks/fleet_slopes_edge.py
+++ b/benchmarks/fleet_slopes_edge.py
@@ -229,7 +229,7 @@
 
 def _pick_us(count: int, prefixes: int, sessions: int) -> float:
     """Microseconds a request, with 200 streams out as there would be at the peak; the table is filled first."""
-    router = Router(random.Random(1).random, RouterTuning(prefix_entries=65_536, session_entries=65_536))
+    router = Router(random.Random(1).random, RouterTuning(prefix_entries=65_536, prompt_entries=65_536))
     router.apply_limits(NOW, SERVICE, 830, SIZE.edges)
     router.apply_retry_budget(0.2, 10.0, 52.0, SIZE.edges)
     router.apply_servers(NOW, SERVICE, _entries(count))
--- a/benchmarks/fleet_slopes_events.py
+++ b/benchmarks/fleet_slopes_events.py
@@ -81,7 +81,7 @@
         listen=Listen(front="127.0.0.1:0"),
         limits=ProcessLimits(memory_mb=300, max_fds=2000),
     )
-    router = Router(random.random, RouterTuning(first_budget=200))
+    router = Router(random.random, RouterTuning(initial_limit=200))
     plane = DataPlane(loop, settings, router, AllowAll(), AlwaysFresh())
     await plane.start()
     plane.apply_configuration(parse_configuration(json.dumps(CONFIGURATION).encode()).unwrap(), 1)
--- a/benchmarks/hollow_fleet.py
+++ b/benchmarks/hollow_fleet.py
@@ -212,7 +212,7 @@
         self.meter.begin(self.core)
         began, orders, sent = time.monotonic(), len(self.orders), self.sent
         waited = self.workers.waited_s()
-        calls, refused = self.list.seen.calls, self.list.seen.refused
+        calls, refused = self.list.stats.calls, self.list.stats.refused
         changed_at = await play()
         settled_s = await self._settled(changed_at)
         await asyncio.sleep(COUNT_S)
@@ -223,8 +223,8 @@
         cells["edges waited %"] = 100 * (self.workers.waited_s() - waited) / WORKERS / seconds
         cells |= {
             "orders sent": self.sent - sent,
-            "list calls/s": (self.list.seen.calls - calls) / seconds,
-            "list calls refused": self.list.seen.refused - refused,
+            "list calls/s": (self.list.stats.calls - calls) / seconds,
+            "list calls refused": self.list.stats.refused - refused,
         }
         problems = [*never_back(self.log), *counted(self.meter.edges)]
         if not self.options.no_list:
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -300,7 +300,12 @@
         with tempfile.TemporaryDirectory() as place:
             path = pathlib.Path(place, "config.json")
             path.write_text(json.dumps(config(port, self.discovery, self.ports)))
-            env = {**os.environ, "NODE_CONFIG": str(path), "TMPDIR": place, native.OFF: str(int(self._chosen.plain))}
+            env = {
+                **os.environ,
+                "NODE_CONFIG": str(path),
+                "TMPDIR": place,
+                native.DISABLE_VARIABLE: str(int(self._chosen.plain)),
+            }
             process = subprocess.Popen(
                 [sys.executable, "-m", "rosechute.sidecar"], cwd=folder, env=env, stderr=subprocess.DEVNULL
             )
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -27,7 +27,7 @@
 
 from rosechute.load_balancing import Settings
 from rosechute.proxy.core.address import Address
-from rosechute.proxy.http1.listener import LOOK_S
+from rosechute.proxy.http1.listener import DISCONNECT_POLL_S
 from rosechute.proxy.http1.message import Message
 from rosechute.sidecar.config import Config
 from rosechute.sidecar.sidecar import Sidecar
@@ -149,7 +149,7 @@
     paused = len(sidecar._listener.paused)
     start = time.process_time()
     for _ in range(LOOKS):
-        sidecar._listener.look()
+        sidecar._listener.check_paused()
     cost = (time.process_time() - start) / LOOKS * 1e3
 
     def burn() -> None:
@@ -180,7 +180,7 @@
         "late": late,
         "attempts": len(came),
         "look_ms": round(cost, 3),
-        "looks_ms_a_second": round(cost / LOOK_S, 1),
+        "looks_ms_a_second": round(cost / DISCONNECT_POLL_S, 1),
     }
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from rosechute.fakes.load import Kind, Outcome
-from rosechute.fakes.scene import Scene
-from rosechute.fakes.server import Conduct
+from rosechute.fakes.load import LoadResult, RequestKind
+from rosechute.fakes.scene import SidecarDeployment
+from rosechute.fakes.server import ServerBehavior
 from rosechute.proxy.core.log import setup
 
 LIMITS = """version = 1
@@ -29,11 +29,16 @@
 CALM, LOUD = "community-hirers", "charity-partners"
 
 
-async def run(file: Path | None, loud_per_s: float, seconds: float, seed: int) -> Outcome:
+async def run(file: Path | None, loud_per_s: float, seconds: float, seed: int) -> LoadResult:
     """One run."""
-    scene = Scene({f"s{i}": Conduct(slots=2, queue=8, service_s=0.04) for i in range(4)}, file=file, seed=seed)
+    scene = SidecarDeployment(
+        {f"s{i}": ServerBehavior(slots=2, queue=8, service_s=0.04) for i in range(4)}, file=file, seed=seed
+    )
     application = await scene.start()
-    kinds = [Kind("/list-rooms/north", 60, CALM, wait_s=1.5), Kind("/list-rooms/south", loud_per_s, LOUD, wait_s=1.5)]
+    kinds = [
+        RequestKind("/list-rooms/north", 60, CALM, wait_s=1.5),
+        RequestKind("/list-rooms/south", loud_per_s, LOUD, wait_s=1.5),
+    ]
     outcome = await application.play(kinds, seconds)
     await scene.stop()
     return outcome
@@ -59,8 +64,10 @@
             outcome = uvloop.run(run(file, rate, chosen.seconds, chosen.seed))
             cells = ""
             for tenant in (CALM, LOUD):
-                own = outcome.of(tenant=tenant)
-                cells += f"{len(own.done):8}{own.share():9.3f}{own.quantile_ms(0.5):8.0f}{own.quantile_ms(0.99):9.0f}"
+                own = outcome.filter(tenant=tenant)
+                cells += (
+                    f"{len(own.results):8}{own.share():9.3f}{own.quantile_ms(0.5):8.0f}{own.quantile_ms(0.99):9.0f}"
+                )
             print(f"{name:26}{cells}")
 
 
--- a/benchmarks/policy_trials/variants.py
+++ b/benchmarks/policy_trials/variants.py
@@ -38,11 +38,13 @@
 VARIANTS: Mapping[str, tuple[Replacement, ...]] = {
     AS_IT_IS: (),
     "one-choice": _line(f"{ROUTING}/pick.py", "return self._less_loaded(now, first, server)", "return first"),
-    "no-known-prefix": _line(f"{ROUTING}/sticky.py", "if known is not None:", "if known is not None and False:"),
+    "no-known-prefix": _line(
+        f"{ROUTING}/sticky.py", "if observed is not None:", "if observed is not None and False:"
+    ),
     "no-likely-prefix": _line(
         f"{ROUTING}/sticky.py",
-        "for server, likely in self._predicted_servers(now, pool, pending):",
-        "for server, likely in ():",
+        "for server, chance in self._predicted_servers(now, pool, pending):",
+        "for server, chance in ():",
     ),
     "no-second-likely": _constant(f"{ROUTING}/sticky.py", "SECOND_CACHED_CHANCE", "0.0", "0.3"),
     "reading-weight-1": _constant(f"{ROUTING}/sticky.py", "PREFILL_WEIGHT", "1.0", "4.0"),
@@ -83,7 +85,7 @@
     ),
     "first-budget-1": _line(
         f"{ROUTING}/server.py",
-        "self.concurrency_limit = min(self.max_concurrency, max(tuning.first_budget, self.slots // edges))",
+        "self.concurrency_limit = min(self.max_concurrency, max(tuning.initial_limit, self.slots // edges))",
         "self.concurrency_limit = min(self.max_concurrency, 1)",
     ),
     "no-learning-down": _line(
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -29,23 +29,23 @@
 
     _why = ""
 
-    def _shed(self, *told: Any) -> bool:
-        shed = super()._shed(*told)
+    def _should_shed(self, *told: Any) -> bool:
+        shed = super()._should_shed(*told)
         if shed:
             self._why = "shed"
             levels.append(self._crowding.level)
         return shed
 
-    def _hopeless(self, *told: Any) -> bool:
-        hopeless = super()._hopeless(*told)
+    def _is_likely_late(self, *told: Any) -> bool:
+        hopeless = super()._is_likely_late(*told)
         if hopeless:
             self._why = "hopeless"
         return hopeless
 
-    def _end(self, *told: Any) -> None:
+    def _finish(self, *told: Any) -> None:
         reasons[self._why or "held"] += 1
         self._why = ""
-        super()._end(*told)
+        super()._finish(*told)
 
     def _adopt(self, *told: Any) -> None:
         super()._adopt(*told)
@@ -54,8 +54,8 @@
     def handle(self, now: int, event: Any) -> Any:
         if self._telling:
             self._telling = False
-            felt = self._crowding.felt
-            self._crowding.felt = lambda at, was: (slow.append(was), felt(at, was))[1]  # type: ignore
+            felt = self._crowding.observe_answer
+            self._crowding.observe_answer = lambda at, was: (slow.append(was), felt(at, was))[1]  # type: ignore
         return super().handle(now, event)
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -20,7 +20,7 @@
 
 
 def one(policy: str, instances: int, servers: int, requests: int) -> None:
-    native.prefer()
+    native.install_finder()
     import gc
 
     from rosechute.sidecar.operator_configuration.units import Span
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -248,7 +248,7 @@
         loop.call_soon(beat, time.thread_time_ns())
         await over.wait()
 
-    discovery._Caller = Answers  # type: ignore[assignment, misc]
+    discovery._Client = Answers  # type: ignore[assignment, misc]
     loop = asyncio.new_event_loop()
     over = asyncio.Event()
     loop.run_until_complete(play())
@@ -315,9 +315,9 @@
     """In the process of its own: print what was found."""
     from rosechute import native
 
-    native.prefer()
+    native.install_finder()
     found: dict[str, Any] = {"times": times, "stalls": stalls, "memory": memory}[kind](size, seed)
-    found["compiled"] = native.in_force()
+    found["compiled"] = native.is_compiled()
     print(json.dumps(found))
 
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from rosechute.fakes.load import Kind
-from rosechute.fakes.scene import Scene
-from rosechute.fakes.server import Conduct
+from rosechute.fakes.load import RequestKind
+from rosechute.fakes.scene import SidecarDeployment
+from rosechute.fakes.server import ServerBehavior
 from rosechute.proxy.core.log import setup
 
 ROUTE = """version = 1
@@ -32,21 +32,21 @@
     file: Path | None, seconds: float, per_s: float, seed: int, endless: bool
 ) -> tuple[float, float, float]:
     """Attempts a request, the share served, and p99 in milliseconds."""
-    conduct = {f"s{i}": Conduct(slots=8, service_s=0.02, fail_share=0.5) for i in range(6)}
-    scene = Scene(conduct, file=file, seed=seed)
+    behavior = {f"s{i}": ServerBehavior(slots=8, service_s=0.02, fail_share=0.5) for i in range(6)}
+    scene = SidecarDeployment(behavior, file=file, seed=seed)
     application = await scene.start()
     if endless:
         module = scene.sidecar.core.module
-        count = module._count
+        count = module._count_request
 
         def counted(now: int, number: int) -> None:
             count(now, number)
             module._tokens = 1e9
 
-        module._count = counted  # type: ignore[method-assign]
-    outcome = await application.play([Kind("/list-rooms/north", per_s)], seconds)
+        module._count_request = counted  # type: ignore[method-assign]
+    outcome = await application.play([RequestKind("/list-rooms/north", per_s)], seconds)
     await scene.stop()
-    return scene.attempts() / len(outcome.done), outcome.share(), outcome.quantile_ms(0.99)
+    return scene.attempts() / len(outcome.results), outcome.share(), outcome.quantile_ms(0.99)
 
 
 def main() -> None:
--- a/benchmarks/theory.py
+++ b/benchmarks/theory.py
@@ -18,7 +18,7 @@
 
 from rosechute import native
 
-native.prefer()
+native.install_finder()
 
 from rosechute.simulation.draw import Streams  # noqa: E402 - compiled where it is
 from rosechute.simulation.engine import Engine  # noqa: E402
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,17 +1,17 @@
 #!/bin/sh
-# The platform's build: an environment, byte code, and the modules on each request's way compiled where that can be done.
+# Build of the sidecar: virtual environment, byte code and, where possible, compiled modules for the request path.
 #
-# Run from the project's root. What the sidecar needs must be there in the end, or this fails; that the modules could
-# not be compiled is only told, as the sidecar then runs from the same sources, at more processor time a request.
+# Run from the project's root. Fails if the environment can't be made. A failed compilation is only reported: the
+# sidecar then runs from the same sources, with more CPU time per request.
 set -eu
 
 test -x .venv/bin/python || python3 -m venv .venv
-# What is installed follows the pins, also where an environment is there already.
+# Installs the pinned versions, also into an existing environment.
 if ! cmp -s requirements.txt .venv/requirements.txt; then
     .venv/bin/pip -q install -r requirements.txt
     cp requirements.txt .venv/requirements.txt
 fi
-# Byte code is made now: the file system is read-only later, and restarts are on the clock.
+# Byte code is compiled now: the file system is read-only at run time, and restarts must be fast.
 .venv/bin/python -m compileall -q rosechute/__init__.py rosechute/native.py rosechute/sidecar \
     rosechute/proxy rosechute/load_balancing
 
@@ -27,5 +27,5 @@
     timeout 600 .venv-build/bin/python deploy/compile.py
 }
 if [ "${ROSECHUTE_PLAIN:-}" != 1 ] && ! (compile); then
-    echo "build: not compiled (see above); the sidecar runs from its sources" >&2
+    echo "build: compilation failed (see above); the sidecar runs from source" >&2
 fi
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -1,11 +1,11 @@
-"""Compile the modules on each request's way into `.compiled/`, each library with the source it was made from.
+"""Compile the modules on the request path into `.compiled/`, each library with a copy of its source.
 
     python deploy/compile.py            needs requirements-build.txt and a C compiler; about 100 s
-    python deploy/compile.py --lab      the lab's model as well; needs the extra `lab`, too
-    python deploy/compile.py --check    exit 0 where what is there was made from the sources as they are now
+    python deploy/compile.py --lab      also the simulator's model; needs the extra `lab`
+    python deploy/compile.py --check    exit 0 if the libraries match the current sources
 
-The libraries appear at once and only when all are there and can be loaded: a build that breaks off leaves what was
-there before, and libraries of other sources are never loaded (rosechute/native.py).
+The libraries are replaced in one step, once all are built and can be loaded: an interrupted build leaves the previous
+libraries in place. Libraries of other sources are never loaded (rosechute/native.py).
 """
 
 from __future__ import annotations
@@ -17,27 +17,28 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-NEW, OBJECTS = ROOT / ".compiled.new", ROOT / ".compiled.objects"
+NEW_FOLDER, OBJECT_FOLDER = ROOT / ".compiled.new", ROOT / ".compiled.objects"
 sys.path.insert(0, str(ROOT))
 
-from rosechute import native  # noqa: E402 - the checkout's, wherever this is started
+from rosechute import native  # noqa: E402 - from this checkout, whatever the working directory
 
 
 def main() -> int:
+    """Build or check the libraries; return the exit code."""
     if "--check" in sys.argv[1:]:
-        return 0 if native.found() else 1
+        return 0 if native.find_libraries() else 1
     lab = "--lab" in sys.argv[1:]
-    shutil.rmtree(NEW, ignore_errors=True)
-    done = subprocess.run(
+    shutil.rmtree(NEW_FOLDER, ignore_errors=True)
+    completed = subprocess.run(
         [
             sys.executable,
             "setup.py",
             "-q",
             "build_ext",
             "--build-lib",
-            str(NEW),
+            str(NEW_FOLDER),
             "--build-temp",
-            str(OBJECTS),
+            str(OBJECT_FOLDER),
             "--parallel",
             "4",
         ],
@@ -45,32 +46,35 @@
         env={**os.environ, "ROSECHUTE_COMPILE": "lab" if lab else "1"},
         stdout=subprocess.DEVNULL,
     )
-    if done.returncode:
-        return done.returncode
-    names = []
-    for library in sorted(NEW.rglob("*.so")):
-        place = library.relative_to(NEW)
-        name = place.as_posix().split(".")[0]
+    if completed.returncode:
+        return completed.returncode
+    modules = []
+    for library in sorted(NEW_FOLDER.rglob("*.so")):
+        relative = library.relative_to(NEW_FOLDER)
+        name = relative.as_posix().split(".")[0]
         source = ROOT / f"{name}.py"
         if source.exists():
-            shutil.copyfile(source, NEW / f"{name}.py")
-            names.append(name.replace("/", "."))
-    shutil.copyfile(ROOT / "setup.py", NEW / "setup.py")  # which modules are compiled, and how
-    # A library that can't be loaded here must not be what keeps the sidecar from its start.
-    trial = (
+            shutil.copyfile(source, NEW_FOLDER / f"{name}.py")
+            modules.append(name.replace("/", "."))
+    shutil.copyfile(
+        ROOT / "setup.py", NEW_FOLDER / "setup.py"
+    )  # it lists the compiled modules and the compiler options
+    # A library that can't be loaded would prevent the sidecar from starting.
+    load_check = (
         f"import importlib, sys; sys.path.insert(0, {str(ROOT)!r}); from rosechute import native; "
-        f"sys.meta_path.insert(0, native.Libraries(native.found({str(ROOT)!r}, {str(NEW)!r}))); "
+        "sys.meta_path.insert(0, native.CompiledModuleFinder("
+        f"native.find_libraries({str(ROOT)!r}, {str(NEW_FOLDER)!r}))); "
         f"import rosechute.sidecar.sidecar; {'import rosechute.simulation.run; ' if lab else ''}"
-        f"assert all(sys.modules[name].__file__.endswith('.so') for name in {names!r})"
+        f"assert all(sys.modules[name].__file__.endswith('.so') for name in {modules!r})"
     )
-    done = subprocess.run([sys.executable, "-c", trial], cwd=ROOT)
-    if done.returncode:
-        return done.returncode
-    old = ROOT / native.FOLDER
-    shutil.rmtree(old, ignore_errors=True)
-    NEW.rename(old)
-    shutil.rmtree(OBJECTS, ignore_errors=True)
-    print(f"build: compiled {len(names)} modules")
+    completed = subprocess.run([sys.executable, "-c", load_check], cwd=ROOT)
+    if completed.returncode:
+        return completed.returncode
+    target = ROOT / native.LIBRARY_FOLDER
+    shutil.rmtree(target, ignore_errors=True)
+    NEW_FOLDER.rename(target)
+    shutil.rmtree(OBJECT_FOLDER, ignore_errors=True)
+    print(f"build: compiled {len(modules)} modules")
     return 0
 
 
--- a/rosechute/__main__.py
+++ b/rosechute/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rosechute`: the same as the `rosechute` command."""
+"""Entry point of `python -m rosechute`, the same as the `rosechute` command."""
 
 from rosechute.cli.main import main
 
--- a/rosechute/cli/check.py
+++ b/rosechute/cli/check.py
@@ -1,4 +1,4 @@
-"""`rosechute check`: is this file safe?"""
+"""`rosechute check`: validation of an operator file."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import click
 
-from rosechute.cli.common import AGAINST, FILE, FORMAT, dumped, look, refuse, table
+from rosechute.cli.common import AGAINST, FILE, FORMAT, check_file, fail, table, to_json
 from rosechute.sidecar.operator_configuration.effective import Effective, Site
-from rosechute.sidecar.operator_configuration.units import shown
+from rosechute.sidecar.operator_configuration.units import format_duration
 
-HEAD = (
+COLUMNS = (
     "route",
     "for",
     "class",
@@ -32,23 +32,23 @@
 @AGAINST
 @FORMAT
 def command(file: Path, against: Path | None, form: str) -> None:
-    """Check an operator's FILE: its form, and the proof that it keeps the rules.
+    """Check an operator's FILE: its syntax, and that it cannot break the safety rules.
 
-    Exit code 0 where it is good, with a table of what holds on each route; 2 where it is refused, with all
-    that is wrong.
+    Exit code 0 if it is valid, with a table of the effective values of each route; 2 if it is rejected, with all
+    problems.
     """
-    found = look(file, against)
+    found = check_file(file, against)
     if found.proven is None:
-        refuse(file, found.problems, form)
+        fail(file, found.problems, form)
     routes = found.proven.routes
     if form == "json":
         click.echo(
-            dumped(
+            to_json(
                 {
                     "file": str(file),
                     "good": True,
                     "checked_against": str(against) if against else None,
-                    "not_checked": left_out(found.site),
+                    "not_checked": skipped_checks(found.site),
                     "routes": [
                         {
                             "route": r.name,
@@ -60,26 +60,30 @@
             )
         )
         return
-    click.echo(table(HEAD, [row(r) for r in routes]) if routes else "no routes: all goes by the platform's settings")
-    for text in left_out(found.site):
+    click.echo(
+        table(COLUMNS, [row(r) for r in routes])
+        if routes
+        else "no routes: the platform's settings apply to all requests"
+    )
+    for text in skipped_checks(found.site):
         click.echo(f"not checked: {text}")
     click.echo(f"{file}: good, {len(routes)} route{'s' if len(routes) != 1 else ''}")
 
 
-def left_out(site: Site) -> list[str]:
-    """What could not be checked without the platform's configuration."""
-    if site.at_hand:
+def skipped_checks(site: Site) -> list[str]:
+    """Return the checks that were skipped for lack of the platform's configuration."""
+    if site.has_platform_settings:
         return []
     return [
         "whether classes are as strict as the platform's",
         "whether tenants exist",
-        "the most attempts and second copies that the settings allow",
+        "the number of attempts and second copies that the settings allow",
         "descriptors and memory",
     ]
 
 
 def row(route: Effective) -> tuple[str, ...]:
-    """One line of the table."""
+    """Return one row of the table."""
     made = route.route
     tenant = f" tenant {made.tenant}" if made.tenant else ""
     headers = "".join(f" {name}: {value}" for name, value in made.headers.items())
@@ -89,13 +93,13 @@
         f"{made.method or 'any'} {made.path}{tenant}{headers}",
         route.cls.name,
         route.cls.repeat,
-        shown(route.timeout_ns.value),
+        format_duration(route.timeout_ns.value),
         str(route.attempts),
-        "-" if route.try_ns.value is None else shown(route.try_ns.value),
-        "-" if route.copy_ns.value is None else shown(route.copy_ns.value),
+        "-" if route.try_ns.value is None else format_duration(route.try_ns.value),
+        "-" if route.copy_ns.value is None else format_duration(route.copy_ns.value),
         str(route.max_in_flight.value or "-"),
         str(route.max_waiting.value or "-"),
-        "-" if rate is None else f"1 in {shown(rate.interval_ns)}, {rate.burst} at once",
+        "-" if rate is None else f"1 in {format_duration(rate.interval_ns)}, {rate.burst} at once",
         "-" if budget is None else f"{budget.ratio:g} + {budget.min_per_s:g}/s",
         str(route.limit_by),
     )
--- a/rosechute/cli/common.py
+++ b/rosechute/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: reading both files, and showing what is wrong."""
+"""Functions shared by several commands: reading the files, and reporting problems."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import msgspec
 
 from rosechute.sidecar.config import Config, ConfigError, load
-from rosechute.sidecar.operator_configuration.effective import BARE, Site
+from rosechute.sidecar.operator_configuration.effective import UNKNOWN_SITE, Site
 from rosechute.sidecar.operator_configuration.problems import FileError, Problem
-from rosechute.sidecar.operator_configuration.proof import Proven, prove
+from rosechute.sidecar.operator_configuration.proof import CheckedFile, prove
 from rosechute.sidecar.operator_configuration.reading import read
 from rosechute.sidecar.operator_policy.policy import load as load_file
 
@@ -23,22 +23,21 @@
     "--against",
     type=click.Path(path_type=Path, dir_okay=False, exists=True),
     metavar="CONFIG.json",
-    help="The platform's configuration that the file is for. Without it, the file is checked "
-    "as far as it goes by itself.",
+    help="The platform's configuration to check the file against. Without it, checks that need it are skipped.",
 )
 FORMAT = click.option("--format", "form", type=click.Choice(["text", "json"]), default="text", show_default=True)
 
 
-class Looked(NamedTuple):
-    """A file, and what the proof says of it."""
+class CheckResult(NamedTuple):
+    """The result of checking a file."""
 
-    proven: Proven | None
+    proven: CheckedFile | None
     problems: tuple[Problem, ...]
     site: Site
 
 
 def configuration(path: Path | None) -> Config | None:
-    """The platform's configuration; ends the command where it can't be used."""
+    """Return the platform's configuration; exit if it is invalid."""
     if path is None:
         return None
     try:
@@ -48,21 +47,21 @@
         sys.exit(REFUSED)
 
 
-def look(file: Path, against: Path | None) -> Looked:
-    """Read and prove a file."""
+def check_file(file: Path, against: Path | None) -> CheckResult:
+    """Parse and check a file."""
     config = configuration(against)
-    site = BARE if config is None else Site.of(config.settings, config.sockets, config.memory_mb)
+    site = UNKNOWN_SITE if config is None else Site.from_settings(config.settings, config.sockets, config.memory_mb)
     try:
-        told = read(load_file(file))
-        return Looked(prove(told.file, site, told.lines), (), site)
+        parsed = read(load_file(file))
+        return CheckResult(prove(parsed.file, site, parsed.lines), (), site)
     except FileError as error:
-        return Looked(None, error.problems, site)
+        return CheckResult(None, error.problems, site)
 
 
-def refuse(file: Path, problems: tuple[Problem, ...], form: str) -> NoReturn:
-    """Show what is wrong, and end with 2."""
+def fail(file: Path, problems: tuple[Problem, ...], form: str) -> NoReturn:
+    """Print the problems and exit with code 2."""
     if form == "json":
-        click.echo(dumped({"file": str(file), "good": False, "problems": [plain(p) for p in problems]}))
+        click.echo(to_json({"file": str(file), "good": False, "problems": [problem_data(p) for p in problems]}))
     else:
         for problem in problems:
             click.echo(f"{file}: {problem}", err=True)
@@ -70,8 +69,8 @@
     sys.exit(REFUSED)
 
 
-def plain(problem: Problem) -> dict[str, object]:
-    """A problem as plain data."""
+def problem_data(problem: Problem) -> dict[str, object]:
+    """Return a problem as JSON-compatible data."""
     value = problem.value
     kept = isinstance(value, str | int | float | list | bool | None) and type(value).__name__ != "Span"
     return {
@@ -82,13 +81,13 @@
     }
 
 
-def dumped(raw: object) -> str:
-    """JSON for people and programs; NaN and infinity, which JSON lacks, as null."""
+def to_json(raw: object) -> str:
+    """Return indented JSON; NaN and infinity, which JSON lacks, become null."""
     return msgspec.json.format(msgspec.json.encode(raw), indent=2).decode()
 
 
 def table(head: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
-    """Columns as wide as what stands in them."""
+    """Return a text table with columns as wide as their contents."""
     widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
--- a/rosechute/cli/completion.py
+++ b/rosechute/cli/completion.py
@@ -1,4 +1,4 @@
-"""`rosechute completion`: what a shell needs to complete commands, options and files."""
+"""`rosechute completion`: shell completion of commands, options and files."""
 
 from __future__ import annotations
 
--- a/rosechute/cli/demo.py
+++ b/rosechute/cli/demo.py
@@ -1,4 +1,4 @@
-"""`rosechute demo`: a sidecar at work on loopback, with a live table of what it decides."""
+"""`rosechute demo`: a sidecar on loopback with a live table of its decisions."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from rich.live import Live
 from rich.table import Table
 
-from rosechute.fakes.load import Application, Kind
-from rosechute.fakes.scene import Scene
-from rosechute.fakes.server import Conduct
-from rosechute.proxy.core.log import SINK, setup
+from rosechute.fakes.load import Application, RequestKind
+from rosechute.fakes.scene import SidecarDeployment
+from rosechute.fakes.server import ServerBehavior
+from rosechute.proxy.core.log import LOG_WRITER, setup
 from rosechute.sidecar.operator_configuration.problems import FileError
 
 FILE = """version = 1
@@ -47,22 +47,24 @@
 retry_on = ["connect-failed", "full"]
 """
 KINDS = [
-    Kind("/list-rooms/north", 70, "charity-partners"),
-    Kind("/list-rooms/south", 30, "community-hirers"),
-    Kind("/confirm-booking/7", 20, "charity-partners", "guarded"),
-    Kind("/hold-desk/7", 20, "community-hirers", "single_shot", 1.2),
+    RequestKind("/list-rooms/north", 70, "charity-partners"),
+    RequestKind("/list-rooms/south", 30, "community-hirers"),
+    RequestKind("/confirm-booking/7", 20, "charity-partners", "guarded"),
+    RequestKind("/hold-desk/7", 20, "community-hirers", "single_shot", 1.2),
 ]
 REFRESH_S = 0.25
 
 
 @click.command(epilog="Example: rosechute demo --seconds 12")
-@click.option("--seconds", type=click.FloatRange(6, 120), default=12.0, show_default=True, help="How long it runs.")
-@click.option("--seed", type=int, default=1, show_default=True, help="For the load and the servers.")
+@click.option(
+    "--seconds", type=click.FloatRange(6, 120), default=12.0, show_default=True, help="Duration of the demo."
+)
+@click.option("--seed", type=int, default=1, show_default=True, help="Random seed of the load and the servers.")
 def command(seconds: float, seed: int) -> None:
-    """Run stand-in servers, a sidecar and a light load on loopback, and show what the sidecar decides while one
-    server turns slow, one drains and one starts cold.
+    """Run fake servers, a sidecar and a light load on loopback, and show the sidecar's decisions while one server
+    becomes slow, one drains and one starts cold.
 
-    Ends by itself, with a verdict on each rule. Exit code 0 where all were kept, else 1.
+    Ends by itself, with a result for each safety rule. Exit code 0 if all were kept, else 1.
     """
     setup(level="error")
     with tempfile.TemporaryDirectory() as folder:
@@ -73,40 +75,40 @@
         except FileError as error:
             raise click.ClickException(str(error)) from None
         finally:
-            SINK.flush()
+            LOG_WRITER.flush()
     sys.exit(0 if kept else 1)
 
 
 async def play(path: Path, seconds: float, seed: int, console: Console) -> bool:
-    """Run the scene; whether all rules were kept."""
-    scene = Scene({f"desk-{i}": Conduct() for i in range(1, 5)}, file=path, seed=seed)
+    """Run the demo; return whether all rules were kept."""
+    scene = SidecarDeployment({f"desk-{i}": ServerBehavior() for i in range(1, 5)}, file=path, seed=seed)
     application = await scene.start()
-    told: list[str] = []
+    messages: list[str] = []
     start = time.monotonic()
 
-    def tell(text: str) -> None:
-        told.append(f"{time.monotonic() - start:5.1f} s  {text}")
+    def report(text: str) -> None:
+        messages.append(f"{time.monotonic() - start:5.1f} s  {text}")
         if not console.is_terminal:
-            console.print(told[-1])
+            console.print(messages[-1])
 
-    story = asyncio.get_running_loop().create_task(happenings(scene, seconds, tell))
+    story = asyncio.get_running_loop().create_task(inject_faults(scene, seconds, report))
     playing = asyncio.get_running_loop().create_task(application.play(KINDS, seconds))
     if console.is_terminal:
         with Live(console=console, refresh_per_second=1 / REFRESH_S, transient=True) as live:
             while not playing.done():
-                live.update(picture(scene, application, told))
+                live.update(status_tables(scene, application, messages))
                 await asyncio.wait([playing], timeout=REFRESH_S)
     outcome = await playing
     await story
-    console.print(picture(scene, application, told))
-    verdicts = scene.verdicts(outcome)
+    console.print(status_tables(scene, application, messages))
+    verdicts = scene.check_rules(outcome)
     await scene.stop()
     for rule, kept, figures in verdicts:
         console.print(f"{'kept  ' if kept else 'BROKEN'}  {rule}: {figures}", markup=False, highlight=False)
     kept_all = all(kept for _, kept, _ in verdicts)
     console.print(
         f"{'all rules kept' if kept_all else 'a rule was broken'}: {outcome.share():.1%} served, p99 "
-        f"{outcome.quantile_ms(0.99):.0f} ms, {scene.attempts() / max(1, len(outcome.done)):.2f} attempts "
+        f"{outcome.quantile_ms(0.99):.0f} ms, {scene.attempts() / max(1, len(outcome.results)):.2f} attempts "
         "a request",
         markup=False,
         highlight=False,
@@ -114,24 +116,24 @@
     return kept_all
 
 
-async def happenings(scene: Scene, seconds: float, tell: Callable[[str], None]) -> None:
-    """What goes wrong, and when."""
+async def inject_faults(scene: SidecarDeployment, seconds: float, report: Callable[[str], None]) -> None:
+    """Inject the faults of the demo on schedule."""
     await asyncio.sleep(seconds * 0.15)
-    scene.servers["desk-1"].conduct.slow = 8.0
-    tell("desk-1 turns slow: eight times its usual time")
+    scene.servers["desk-1"].behavior.slow = 8.0
+    report("desk-1 becomes slow: response times are multiplied by 8")
     await asyncio.sleep(seconds * 0.2)
     scene.drain("desk-2")
-    tell("desk-2 drains")
+    report("desk-2 drains")
     await asyncio.sleep(seconds * 0.15)
-    await scene.join("desk-5", Conduct(cold_s=4.0))
-    tell("desk-5 starts cold, as the successor of desk-2")
+    await scene.join("desk-5", ServerBehavior(cold_s=4.0))
+    report("desk-5 starts cold as the replacement of desk-2")
     await asyncio.sleep(seconds * 0.25)
-    scene.servers["desk-1"].conduct.slow = 1.0
-    tell("desk-1 is well again")
+    scene.servers["desk-1"].behavior.slow = 1.0
+    report("desk-1 has recovered")
 
 
-def picture(scene: Scene, application: Application, told: list[str]) -> Table:
-    """What holds now."""
+def status_tables(scene: SidecarDeployment, application: Application, messages: list[str]) -> Table:
+    """Return the tables of the current state."""
     grid = Table.grid(padding=(0, 2))
     servers = Table("server", "state", "under way", "waiting", "begun", "turned away", title="servers")
     for name, server in scene.servers.items():
@@ -139,14 +141,14 @@
             "draining"
             if name in scene.drained
             else "slow"
-            if server.conduct.slow > 1
-            else f"cold {server.warmth():.0%}"
-            if server.warmth() < 1
+            if server.behavior.slow > 1
+            else f"cold {server.speed_share():.0%}"
+            if server.speed_share() < 1
             else "up"
         )
         busy, waiting = server.load
         servers.add_row(
-            name, state, str(busy), str(waiting), str(len(server.seen.runs)), str(server.seen.turned_away)
+            name, state, str(busy), str(waiting), str(len(server.stats.started_requests)), str(server.stats.rejected)
         )
     routes = Table(
         "route", "taken", "in flight", "waiting", "served", "refused", "failed", "budget left", title="routes"
@@ -163,7 +165,7 @@
             str(ends["failed"]),
             "-" if row["budget_left"] is None else f"{row['budget_left']:.0f}",
         )
-    recent = application.outcome.done[-400:]
+    recent = application.outcome.results[-400:]
     late = sorted(d.took_s for d in recent if d.status == 200)
     grid.add_row(servers)
     grid.add_row(routes)
@@ -172,6 +174,6 @@
             f"last {len(recent)} answers: p50 {late[len(late) // 2] * 1e3:.0f} ms, "
             f"p99 {late[int(len(late) * 0.99)] * 1e3:.0f} ms; {scene.attempts()} attempts in all"
         )
-    for text in told[-4:]:
+    for text in messages[-4:]:
         grid.add_row(text)
     return grid
--- a/rosechute/cli/lab.py
+++ b/rosechute/cli/lab.py
@@ -1,4 +1,4 @@
-"""`rosechute lab`: play scenarios, sweep over parameters and policies, compare, export."""
+"""`rosechute lab`: run scenarios, sweep over parameters and policies, compare and export results."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from rosechute.simulation.sweep import sweep, tasks
 from rosechute.simulation.trace import read as read_trace
 
-LESS_IS_BETTER = ("_ms", "refused", "failed", "late", "lost", "unanswered", "attempts_a_request", "breaches")
-TRUSTED_LAG_MS = 10.0  # by how much a bench in real time may be late before its figures are its own
+LOWER_IS_BETTER = ("_ms", "refused", "failed", "late", "lost", "unanswered", "attempts_a_request", "breaches")
+MAX_TRUSTED_LAG_MS = 10.0  # event lag of a real-time run above which the figures reflect an overloaded machine
 F = TypeVar("F", bound=Callable[..., Any])
 
 
-def changed(_: click.Context, __: click.Parameter, told: Sequence[str]) -> dict[str, list[Any]]:
-    """Options such as fleet.servers=10,20 as paths and values."""
+def parse_changes(_: click.Context, __: click.Parameter, options: Sequence[str]) -> dict[str, list[Any]]:
+    """Parse options such as fleet.servers=10,20 into paths and values."""
     found: dict[str, list[Any]] = {}
-    for text in told:
+    for text in options:
         path, sep, values = text.partition("=")
         if not sep or not path or not values:
             raise click.BadParameter(f"{text!r} is not PATH=VALUE[,VALUE ...]")
@@ -52,13 +52,14 @@
         return text
 
 
-def stored(required: bool = False) -> Callable[[F], F]:
+def store_option(required: bool = False) -> Callable[[F], F]:
+    """Return the `--store` option; with `required`, the file must exist."""
     return click.option(
         "--store",
         type=click.Path(path_type=Path, dir_okay=False, exists=required),
         default=Path("lab.sqlite"),
         show_default=True,
-        help="Where results are kept.",
+        help="Database of results.",
     )
 
 
@@ -66,15 +67,15 @@
     "--set",
     "changes",
     multiple=True,
-    callback=changed,
+    callback=parse_changes,
     metavar="PATH=VALUE[,...]",
-    help="Another value for a key of the scenario; several for a grid.",
+    help="Override a key of the scenario; several values form a grid.",
 )
 
 
 @click.group(epilog="Example: rosechute lab run calm")
 def command() -> None:
-    """Play scenarios in the lab: the real decision module and its rivals, against a model of servers and faults.
+    """Run scenarios in the lab: the load balancer and other policies against a model of servers and faults.
 
     \b
     Examples:
@@ -97,13 +98,13 @@
 
 
 def _breaches(found: Sequence[Breach], err: bool = False) -> None:
-    """Tell each breach, a line each."""
+    """Print one line for each breach."""
     for breach in found:
         click.echo(f"{breach.at_ns / 1e9:.3f} s  {breach.rule}: {breach.text}", err=err)
 
 
-def _again(parts: list[str], changes: dict[str, list[Any]]) -> str:
-    """The command that plays a run again."""
+def _repeat_command(parts: list[str], changes: dict[str, list[Any]]) -> str:
+    """Return the command that repeats a run."""
     for path, values in changes.items():
         parts = [*parts, "--set", f"{path}={json.dumps(values[0])}"]
     return shlex.join(["rosechute", "lab", *parts])
@@ -126,7 +127,7 @@
     form: str,
     changes: dict[str, list[Any]],
 ) -> None:
-    """Play SCENARIO (a name of `lab ls`, or a file) once. Exit code 0 where all rules were kept, else 1."""
+    """Run SCENARIO (a name from `lab ls`, or a file) once. Exit code 0 if all rules were kept, else 1."""
     wanted = _load(scenario, changes)
     if trace is not None:
         with trace.open("wb") as file:
@@ -136,7 +137,7 @@
     if report is not None:
         from rosechute.simulation.report import page
 
-        again = _again(["run", scenario, "--policy", policy, "--seed", str(seed)], changes)
+        again = _repeat_command(["run", scenario, "--policy", policy, "--seed", str(seed)], changes)
         report.write_text(page(done, wanted, policy, seed, again), encoding="utf-8")
     if form == "json":
         click.echo(json.dumps({"digest": done.digest, **done.result}, sort_keys=True))
@@ -165,9 +166,9 @@
 def real(
     scenario: str, seed: int, report: Path | None, trace: Path | None, form: str, changes: dict[str, list[Any]]
 ) -> None:
-    """Play SCENARIO against real sidecar processes on loopback, in real time, and in the model with the same seed.
+    """Run SCENARIO against real sidecar processes on loopback, in real time, and in the model with the same seed.
 
-    Exit code 0 where the processes kept all rules, 1 where they did not.
+    Exit code 0 if the processes kept all rules, else 1.
     """
     import uvloop
 
@@ -186,7 +187,7 @@
     if report is not None:
         from rosechute.simulation.report import beside
 
-        again = _again(["real", scenario, "--seed", str(seed)], changes)
+        again = _repeat_command(["real", scenario, "--seed", str(seed)], changes)
         lag = done.lag_p99_ms, done.lag_max_ms
         report.write_text(beside(model, done.run, lag, wanted, seed, again), encoding="utf-8")
     if form == "json":
@@ -211,16 +212,16 @@
             [f"breaches: {rule}", str(count), str(done.run.result["breaches"][rule])]
             for rule, count in model.result["breaches"].items()
         ]
-        _print(["figure", "model", "processes"], rows, "text")
+        _print_table(["figure", "model", "processes"], rows, "text")
         click.echo(
-            f"the bench's own events were {done.lag_p99_ms:.1f} ms late (99 of 100), {done.lag_max_ms:.1f} ms "
-            "at the most"
+            f"event lag of the bench: {done.lag_p99_ms:.1f} ms at the 99th percentile, {done.lag_max_ms:.1f} ms "
+            "at most"
         )
         _breaches(done.run.judge.breaches[:10], err=True)
-    if done.lag_p99_ms > TRUSTED_LAG_MS:
+    if done.lag_p99_ms > MAX_TRUSTED_LAG_MS:
         click.echo(
-            "this machine could not keep the pace: at more than "
-            f"{TRUSTED_LAG_MS:g} ms, the figures tell of the bench",
+            "this machine is too slow for a real-time run: above "
+            f"{MAX_TRUSTED_LAG_MS:g} ms of event lag, the figures reflect the bench",
             err=True,
         )
     sys.exit(1 if sum(done.run.result["breaches"].values()) else 0)
@@ -228,10 +229,10 @@
 
 @command.command("judge", epilog="Example: rosechute lab judge run.trace --scenario overload")
 @click.argument("trace", type=click.Path(path_type=Path, dir_okay=False, exists=True))
-@click.option("--scenario", required=True, help="The scenario that the trace is of.")
+@click.option("--scenario", required=True, help="The scenario that produced the trace.")
 @changes
 def judge(trace: Path, scenario: str, changes: dict[str, list[Any]]) -> None:
-    """Judge a trace again, from its file alone. Exit code 0 where all rules were kept, else 1."""
+    """Check the rules on a recorded trace. Exit code 0 if all were kept, else 1."""
     found = Judge(_load(scenario, changes))
     try:
         with trace.open("rb") as file:
@@ -248,9 +249,11 @@
 @command.command("sweep", epilog="Example: rosechute lab sweep calm --policy module --set fleet.servers=5,10,20")
 @click.argument("scenarios", nargs=-1)
 @click.option("--policy", "policies", type=click.Choice([*NAMES, "all"]), multiple=True, default=("module",))
-@click.option("--seeds", type=click.IntRange(1, 100_000), default=20, show_default=True, help="How many, from 1 on.")
-@click.option("--workers", type=click.IntRange(1, 512), help="Processes; one for each core where left out.")
-@stored()
+@click.option(
+    "--seeds", type=click.IntRange(1, 100_000), default=20, show_default=True, help="Number of seeds, starting at 1."
+)
+@click.option("--workers", type=click.IntRange(1, 512), help="Number of processes; default: one per core.")
+@store_option()
 @changes
 def sweeping(
     scenarios: tuple[str, ...],
@@ -260,8 +263,10 @@
     store: Path,
     changes: dict[str, list[Any]],
 ) -> None:
-    """Play SCENARIOS (all that come with the lab where none is named) for each policy, seed and combination of
-    values. Stopped or killed, it goes on where it was when called again."""
+    """Run SCENARIOS (default: all bundled ones) for each policy, seed and combination of values.
+
+    An interrupted sweep continues where it stopped when the command is run again.
+    """
     chosen = list(NAMES) if "all" in policies else list(dict.fromkeys(policies))
     kept = _open(store)
     try:
@@ -274,7 +279,7 @@
             bar = progress.add_task("runs", total=len(wanted))
             done = sweep(kept, wanted, workers or os.cpu_count() or 1, lambda _: progress.advance(bar))
     except KeyboardInterrupt:
-        raise click.ClickException("stopped; call it again to go on") from None
+        raise click.ClickException("interrupted; run the command again to continue") from None
     finally:
         kept.close()
     click.echo(f"{done} runs done, {len(wanted) - done} were there already; in {store}")
@@ -284,7 +289,7 @@
     try:
         return Store(path)
     except sqlite3.DatabaseError as error:
-        raise click.ClickException(f"{path} is no store of the lab: {error}") from None
+        raise click.ClickException(f"{path} is not a lab result store: {error}") from None
 
 
 def _figure(row: Row, figure: str) -> float:
@@ -301,17 +306,17 @@
 @click.argument("second")
 @click.option("--figure", default="goodput", show_default=True)
 @click.option("--format", "form", type=click.Choice(["text", "markdown"]), default="text", show_default=True)
-@click.option("--any-program", is_flag=True, help="Take runs of other sources, too.")
-@stored(required=True)
+@click.option("--any-program", is_flag=True, help="Include runs of other source versions.")
+@store_option(required=True)
 def compare(first: str, second: str, figure: str, form: str, any_program: bool, store: Path) -> None:
-    """Whether policy FIRST is better than SECOND, worse, or cannot be told, for each scenario, from runs of the same
-    seeds. `SECOND` may be `all`."""
+    """Compare policy FIRST with SECOND on each scenario, by runs with the same seeds: better, worse or inconclusive.
+    `SECOND` may be `all`."""
     kept = _open(store)
     made_by = None if any_program else program()
     values: dict[tuple[str, str], dict[str, dict[int, float]]] = defaultdict(lambda: defaultdict(dict))
     for row in kept.rows(made_by=made_by):
         values[row.scenario, row.changes][row.policy][row.seed] = _figure(row, figure)
-    more = not any(figure.endswith(end) for end in LESS_IS_BETTER)
+    more = not any(figure.endswith(end) for end in LOWER_IS_BETTER)
     rows: list[list[str]] = []
     for (scenario, change), by_policy in values.items():
         for other in sorted(by_policy) if second == "all" else [second]:
@@ -334,14 +339,14 @@
             )
     if not rows:
         raise click.ClickException(f"there are no runs of {first} and {second} with the same seeds by this program")
-    _print(
+    _print_table(
         ["scenario", "against", first, "the other", f"{figure}, difference and 95% interval", "pairs", f"{first} is"],
         rows,
         form,
     )
 
 
-def _print(head: list[str], rows: list[list[str]], form: str) -> None:
+def _print_table(head: list[str], rows: list[list[str]], form: str) -> None:
     if form == "markdown":
         click.echo("| " + " | ".join(head) + " |")
         click.echo("|" + " --- |" * len(head))
@@ -357,15 +362,15 @@
 
 
 @command.command("ls", epilog="Example: rosechute lab ls --store lab.sqlite")
-@stored()
+@store_option()
 def listing(store: Path) -> None:
-    """The scenarios that come with the lab and, where there is a store, how many runs it has of each."""
+    """List the bundled scenarios and, if there is a store, the number of stored runs of each."""
     counts: dict[str, int] = defaultdict(int)
     if store.exists():
         kept = _open(store)
         for row in kept.rows():
             counts[row.scenario] += 1
-    _print(
+    _print_table(
         ["scenario", "runs", "about"],
         [[name, str(counts.pop(name, 0)), load(name).about] for name in names()]
         + [[name, str(count), ""] for name, count in counts.items()],
@@ -377,9 +382,9 @@
 @click.argument("scenario")
 @click.option("--figure", default="goodput", show_default=True)
 @click.option("--format", "form", type=click.Choice(["text", "markdown"]), default="text", show_default=True)
-@stored(required=True)
+@store_option(required=True)
 def show(scenario: str, figure: str, form: str, store: Path) -> None:
-    """A figure of all stored runs of SCENARIO, by policy: mean and 95% interval."""
+    """Show a figure of all stored runs of SCENARIO by policy: mean and 95% interval."""
     kept = _open(store)
     values: dict[tuple[str, str, str], list[float]] = defaultdict(list)
     for row in kept.rows(scenario):
@@ -392,17 +397,17 @@
         rows.append(
             [policy, change, made_by, f"{found.mean:.4g}", f"[{found.low:.4g}, {found.high:.4g}]", str(found.size)]
         )
-    _print(["policy", "changes", "program", figure, "95% interval", "runs"], rows, form)
+    _print_table(["policy", "changes", "program", figure, "95% interval", "runs"], rows, form)
 
 
 @command.command("table", epilog="Example: rosechute lab table --figure goodput --format markdown")
 @click.option("--figure", default="goodput", show_default=True)
 @click.option("--format", "form", type=click.Choice(["text", "markdown"]), default="text", show_default=True)
-@click.option("--seeds", type=click.IntRange(1), help="Only the first so many seeds.")
-@click.option("--any-program", is_flag=True, help="Take runs of other sources, too.")
-@stored(required=True)
+@click.option("--seeds", type=click.IntRange(1), help="Use only seeds up to this number.")
+@click.option("--any-program", is_flag=True, help="Include runs of other source versions.")
+@store_option(required=True)
 def table(figure: str, form: str, seeds: int | None, any_program: bool, store: Path) -> None:
-    """A figure of all stored scenarios by all policies: mean, and half the width of its 95% interval."""
+    """Show a figure of all stored scenarios by policy: mean, and half the width of its 95% interval."""
     values: dict[tuple[str, str], dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
     for row in _open(store).rows(made_by=None if any_program else program()):
         if seeds is None or row.seed <= seeds:
@@ -417,7 +422,7 @@
             found = interval(by_policy[policy]) if by_policy.get(policy) else None
             cells.append("" if found is None else f"{found.mean:.3f} ±{(found.high - found.low) / 2:.3f}")
         rows.append([scenario + (f" {change}" if change != "{}" else ""), *cells])
-    _print(["scenario", *policies], rows, form)
+    _print_table(["scenario", *policies], rows, form)
 
 
 @command.command("curve", epilog="Example: rosechute lab curve calm clients.rate load.html --figure p99_ms")
@@ -425,19 +430,19 @@
 @click.argument("path")
 @click.argument("target", type=click.Path(path_type=Path, dir_okay=False))
 @click.option("--figure", default="goodput", show_default=True)
-@click.option("--any-program", is_flag=True, help="Take runs of other sources, too.")
-@stored(required=True)
+@click.option("--any-program", is_flag=True, help="Include runs of other source versions.")
+@store_option(required=True)
 def curve(scenario: str, path: str, target: Path, figure: str, any_program: bool, store: Path) -> None:
-    """Draw a figure against the values that sweeps of SCENARIO gave to PATH, a line a policy with its 95% interval,
-    and write it to TARGET as one HTML file."""
+    """Plot a figure against the values of PATH in sweeps of SCENARIO, one line per policy with its 95% interval, and
+    write it to TARGET as one HTML file."""
     values: dict[tuple[str, float], list[float]] = defaultdict(list)
     for row in _open(store).rows(scenario, made_by=None if any_program else program()):
         at = json.loads(row.changes).get(path)
         if isinstance(at, str):
-            from rosechute.sidecar.operator_configuration.units import span
+            from rosechute.sidecar.operator_configuration.units import parse_duration
 
             try:
-                at = span(at) / 1e9
+                at = parse_duration(at) / 1e9
             except ValueError:
                 continue
         if at is not None:
@@ -458,10 +463,10 @@
 
 @command.command("export", epilog="Example: rosechute lab export runs.csv --scenario calm")
 @click.argument("target", type=click.Path(path_type=Path, dir_okay=False))
-@click.option("--scenario", help="Only this one's runs.")
-@stored(required=True)
+@click.option("--scenario", help="Only runs of this scenario.")
+@store_option(required=True)
 def export(target: Path, scenario: str | None, store: Path) -> None:
-    """Write the stored runs to TARGET as CSV, one line a run."""
+    """Write the stored runs to TARGET as CSV, one line per run."""
     kept = _open(store)
     count = 0
     with target.open("w", newline="", encoding="utf-8") as file:
@@ -489,7 +494,7 @@
 @command.command("load", epilog="Example: rosechute lab load http://127.0.0.1:8080/list-rooms --rate 500")
 @click.argument("url")
 @click.option("--rate", type=click.FloatRange(0, min_open=True), required=True, help="Requests a second, on average.")
-@click.option("--duration", default="10s", show_default=True, help="How long it sends; up to 10m.")
+@click.option("--duration", default="10s", show_default=True, help="Duration of the load; up to 10m.")
 @click.option(
     "--shape", type=click.Choice(["flat", "daily", "burst", "square", "ramp"]), default="flat", show_default=True
 )
@@ -498,9 +503,9 @@
     type=click.FloatRange(0, 1),
     default=0.5,
     show_default=True,
-    help="How far the shape departs from the mean, as a part of it.",
+    help="Amplitude of the shape as a fraction of the mean rate.",
 )
-@click.option("--period", default="10s", show_default=True, help="Of the shape.")
+@click.option("--period", default="10s", show_default=True, help="Period of the shape.")
 @click.option("--method", type=click.Choice(["GET", "POST"]), default="GET", show_default=True)
 @click.option("--header", "headers", multiple=True, metavar="NAME: VALUE")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
@@ -515,16 +520,16 @@
     headers: tuple[str, ...],
     seed: int,
 ) -> None:
-    """Send an open-loop load to URL, which must be an address of this machine's loopback. Each request's time counts
-    from when it was due. Exit code 1 where any was not answered."""
+    """Send an open-loop load to URL, which must be a loopback address. Latencies are measured from the scheduled send
+    time. Exit code 1 if any request was not answered."""
     import uvloop
 
-    from rosechute.sidecar.operator_configuration.units import span
+    from rosechute.sidecar.operator_configuration.units import parse_duration
     from rosechute.simulation.load import due, load, target
 
     try:
         to = target(url)
-        times = due(rate, span(duration) / 1e9, shape, depth, span(period) / 1e9, seed)
+        times = due(rate, parse_duration(duration) / 1e9, shape, depth, parse_duration(period) / 1e9, seed)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
     for header in headers:
@@ -532,5 +537,5 @@
         if not sep or not name or not header.isprintable():
             raise click.BadParameter(f"{header!r} is not NAME: VALUE", param_hint="--header")
     found = uvloop.run(load(to, times, method, list(headers)))
-    _print(["figure", "value"], [list(line) for line in found.lines()], "text")
+    _print_table(["figure", "value"], [list(line) for line in found.lines()], "text")
     sys.exit(1 if found.unanswered or found.not_sent else 0)
--- a/rosechute/cli/run.py
+++ b/rosechute/cli/run.py
@@ -1,4 +1,4 @@
-"""`rosechute run`: the same process as `python -m rosechute.sidecar`, with an operator's file if one is named."""
+"""`rosechute run`: the process of `python -m rosechute.sidecar`, with an optional operator file."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     "--config",
     type=click.Path(path_type=Path, dir_okay=False),
     metavar="CONFIG.json",
-    help="The platform's configuration; $NODE_CONFIG where it is not named.",
+    help="The platform's configuration; defaults to $NODE_CONFIG.",
 )
 @click.option(
     "--file",
     "file",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="The operator's file. Without it, the platform's settings alone hold.",
+    help="The operator's file. Without it, only the platform's settings apply.",
 )
 def command(config: Path | None, file: Path | None) -> None:
-    """Run a sidecar until SIGTERM. SIGHUP has both files read again, and taken both or neither."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop listens, it must not kill
+    """Run a sidecar until SIGTERM. SIGHUP reloads both files atomically."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # SIGHUP must not kill the process before the event loop handles it
     env = dict(os.environ)
     if config is not None:
         env["NODE_CONFIG"] = str(config)
     from rosechute import native
 
-    native.prefer()
+    native.install_finder()
     from rosechute.sidecar.__main__ import run
 
     if file is None:
@@ -46,5 +46,5 @@
         log = read(load(file)).file.log
         setup(log.format, log.level, log.repeats_per_s)
     except FileError:
-        pass  # told with all the rest once the configuration is known
+        pass  # reported with all other problems once the configuration is loaded
     sys.exit(run(env, functools.partial(policy, file)))
--- a/rosechute/configuration/errors.py
+++ b/rosechute/configuration/errors.py
@@ -1,6 +1,6 @@
 """Errors of process settings and of the operator's configuration.
 
-They are returned as the failure of a `Result`, not raised. Operators read their texts: tests pin the form.
+They are returned as the failure of a `Result`, not raised. Operators read their texts, so tests check the format.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 from dataclasses import dataclass
 
 _DECODER_MESSAGE = re.compile(r"^(?P<reason>.*?)(?: - at `(?P<path>[^`]*)`)?$", re.DOTALL)
-_ROOT = "$"  # the decoder's name for the whole document
+_ROOT = "$"  # how the decoder denotes the root of the document
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidInputError:
-    """Why a document that was read cannot be used. Base of the errors of this package."""
+    """The reason why a document cannot be used. Base class of the errors of this package."""
 
     step: str
     """The step that failed: `read`, `decode` or `check`."""
     field: str
-    """The field, for example `routes[3].timeout_ms`; empty for the whole document."""
+    """The field, for example `routes[3].timeout_ms`; empty if the error concerns the document as a whole."""
     reason: str
     """One sentence, which names the invalid value where there is one."""
     source: str = ""
-    """The file or address that the document came from; empty where the caller knows it."""
+    """The file or address that the document came from; empty if the caller knows it."""
 
     def __str__(self) -> str:
         """Return the error in one line, as operators see it."""
--- a/rosechute/configuration/operator.py
+++ b/rosechute/configuration/operator.py
@@ -27,7 +27,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """How requests to one host and path prefix are served: by which services, in which time, with which retries."""
+    """Rules for requests to one host and path prefix: the services that handle them, the time limit, the retries."""
 
     host: str
     path_prefix: str
@@ -85,7 +85,7 @@
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """Capacity of the model servers of a service; 0 where it is not known."""
+    """Capacity of the model servers of a service; 0 means unknown."""
 
     slots: float = 0
     kv_capacity: float = 0
@@ -193,7 +193,7 @@
 
 
 def _route_violations(path: str, route: Route, service_names: set[str]) -> Iterator[_Violation]:
-    """Yield what is wrong with one route by itself; `path` is its place in the document."""
+    """Yield the violations within one route; `path` is its location in the document."""
     if not route.timeout_ms > 0:
         yield _Violation(f"{path}.timeout_ms", "must be above 0")
     if route.service and route.service not in service_names:
@@ -210,7 +210,7 @@
 
 
 def _duplicate_names(field: str, names: Iterable[str]) -> Iterator[_Violation]:
-    """Yield names that occur twice; empty ones may."""
+    """Yield a violation for each name that occurs twice; empty names may repeat."""
     first_indexes: dict[str, int] = {}
     for index, name in enumerate(names):
         if name and first_indexes.setdefault(name, index) != index:
@@ -219,7 +219,7 @@
 
 
 def _shared_keys(tenants: tuple[Tenant, ...]) -> Iterator[_Violation]:
-    """Yield API keys that belong to two tenants."""
+    """Yield a violation for each API key that belongs to two tenants."""
     owners: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
         for number, key in enumerate(tenant.api_keys):
--- a/rosechute/configuration/process.py
+++ b/rosechute/configuration/process.py
@@ -20,13 +20,13 @@
 """Value in `serves` of a process that serves the operator's API."""
 
 PORT_LIMIT = 1 << 16
-"""Ports are below this."""
+"""Exclusive upper bound of port numbers."""
 
 REQUIRED_FIELDS = {
     SERVES_EDGE: ("listen.front", "listen.readiness"),
     SERVES_CONTROL_PLANE: ("listen.control", "data_dir"),
 }
-"""Settings that are required for what a process serves, beyond those that every process requires."""
+"""Additional required settings, by value in `serves`."""
 
 
 class ProcessLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -47,8 +47,8 @@
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
     """Bounds of the deployment's guarantees; durations end in `_ms` or `_s`.
 
-    Those without a comment bound what operators may observe. The program does not read them; its own, shorter periods
-    are constants of the modules that keep them. They are only validated.
+    Fields without a comment bound what operators may observe. They are only validated, not used: the shorter periods
+    that the program keeps internally are constants of the respective modules.
     """
 
     seed_lag_s: float = 3.0
@@ -57,19 +57,19 @@
     ack_ms: float = 4000.0
     catch_up_s: float = 4.0
     drain_ms: float = 3000.0
-    grace_s: float = 8.0  # from SIGTERM to the end of an edge process, with requests in flight
+    grace_s: float = 8.0  # time from SIGTERM to the exit of an edge process that has requests in flight
     loss_slack_ms: float = 200.0
     config_apply_ms: float = 2000.0
     rollback_slack_ms: float = 250.0
     max_skew_ms: float = 5000.0
-    strict_revoke: bool = True  # whether an edge rejects requests with keys when `revoke_ms` has passed
-    revoke_ms: float = 5000.0  # since the edge's configuration was last confirmed to be the newest
-    retry_budget_ratio: float = 0.1  # retries as a share of requests, over the window
+    strict_revoke: bool = True  # an edge rejects requests with API keys while its configuration is unconfirmed
+    revoke_ms: float = 5000.0  # time without confirmation of the newest configuration before `strict_revoke` applies
+    retry_budget_ratio: float = 0.1  # maximum ratio of retries to requests in `retry_window_s`
     retry_window_s: float = 10.0
-    retry_slack: float = 10.0  # retries that all edges together may make beyond the ratio
+    retry_slack: float = 10.0  # retries that all edges together may make in excess of the ratio
     quota_window_s: float = 8.0  # length of the window that a tenant's quota is checked over
-    quota_overshoot: float = 0.0  # share of a tenant's limit that may be used beyond it
-    quota_slack: float = 0.0  # tokens or requests that may be used beyond it besides
+    quota_overshoot: float = 0.0  # allowed excess over a tenant's limit, as a share of the limit
+    quota_slack: float = 0.0  # allowed excess over a tenant's limit on top of that, in tokens or requests
     recovery_s: float = 12.0
     pass_ms: float = 120.0
     again_s: float = 8.0
@@ -79,17 +79,17 @@
     """The platform's API with the list of servers."""
 
     address: str = ""  # host:port
-    rate_per_s: float = 10.0  # calls that all machines together may make
+    rate_per_s: float = 10.0  # rate of calls that all machines together may make
     duties: tuple[str, ...] = ()
-    max_lag_ms: float = 1000.0  # how old the list may be when it is read; only validated
+    max_lag_ms: float = 1000.0  # maximum age of the list when it is read; only validated
 
 
 class Listen(msgspec.Struct, frozen=True, kw_only=True):
     """Addresses, `host:port`, that the process listens at; empty for what it does not serve."""
 
-    front: str = ""  # requests of clients
-    readiness: str = ""  # readiness probes and the state page of an edge
-    control: str = ""  # the operator's API and the state page of a core machine
+    front: str = ""  # serves the requests of clients
+    readiness: str = ""  # serves readiness probes and the state page of an edge
+    control: str = ""  # serves the operator's API and the state page of a core machine
 
 
 class FaultTolerance(msgspec.Struct, frozen=True, kw_only=True):
@@ -106,18 +106,18 @@
     node_name: str
     ip: str
     zone: str
-    port_range: tuple[int, int]  # the first is for links of core processes, the last for those of edge processes
+    port_range: tuple[int, int]  # core processes accept links at the first port, edge processes at the last
     role: str = ""
     machine_class: str = ""
-    serves: tuple[str, ...] = ()  # `SERVES_EDGE`, `SERVES_CONTROL_PLANE`
+    serves: tuple[str, ...] = ()  # values: `SERVES_EDGE`, `SERVES_CONTROL_PLANE`
     region: str = ""
     zones: dict[str, str] = {}
     listen: Listen = Listen()
-    seeds: tuple[str, ...] = ()  # control addresses of core machines to start from
+    seeds: tuple[str, ...] = ()  # control addresses of the core machines that are contacted first
     bootstrap: bool = False  # true only at the first start of the whole fleet, with empty disks
     counts_for_quorum: bool = False
     limits: ProcessLimits = ProcessLimits()
-    data_dir: str = ""  # directory of a core machine's records
+    data_dir: str = ""  # directory where a core machine stores its records
     heartbeat_ms: float = 1000.0
     log_level: str = ""
     contracts: tuple[str, ...] = ()
@@ -194,7 +194,7 @@
 
 
 def find_missing_setting(settings: ProcessSettings, side: str, source: str = "") -> SettingsError | None:
-    """Return an error for the first setting that is missing for serving a side; None if all are there.
+    """Return an error for the first setting that is missing for serving a side; None if all are set.
 
     Args:
         settings: Valid settings.
@@ -249,7 +249,7 @@
 
 
 def _addresses(settings: ProcessSettings) -> Iterator[tuple[str, str]]:
-    """Yield the field and the value of every address; empty values are not set."""
+    """Yield the field and the value of every address; the value is empty if the address is not set."""
     for index, seed in enumerate(settings.seeds):
         yield f"seeds[{index}]", seed
     for name in Listen.__struct_fields__:
--- a/rosechute/control_plane/__init__.py
+++ b/rosechute/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane of a core machine: operator's API, replica runtime, list reader, quota buckets."""
+"""Control plane of a core machine: operator API, replica runtime, endpoint list reader and quota allocation."""
--- a/rosechute/control_plane/core_links.py
+++ b/rosechute/control_plane/core_links.py
@@ -1,4 +1,4 @@
-"""The links of a core machine: frames in by their kind, messages out by their connection."""
+"""Links of a core machine: dispatch of incoming frames by kind, and sending of messages to machines and edges."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,7 +11,7 @@
 
 
 class CoreLinks:
-    """One server that edges and other core machines connect to, and one pool of links that this machine dials."""
+    """A server for connections from edges and other core machines, and a pool of links dialed by this machine."""
 
     def __init__(
         self,
@@ -24,9 +24,9 @@
 
         Args:
             address: Link address of this machine, host:port.
-            on_coordination: Called with each encoded message of another core machine.
-            on_distribution: Called with each encoded message of an edge, and the connection that it came on.
-            on_closed: Called when a connection that was accepted here has closed.
+            on_coordination: Called with each encoded message from another core machine.
+            on_distribution: Called with each encoded message from an edge and the connection it arrived on.
+            on_closed: Called when a connection accepted by the server has closed.
         """
         self._on_coordination = on_coordination
         self._on_distribution = on_distribution
@@ -34,7 +34,7 @@
         self._server = LinkServer(address, self._on_frame, on_closed)
 
     async def start(self) -> None:
-        """Listen for links. Raises OSError where the address is taken."""
+        """Listen for links. Raises OSError if the address is in use."""
         await self._server.start()
 
     def close(self) -> None:
@@ -43,11 +43,11 @@
         self._pool.close()
 
     def send_to_core(self, address: str, message: CoreMessage) -> None:
-        """Send a message of the replica to the core machine at a link address."""
+        """Send a coordination message to the core machine at a link address."""
         self._pool.send(address, MessageKind.COORDINATION, message.SerializeToString())
 
     def send_to_edges(self, messages: Sequence[SendMessage]) -> None:
-        """Send messages of the distribution, in order, each on the connection that it names."""
+        """Send distribution messages in order, each on the connection it names."""
         for send in messages:
             data = send.message.SerializeToString()
             if isinstance(send.connection, LinkConnection):
--- a/rosechute/control_plane/core_machine.py
+++ b/rosechute/control_plane/core_machine.py
@@ -1,11 +1,11 @@
-"""A core machine: wires replica, records, links, distribution, operator's API, endpoint list reader and quotas.
+"""A core machine: connects replica, records, links, publisher, operator API, endpoint list reader and quotas.
 
-The machine listens from its start. Until its records are loaded it answers every write and read with "outcome
-unknown" (HTTP 503). Everything runs on one event loop; only the disk is read and written in threads.
+The machine listens as soon as it starts. Until its records are loaded, it answers every write and read with "outcome
+unknown" (HTTP 503). Everything runs on one event loop, except for disk reads and writes, which run in threads.
 
-Who calls whom: the runtime drives the replica and reports to this machine (`ReplicaObserver`); the operator's API
-proposes writes to it (`ConfigurationStore`); the links bring messages of core machines and edges; the endpoint list
-reader delivers the platform's list while this machine leads. docs/architecture.md draws it.
+The runtime drives the replica and notifies this machine (`ReplicaObserver`). The operator API proposes writes to this
+machine (`ConfigurationStore`). The links deliver messages from core machines and edges. The endpoint list reader
+delivers the platform's list while this machine is the leader. docs/architecture.md has a diagram.
 """
 
 import asyncio
@@ -40,20 +40,20 @@
 from .replica_runtime import TICK_S, ReplicaRuntime
 from .replica_settings import replica_config, seed_addresses
 
-STALL_LOG_THRESHOLD_S = 0.5  # a tick that is later by more is logged; far above the jitter of a loaded machine
+STALL_LOG_THRESHOLD_S = 0.5  # delay of a tick that is logged; far above the scheduling jitter of a loaded machine
 
 
 class CoreMachine:
-    """Everything that runs on one core machine, on one event loop."""
+    """One core machine; all its parts run on one event loop."""
 
     def __init__(
         self, settings: ProcessSettings, extend_api: Callable[[web.Application], None] | None = None
     ) -> None:
-        """Build the parts without starting any.
+        """Create the parts without starting them.
 
         Args:
             settings: Settings of the process.
-            extend_api: Adds routes to the operator's API, as the state page; called once at the start.
+            extend_api: Adds routes, such as the state page, to the operator API; called once, by `start`.
         """
         self._settings = settings
         self._clock = time.monotonic
@@ -82,13 +82,13 @@
     # Start and stop
 
     async def start(self) -> None:
-        """Listen, and start everything else in the background. Raises OSError where an address is taken."""
+        """Listen, and start everything else in the background. Raises OSError if an address is in use."""
         await self._links.start()
         await self._api.start()
         self._task = asyncio.create_task(self._run(), name="core machine")
 
     async def stop(self) -> None:
-        """Hand over to the other machines, then close everything. Writes in flight may be lost."""
+        """Hand over to the other core machines, then close everything. Writes in flight may be lost."""
         if self._task is not None:
             self._task.cancel()
         if self._runtime is not None:
@@ -122,7 +122,7 @@
         await self._endpoint_list_reader.run()
 
     def _tick(self, runtime: ReplicaRuntime, due_at: float) -> None:
-        """Advance replica and publisher; scheduled every `TICK_S`, also after a tick that raised."""
+        """Advance replica and publisher; the next tick is scheduled first, in case this one raises."""
         now = self._clock()
         self._next_tick = asyncio.get_running_loop().call_later(TICK_S, self._tick, runtime, now + TICK_S)
         if now - due_at > STALL_LOG_THRESHOLD_S:
@@ -134,7 +134,7 @@
     # Settings and reports
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """Apply a changed settings file. The addresses of this machine take effect at its next start."""
+        """Apply changed settings. Changed addresses of this machine take effect at its next start."""
         self._settings = settings
         self._quota.change_bounds(self._clock(), settings.bounds)
         self._endpoint_list_client.address = settings.cloud_api.address
@@ -151,23 +151,23 @@
         return build_core_report(self._runtime.replica, now, write_age_s, self._publisher.edges_total(now))
 
     def quota_counts(self) -> dict[str, float]:
-        """Return the quota tokens requested and issued here since the start, by kind."""
+        """Return the quota tokens requested, issued and deposited by this machine since its start, by kind."""
         return self._quota.counts.of(QUOTA_TOKENS)
 
     def rate_leases_known(self) -> bool:
-        """Return whether this machine, as the leader, knows every rate lease that may be in force."""
+        """Return whether this machine, as the leader, knows all rate leases that may be in force."""
         return self._quota.all_leases_known(self._clock())
 
-    # ConfigurationStore, for the operator's API
+    # ConfigurationStore, called by the operator API
 
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> asyncio.Future[Outcome]:
-        """Propose a configuration to the replica; the outcome is unknown until the records are loaded."""
+        """Propose a configuration to the replica; return `OutcomeUnknown` until the records are loaded."""
         if self._runtime is None:
             return _outcome_unknown()
         return self._runtime.propose_write(base_version, version, body, digest)
 
     def read(self) -> asyncio.Future[Outcome]:
-        """Read the newest acknowledged configuration; the outcome is unknown until the records are loaded."""
+        """Read the newest acknowledged configuration; return `OutcomeUnknown` until the records are loaded."""
         return _outcome_unknown() if self._runtime is None else self._runtime.read()
 
     # ReplicaObserver, called by the runtime
@@ -183,8 +183,8 @@
         """Act as the leader from now on.
 
         Args:
-            term: Term of the leader lease, above every earlier one.
-            rate_lease_owners: Names of the only edges that may own rate leases of earlier terms; None: unknown.
+            term: Term of the leader lease; higher than every earlier term.
+            rate_lease_owners: Names of all edges that may own rate leases of earlier terms; None if unknown.
         """
         now = self._clock()
         owners = "unknown" if rate_lease_owners is None else len(rate_lease_owners)
@@ -194,18 +194,18 @@
         self._endpoint_list_reader.leadership_gained()
 
     def leadership_lost(self) -> None:
-        """Stop acting as the leader; nothing happens where this machine doesn't."""
+        """Stop acting as the leader; do nothing if this machine is not the leader."""
         if self._publisher.state is not PublisherState.LEADER:
             return
         logger.info("lost leadership term={}", self._publisher.term)
         self._send_to_edges(self._publisher.leadership_lost(self._clock()))
 
     def rate_lease_owners_persisted(self, term: int, edges: frozenset[str] | None) -> None:
-        """Allow rate leases for these edges: a majority has stored their names; None: any edge."""
+        """Allow rate leases for these edges, whose names a majority has stored; None allows any edge."""
         self._quota.rate_lease_owners_persisted(term, OwnerStatement(edges))
 
     def _persist_rate_lease_owners(self, now: float, runtime: ReplicaRuntime) -> None:
-        """Have a majority store which edges may own rate leases, where that has changed and this machine leads."""
+        """Replicate the set of possible rate lease owners if it has changed and this machine is the leader."""
         if self._publisher.state is not PublisherState.LEADER or not runtime.replica.is_leader(now):
             return
         statement = self._quota.rate_lease_owners_to_persist(now)
@@ -215,26 +215,26 @@
     # Endpoint list
 
     def _list_calls_per_s(self) -> float:
-        """Return the rate of calls that the platform accepts from all machines together."""
+        """Return the rate of calls that the platform accepts from all core machines together."""
         return self._settings.cloud_api.rate_per_s
 
     def _leader_term(self) -> int | None:
-        """Return the term of the leader lease that this machine holds now; None where it holds none."""
+        """Return the term of the leader lease that this machine holds; None if it holds none."""
         is_leader = self._runtime is not None and self._runtime.replica.is_leader(self._clock())
         return self._publisher.term if is_leader else None
 
     def _publish_servers(self, servers: Sequence[ListedServer]) -> None:
         self._send_to_edges(self._publisher.endpoint_list_read(self._clock(), servers))
 
-    # Messages of core machines and edges
+    # Messages from core machines and edges
 
     def _on_coordination(self, data: bytes) -> None:
-        """Pass a message of another core machine to the replica; dropped until the records are loaded."""
+        """Pass a message from another core machine to the replica; drop it until the records are loaded."""
         if self._runtime is not None:
             self._runtime.receive(CoreMessage.FromString(data))
 
     def _on_distribution(self, connection: LinkConnection, data: bytes) -> None:
-        """Answer a message of an edge by what the replica knows at this moment."""
+        """Answer a message from an edge, based on the current state of the replica."""
         now = self._clock()
         if self._runtime is not None:
             self._refresh_publisher(now, self._runtime.replica)
@@ -247,9 +247,9 @@
         self._links.send_to_edges(messages)
 
     def _refresh_publisher(self, now: float, replica: Replica) -> None:
-        """Update the publisher with the replica's knowledge: leadership, freshness, leader and core addresses.
+        """Update the publisher from the replica: leadership, freshness, leader address and core addresses.
 
-        After a process was frozen a message may arrive before the replica's tick has noticed that its lease expired.
+        When a suspended process resumes, a message may arrive before a tick notices that the lease has expired.
         """
         if self._publisher.state is PublisherState.LEADER and not replica.is_leader(now):
             self.leadership_lost()
@@ -262,15 +262,15 @@
         self._refresh_core_addresses(replica)
 
     def _refresh_core_addresses(self, replica: Replica) -> None:
-        """Update the publisher with the addresses of the core machines, where they have changed."""
+        """Update the addresses of the core machines in the publisher if they have changed."""
         machines = replica.core_machines()
-        addresses = tuple(CoreAddress(one.id, one.peer_address, one.control_address) for one in machines)
+        addresses = tuple(CoreAddress(each.id, each.peer_address, each.control_address) for each in machines)
         if addresses != self._core_addresses:
             self._core_addresses = addresses
             self._publisher.set_core_machines(addresses)
 
 
 def _outcome_unknown() -> asyncio.Future[Outcome]:
-    answer: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-    answer.set_result(OutcomeUnknown())
-    return answer
+    future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+    future.set_result(OutcomeUnknown())
+    return future
--- a/rosechute/control_plane/core_report.py
+++ b/rosechute/control_plane/core_report.py
@@ -1,4 +1,4 @@
-"""The state of a core machine for operators: the `core` section of the state page. Pure."""
+"""State of a core machine for operators: the `core` section of the state page. This module does no I/O."""
 
 import msgspec
 
@@ -7,40 +7,40 @@
 
 
 class CoreReport(msgspec.Struct, frozen=True):
-    """The state of a core machine at one moment; the field names are JSON keys of the state page.
+    """Snapshot of the state of a core machine; the field names are JSON keys of the state page.
 
-    Machines are named as in their settings. docs/fleet/state.md explains the fields to operators.
+    Machines are listed by the names in their settings. docs/fleet/state.md documents the fields for operators.
     """
 
     id: str
     leader: bool
-    leader_name: str  # empty where none is known
+    leader_name: str  # empty if unknown
     term: int
     epoch: int
     acceptors: list[str]
     chain: list[str]  # head first
-    config_sequence: int  # of the newest configuration known to be committed; 0 for none
+    config_sequence: int  # of the newest configuration known to be committed; 0 if none
     config_version: int
-    config_age_ms: int | None  # since it was last confirmed to be the newest; None where it never was
-    write_age_ms: int  # of the oldest write that the disk has not finished
-    edges: int  # live ones, as the leader knows them
+    config_age_ms: int | None  # time since it was last confirmed to be the newest; None if never
+    write_age_ms: int  # age of the oldest unfinished disk write; 0 if none
+    edges: int  # number of live edges; 0 if this machine is not the leader
 
 
 def build_core_report(replica: Replica, now: float, write_age_s: float, edges: int) -> CoreReport:
-    """Return the report of a replica and of what runs beside it.
+    """Return the report of a core machine.
 
     Args:
         replica: The replica of this machine.
-        now: Time on the steady clock, in seconds.
-        write_age_s: Age of the oldest write that the disk has not finished.
-        edges: Number of live edges; 0 where this machine is not the leader.
+        now: Monotonic time in seconds.
+        write_age_s: Age of the oldest unfinished disk write in seconds; 0 if there is none.
+        edges: Number of live edges; 0 if this machine is not the leader.
     """
     view, committed, freshness = replica.view, replica.committed, replica.freshness(now)
     names = {each.id: each.name for each in view.acceptors}
     return CoreReport(
         id=replica.identity.id,
         leader=replica.is_leader(now),
-        leader_name=_name(replica.leader_hint()),
+        leader_name=_machine_name(replica.leader_hint()),
         term=replica.term,
         epoch=view.epoch,
         acceptors=list(names.values()),
@@ -53,5 +53,5 @@
     )
 
 
-def _name(machine: MachineIdentity | None) -> str:
+def _machine_name(machine: MachineIdentity | None) -> str:
     return machine.name if machine is not None else ""
--- a/rosechute/control_plane/endpoint_list_client.py
+++ b/rosechute/control_plane/endpoint_list_client.py
@@ -7,13 +7,13 @@
 
 from .endpoint_list_page import EndpointListError, EndpointListPage, decode_endpoint_list_page
 
-CALL_TIMEOUT_S = 0.7  # a call that takes longer has failed
-KEEP_ALIVE_S = 30.0  # how long an idle connection stays open; far above the interval between two readings
-STEP = "fetch a page of the list"
+CALL_TIMEOUT_S = 0.7  # time limit of one call, including the body of the response
+KEEP_ALIVE_S = 30.0  # an idle connection is closed after this time; far above the interval between two reads
+FETCH_STEP = "fetch a page of the list"
 
 
 class EndpointListClient:
-    """Calls `GET /instances` of the platform; `address` may be changed between two calls."""
+    """Client of the platform's `GET /instances`; `address` may be changed between two calls."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -23,21 +23,21 @@
         """Fetch one page.
 
         Args:
-            token: `next_token` of the page before; None for the first page.
+            token: `next_token` of the previous page; None for the first page.
 
         Returns:
-            The page, or the step, peer and reason of a failure; a call longer than `CALL_TIMEOUT_S` is one.
+            The page, or the error. A call that exceeds `CALL_TIMEOUT_S` is an error.
         """
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._fetch(token)
         except TimeoutError:
-            return Failure(EndpointListError(STEP, self.address, f"no answer within {CALL_TIMEOUT_S} s"))
+            return Failure(EndpointListError(FETCH_STEP, self.address, f"no answer within {CALL_TIMEOUT_S} s"))
         except (aiohttp.ClientError, OSError) as error:
-            return Failure(EndpointListError(STEP, self.address, str(error) or type(error).__name__))
+            return Failure(EndpointListError(FETCH_STEP, self.address, str(error) or type(error).__name__))
 
     async def close(self) -> None:
-        """Close the connection; a later call opens another."""
+        """Close the connection; a later call opens a new one."""
         if self._session is not None:
             await self._session.close()
             self._session = None
@@ -47,7 +47,7 @@
         async with self._open_session().get(f"http://{self.address}/instances", params=query) as response:
             body = await response.read()
             if response.status != 200:
-                return Failure(EndpointListError(STEP, self.address, f"status {response.status}"))
+                return Failure(EndpointListError(FETCH_STEP, self.address, f"status {response.status}"))
             return decode_endpoint_list_page(body, self.address)
 
     def _open_session(self) -> aiohttp.ClientSession:
--- a/rosechute/control_plane/endpoint_list_page.py
+++ b/rosechute/control_plane/endpoint_list_page.py
@@ -1,6 +1,6 @@
-"""One page of the platform's endpoint list, as it comes over HTTP. Pure.
+"""Pages of the platform's endpoint list: JSON types and decoding. This module does no I/O.
 
-Source: the section "Service discovery" of the operators' protocol page.
+The format is specified in the section "Service discovery" of the operators' protocol page.
 """
 
 import msgspec
@@ -8,11 +8,11 @@
 
 from rosechute.distribution.values import ListedServer
 
-READY = "ready"  # the state of an instance that takes new requests; the other one is "draining"
+READY = "ready"  # state of an instance that accepts new requests; the only other state is "draining"
 
 
 class EndpointListError(msgspec.Struct, frozen=True):
-    """Why the endpoint list could not be read: the step, the address of the peer, and the reason."""
+    """Failure to read the endpoint list: the step that failed, the address of the peer, and the reason."""
 
     step: str
     peer: str
@@ -23,7 +23,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One entry of the list; the field names are JSON keys, and keys that aren't named here are ignored."""
+    """One entry of the list; the field names are JSON keys, and other keys are ignored."""
 
     id: str
     service: str
@@ -34,10 +34,10 @@
     cold_remaining_ms: float = 0
 
     def to_listed_server(self, now: float) -> ListedServer:
-        """Return the entry as it is published to the edges.
+        """Return the entry in the form published to the edges.
 
         Args:
-            now: Time on the steady clock at which it was read, in seconds; the rest of its cold start counts from it.
+            now: Monotonic time of the read in seconds; `cold_remaining_ms` is relative to it.
         """
         return ListedServer(
             id=self.id,
@@ -51,7 +51,7 @@
 
 
 class EndpointListPage(msgspec.Struct, frozen=True):
-    """A page, and the token of the next one; None on the last."""
+    """A page of the list; `next_token` is None on the last page."""
 
     instances: tuple[Instance, ...]
     next_token: str | None = None
@@ -64,8 +64,8 @@
     """Decode a page.
 
     Args:
-        body: The body of the response, JSON.
-        peer: Address that it came from, for the error.
+        body: JSON body of the response.
+        peer: Address of the server, for error messages.
     """
     try:
         return Success(_DECODER.decode(body))
--- a/rosechute/control_plane/operator_api.py
+++ b/rosechute/control_plane/operator_api.py
@@ -1,8 +1,8 @@
-"""The operator's API over HTTP: write a configuration (`POST /config/replace`), read the newest (`GET /config/read`).
+"""The operator API over HTTP: replace the configuration (`POST /config/replace`) or read it (`GET /config/read`).
 
-A call is answered within `RESPONSE_TIMEOUT_S`, unless its own body is slow to arrive. A 4xx ends the operator's call,
-so one is sent only where it is certain. Where the outcome is unknown the response is 503, which the operator repeats
-at any machine, or 307 to the machine that may know. tests/fleet/test_wire_contract.py pins all this.
+A call is answered within `RESPONSE_TIMEOUT_S`, unless its body arrives slowly. The operator does not retry after a
+4xx, so one is sent only if the outcome is certain. If the outcome is unknown, the response is 503, and the operator
+retries at any machine, or 307 to the machine that may know. tests/fleet/test_wire_contract.py checks this contract.
 """
 
 import asyncio
@@ -29,16 +29,16 @@
 REPLACE_PATH = "/config/replace"
 READ_PATH = "/config/read"
 BASE_VERSION_HEADER = "X-Rosechute-Base-Version"
-RESPONSE_TIMEOUT_S = 0.9  # the operator moves on to another machine after a second of silence
-BODY_TIMEOUT_S = 3.0  # the operator waits longer where the body is large
-MIN_OUTCOME_TIMEOUT_S = 0.5  # for the outcome, also after a body that arrived slowly
+RESPONSE_TIMEOUT_S = 0.9  # the operator tries another machine if there is no response within 1 s
+BODY_TIMEOUT_S = 3.0  # the operator waits longer if the body is large
+MIN_OUTCOME_TIMEOUT_S = 0.5  # minimum wait for the outcome, also if the body arrived slowly
 RETRY_AFTER_S = 0.2
 BODY_LIMIT_BYTES = 8 * 1024 * 1024
-MAX_VERSION = 2**63 - 1  # fits into the 8 bytes in which a version is stored
+MAX_VERSION = 2**63 - 1  # a version is stored in 8 bytes
 
 
 class ApiError(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The JSON body of a 4xx or 503: the reason, the field or header at fault, and the current version if known."""
+    """JSON body of a 4xx or 503: the reason, the invalid field or header, and the current version if known."""
 
     error: str
     place: str = ""
@@ -46,7 +46,7 @@
 
 
 class OperatorApi:
-    """The HTTP server at the control address of this machine."""
+    """HTTP server on the control address of this machine."""
 
     def __init__(
         self,
@@ -54,12 +54,12 @@
         control_address: str,
         extend: Callable[[web.Application], None] | None = None,
     ) -> None:
-        """Prepare; `start` listens.
+        """Create the server; `start` listens.
 
         Args:
-            configurations: Where configurations are proposed and read.
-            control_address: Address of this machine, host:port.
-            extend: Adds routes to the same address, as the state page.
+            configurations: Store to which configurations are proposed and from which they are read.
+            control_address: Control address of this machine, host:port.
+            extend: Adds routes, such as the state page, to the application.
         """
         self._configurations = configurations
         self._control_address = control_address
@@ -76,7 +76,7 @@
         return application
 
     async def start(self) -> None:
-        """Listen. Raises OSError where the address is taken."""
+        """Listen. Raises OSError if the address is in use."""
         host, _, port = self._control_address.rpartition(":")
         self._runner = web.AppRunner(self.application(), access_log=None, handle_signals=False, shutdown_timeout=0.2)
         await self._runner.setup()
@@ -88,7 +88,7 @@
             await self._runner.cleanup()
 
     async def replace(self, request: web.Request) -> web.Response:
-        """Serve `POST /config/replace`: propose the complete configuration in the body."""
+        """Serve `POST /config/replace`: propose the complete configuration in the request body."""
         base_version = _base_version(request)
         if base_version is None:
             return _json(400, ApiError("needs the version that the configuration builds on", BASE_VERSION_HEADER))
@@ -119,7 +119,7 @@
         return self._redirect_or_unknown(outcome, READ_PATH)
 
     def _write_response(self, outcome: Outcome, base_version: int, version: int) -> web.Response:
-        """Return the response to a write: 200, 412 or 400 where the outcome is certain, else 307 or 503."""
+        """Return the response to a write: 200, 412 or 400 if the outcome is certain, else 307 or 503."""
         if isinstance(outcome, WriteAcknowledged):
             logger.info("configuration acknowledged version={} base_version={}", version, base_version)
             return _json(200, {"config_version": outcome.version})
@@ -128,14 +128,14 @@
         return self._redirect_or_unknown(outcome, REPLACE_PATH)
 
     def _redirect_or_unknown(self, outcome: Outcome, path: str) -> web.Response:
-        """Return 307 to the machine that may know the outcome, never to this one; 503 where none is known."""
+        """Return 307 to the machine that may know the outcome, never to this one; 503 if no such machine is known."""
         if isinstance(outcome, Redirect) and outcome.control_address not in ("", self._control_address):
             return web.Response(status=307, headers={"Location": f"http://{outcome.control_address}{path}"})
         return _outcome_unknown("the core has not settled who answers this")
 
 
 async def _outcome_within(pending: Awaitable[Outcome], timeout_s: float) -> Outcome:
-    """Return the outcome; unknown where it doesn't come in time."""
+    """Return the outcome, or `OutcomeUnknown` after the timeout."""
     try:
         async with asyncio.timeout(timeout_s):
             return await pending
@@ -144,7 +144,7 @@
 
 
 def _base_version(request: web.Request) -> int | None:
-    """Return the version in the header, digits only; None where it is missing or out of range."""
+    """Return the base version from the header; None if it is missing, not a decimal number or out of range."""
     text = request.headers.get(BASE_VERSION_HEADER, "")
     if not text.isascii() or not text.isdecimal() or int(text) > MAX_VERSION:
         return None
@@ -152,7 +152,7 @@
 
 
 def _version_conflict(current: int, base_version: int) -> web.Response:
-    """Return 400 where the base is current, so that the new version is too low; else 412."""
+    """Return 400 if the base version is current and the new version too low, else 412."""
     if base_version == current:
         reason = f"must be above {current}, the current version"
         return _json(400, ApiError(reason, "config_version", current))
--- a/rosechute/control_plane/quota_allocator.py
+++ b/rosechute/control_plane/quota_allocator.py
@@ -1,17 +1,17 @@
-"""The leader's side of the quotas: a token bucket for each limited tenant, and the rate leases beside it.
+"""Quota allocation by the leader: a token bucket for each limited tenant, and rate leases.
 
-Pure. Tokens that are issued are used within their lifetime, or are void. A part of the rate is leased to edges
+This module does no I/O. Issued tokens expire after their lifetime. Part of the rate is leased to edges
 (`rate_leases`); the bucket fills with the rest (`token_bucket`).
 
-After a change of leader, the new one starts with empty buckets; terms don't overlap. Until the leases of earlier
-leaders have expired, or are all known, it fills its buckets only with the part of the rate that is never leased, with
-what it took over and does not lease, and with a small emergency rate. So in any span, all leaders issue and all
-leases bring at most capacity + (rate + emergency rate) x span. What is used in a window is at most that, and what was
-outstanding and in the buckets of leases at its start. `quota_policy` shares out what the rule allows beyond
-rate x window + burst.
+A new leader starts with empty buckets; terms don't overlap. Until the leases of earlier leaders have expired or are
+all known, it fills its buckets only with the part of the rate that is never leased, with the reported earlier leases
+that it does not renew, and with a small emergency rate. So in any time span, the tokens issued by all leaders and
+provided by all leases are at most capacity + (rate + emergency rate) x span. The usage in a window is at most this
+sum plus the tokens that were outstanding or in the buckets of leases at its start. `quota_policy` divides the
+allowance beyond rate x window + burst between these parts.
 
-A request that waits between its tokens and its server needs no share: in a window count the requests that were both
-forwarded and have arrived in it, and those got their tokens in it.
+The delay between acquiring tokens and forwarding a request needs no part of the allowance: a window counts only
+requests that both arrived and were forwarded in it, and these acquired their tokens in it.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
     Args:
         tenant: Name of the tenant.
-        tokens: 0, or at least the minimum that was requested.
-        lifetime_ms: The tokens expire this many milliseconds after they were issued.
-        retry_after_ms: Where fewer than requested were issued: when to request again, in milliseconds.
+        tokens: Number of tokens: 0, or at least the requested minimum.
+        lifetime_ms: Lifetime of the tokens from their issue, in milliseconds.
+        retry_after_ms: Delay before the next request if fewer tokens than requested were issued, in milliseconds.
     """
 
     tenant: str
@@ -45,7 +45,7 @@
 
 
 class QuotaAllocator:
-    """The buckets of one core machine; of use only while it holds the leader lease."""
+    """Token buckets and rate leases of one core machine, used only while it holds the leader lease."""
 
     def __init__(self, bounds: QuotaBounds) -> None:
         self._bounds = bounds
@@ -54,7 +54,7 @@
         self._term_began_at = 0.0
         self._late_rate_from = self._leases_known_at = 0.0
         self._newest_reports: dict[LeaseOwner, int] = {}
-        self._newest_owners: dict[str, LeaseOwner] = {}  # by edge: the process that reported last
+        self._newest_owners: dict[str, LeaseOwner] = {}  # by edge name: the process that reported last
         self._owners = RateLeaseOwnerTracker(0.0, None)
 
     def leadership_gained(
@@ -64,13 +64,13 @@
         leases_known_at: float,
         rate_lease_owners: frozenset[str] | None = None,
     ) -> None:
-        """Begin a term with empty buckets.
+        """Start a term with empty buckets.
 
         Args:
-            now: Steady time, in seconds.
-            late_rate_from: When rate leases of earlier leaders have fallen to their late rate.
-            leases_known_at: When they have expired.
-            rate_lease_owners: Only these edges may hold any; None where that is not known.
+            now: Monotonic time in seconds.
+            late_rate_from: Time from which all rate leases of earlier leaders are at their late rate.
+            leases_known_at: Time at which they have all expired.
+            rate_lease_owners: Names of all edges that may own such leases; None if unknown.
         """
         self._term_began_at, self._late_rate_from, self._leases_known_at = now, late_rate_from, leases_known_at
         self._buckets = {}
@@ -80,50 +80,50 @@
         self._check_all_reported(now)
 
     def all_leases_known(self, now: float) -> bool:
-        """Return whether all rate leases that may run are known."""
+        """Return whether all rate leases that may be in force are known."""
         return now >= self._leases_known_at
 
     def rate_lease_owners_to_persist(self, now: float) -> OwnerStatement | None:
-        """Return what a majority has to store before any other edge may be granted a lease; None for nothing."""
+        """Return the statement to replicate before other edges may be granted leases; None if there is none."""
         if self.all_leases_known(now):
             self._owners.on_earlier_leases_known()
         return self._owners.to_persist(now)
 
     def rate_lease_owners_persisted(self, statement: OwnerStatement) -> None:
-        """Handle that a majority has stored a statement."""
+        """Handle the storage of a statement by a majority."""
         self._owners.on_persisted(statement)
 
     def configure(self, now: float, limits: Mapping[str, TenantLimit | None]) -> None:
-        """Put the tenants of a configuration in force; None for one without a limit."""
+        """Apply the limits of a configuration by tenant; None means that a tenant is unlimited."""
         for bucket in self._buckets.values():
             bucket.advance(now)
         self._limits = dict(limits)
         for name, bucket in self._buckets.items():
             limit = limits.get(name)
-            if limit is not None:  # else the bucket stays as it is: the limit may come back
+            if limit is not None:  # else keep the bucket unchanged: the limit may be restored later
                 bucket.resize(bucket_size(self._bounds, limit))
 
     def change_bounds(self, now: float, bounds: QuotaBounds) -> None:
-        """Put other bounds in force."""
+        """Apply changed bounds to all buckets."""
         self._bounds = bounds
         self.configure(now, self._limits)
 
     def issue(self, now: float, edge: str, demands: Sequence[TokenDemand]) -> list[TokenGrant]:
-        """Issue tokens to an edge, tenant by tenant."""
+        """Issue tokens to an edge; return one grant for each demand."""
         return [self._issue(now, edge, demand) for demand in demands]
 
     def renew(self, now: float, owner: LeaseOwner, number: int, reports: Sequence[LeaseReport]) -> list[LeaseGrant]:
         """Renew the rate leases of an owner.
 
         Args:
-            now: Steady time, in seconds.
-            owner: The process of the edge.
-            number: Request number of the report; one that was overtaken by a newer report is ignored.
-            reports: What the owner holds, as reported in this term.
+            now: Monotonic time in seconds.
+            owner: The edge process that sent the reports.
+            number: Request number of the reports; reports older than the newest one received are ignored.
+            reports: Leases that the owner holds, as reported in this term.
 
         Returns:
-            The grants; empty where a majority has to store the edge first (`rate_lease_owners`): then the report is
-            taken in, and the edge goes on with what it holds.
+            The grants. Empty if a majority has to store the name of the edge first (`rate_lease_owners`); the reports
+            are applied nevertheless, and the edge keeps its present leases.
         """
         if number <= self._newest_reports.get(owner, 0):
             return []
@@ -144,7 +144,7 @@
         return grants
 
     def release(self, now: float, owner: LeaseOwner, number: int) -> None:
-        """Take back all leases of an owner whose process ends; its report of this number is its last one."""
+        """Release all leases of an owner whose process is shutting down; `number` is that of its last request."""
         if number <= self._newest_reports.get(owner, 0):
             return
         self._newest_reports[owner] = number
@@ -152,17 +152,17 @@
             bucket.advance(now)
             bucket.leases.release(now, owner)
             bucket.clip()
-        if self._newest_owners.get(owner.edge, owner) == owner:  # no later process of that name has reported
+        if self._newest_owners.get(owner.edge, owner) == owner:  # no later process of this edge has reported
             self._owners.on_released(owner.edge)
             self._check_all_reported(now)
 
     def _check_unlimited(self, report: LeaseReport) -> None:
-        """Wait for earlier leases to expire where a tenant without a limit has some: it may have its limit again."""
+        """Wait for earlier leases to expire if an unlimited tenant has some: its limit may be restored meanwhile."""
         if report.rate > 0.0 or report.no_lease_s > 0.0:
             self._owners.on_unusable_report()
 
     def _check_all_reported(self, now: float) -> None:
-        """Issue at the full rate as soon as every owner of earlier leases has reported."""
+        """Fill the buckets at the full rate as soon as every owner of earlier leases has reported."""
         if self._owners.has_all_reported and now < self._leases_known_at:
             self._leases_known_at = now
             for bucket in self._buckets.values():
@@ -174,7 +174,7 @@
         bucket.clip()
 
     def _reported_bucket(self, now: float, report: LeaseReport, limit: TenantLimit) -> TokenBucket:
-        """Return the bucket of the tenant of a report, which may tell that no leases run."""
+        """Return the bucket for a report; a no-lease promise in the report means that no leases are in force."""
         bucket = self._bucket(now, report.tenant, limit)
         if report.no_lease_s > MIN_NO_LEASE_S:
             bucket.on_no_leases_running(now)
@@ -204,7 +204,7 @@
         return TokenGrant(demand.tenant, tokens, lifetime_ms, to_milliseconds(retry_after_s))
 
     def _bucket(self, now: float, tenant: str, limit: TenantLimit) -> TokenBucket:
-        """Return a tenant's bucket as of now; it begins empty with the term."""
+        """Return the bucket of a tenant, advanced to `now`; a new bucket is empty at the start of the term."""
         bucket = self._buckets.get(tenant)
         if bucket is None:
             leases = RateLeases(NO_BUDGET, self._leases_known_at)
--- a/rosechute/control_plane/quota_policy.py
+++ b/rosechute/control_plane/quota_policy.py
@@ -1,8 +1,8 @@
-"""Policy of the leader's quotas: shares, times, and how large a tenant's token bucket is.
+"""Quota policy of the leader: shares, durations, and the size of a tenant's token bucket.
 
 The operator's rule allows a tenant rate x window + burst in any window, and an allowance beyond it (`QuotaBounds`).
-The allowance is shared out once: the emergency rate of new leaders, and what is retained for tokens that are
-outstanding and for the buckets of rate leases. The shares below sum to less than the whole.
+The allowance is divided between the emergency rate of new leaders and a retained share for outstanding tokens and the
+buckets of rate leases. The shares below sum to less than 1.
 """
 
 from __future__ import annotations
@@ -11,87 +11,87 @@
 
 # Shares of the allowance.
 
-# Issued by new leaders in a window while rate leases may run that are not known to them. Small: every change of
-# leader adds it to what is leased.
+# Share that new leaders issue per window while unknown rate leases may be in force. It is small because every change
+# of leader adds it to the leased rate.
 EMERGENCY_SHARE = 0.06
-# Retained for outstanding tokens, buckets of leases, and a larger bucket of the leader.
+# Share retained for outstanding tokens, buckets of leases, and a larger bucket of the leader.
 RETAINED_SHARE = 0.9
-# Of the retained share, at least this goes to outstanding tokens.
+# Minimum part of the retained share that goes to outstanding tokens.
 OUTSTANDING_SHARE = 0.35
 
 # Issued tokens.
 
-# Issued tokens expire after this time, in seconds: several round trips, and short beside a window.
+# Lifetime of issued tokens in seconds: several round trips, and short compared to a window.
 TOKEN_LIFETIME_S = 0.4
-# Where the bound on outstanding tokens is tight they expire sooner, but no sooner than this, in seconds.
+# Minimum lifetime in seconds, where a tight bound on outstanding tokens requires a shorter one.
 MIN_TOKEN_LIFETIME_S = 0.2
-# Room for outstanding tokens, in token lifetimes at the full rate: beyond 1, since some expire unused.
+# Bound on outstanding tokens, in token lifetimes at the full rate: above 1, since some expire unused.
 OUTSTANDING_LIFETIMES = 1.25
-# A bucket without a burst holds at least the rate of this many seconds, as it could not issue anything otherwise.
+# Minimum capacity of a bucket, in seconds at the full rate: without it, a burst of 0 would allow no tokens at all.
 MIN_CAPACITY_S = 0.5
 
 # Sharing a bucket among the edges.
 
-# A request that could not be met keeps its place for this many seconds, so that large ones get their turn.
+# Duration in seconds of the reservation for an unmet request, so that large requests are served eventually.
 RESERVATION_S = 0.5
-# An edge counts as one that requests tokens of a tenant for this many seconds.
+# Time in seconds after its last request during which an edge counts as active for a tenant.
 ACTIVE_REQUESTER_S = 1.0
-# Of an edge's even part of the bucket, this share is issued beyond what is of use now.
+# Share of an edge's equal part of the bucket that may be issued beyond the minimum it requested.
 PREFETCH_SHARE = 0.5
-# Bounds of the time after which an edge is to request again, in seconds.
+# Bounds of the retry delay sent to edges, in seconds.
 MIN_RETRY_S = 0.05
 MAX_RETRY_S = 5.0
 
-# What is leased.
+# Leased part of the rate.
 
-# Of the rate, at most. The rest stays in the bucket: it is all that a new leader may issue at first.
+# Maximum share of the rate that is leased. A new leader may at first issue only the unleased rest.
 LEASED_SHARE = 0.65
-# The buckets of all leases together hold at most the rate of this many seconds.
+# Maximum depth of the buckets of all leases together, in seconds at the full rate.
 MAX_LEASE_DEPTH_S = 4.0
-# Of the leader's bucket, this share of the capacity is not deposited into buckets of leases.
+# Share of the capacity of the leader's bucket that is not deposited into buckets of leases.
 DEPOSIT_RESERVE_SHARE = 0.15
 
-# Times of a lease, in seconds.
+# Durations, in seconds.
 
-# By how much the clocks of two machines may drift apart, as a share of the time.
+# Maximum relative drift between the clocks of two machines.
 CLOCK_DRIFT = 0.01
-# A lease expires at its edge after this time. A new leader that does not know the leases waits for as long.
+# A lease expires at its edge after this time. A new leader that does not know the earlier leases waits as long.
 LEASE_DURATION_S = 5.0
-# The full rate holds for this part of the time, ...
+# The full rate of a lease is in force for this time.
 FULL_RATE_S = 3.0
-# ... and from then on this share of it: a new leader may issue the rest earlier.
+# Share of the full rate that is in force afterwards, so that a new leader may issue the rest earlier.
 LATE_RATE_SHARE = 0.5
-# By the leader's clock, a lease has expired at its edge after this time, ...
+# Time by the leader's clock after which a lease has expired at its edge.
 LEASE_EXPIRY_S = LEASE_DURATION_S * (1 + CLOCK_DRIFT)
-# ... and its full rate after this.
+# Time by the leader's clock after which the full rate has ended at the edge.
 FULL_RATE_EXPIRY_S = FULL_RATE_S * (1 + CLOCK_DRIFT)
-# How long a promise holds that nothing will be leased; no longer than `LEASE_EXPIRY_S`, as new leaders wait for that.
+# Duration of a no-lease promise; at most `LEASE_EXPIRY_S`, the time that new leaders wait.
 NO_LEASE_S = LEASE_DURATION_S
-# A promise that holds for less than this is not relied on.
+# A no-lease promise with less remaining time than this is ignored.
 MIN_NO_LEASE_S = 0.1
-# An edge counts for the sharing of the leased rate for this time after its last report: several reports long.
+# Time after its last report during which an edge counts in the sharing of the leased rate: several report intervals.
 ACTIVE_EDGE_S = 2.0
-# The set of owners is persisted anew only to leave out names at most this often.
+# Minimum interval between updates of the persisted owners that only remove expired ones.
 PRUNE_INTERVAL_S = 10.0
 
 # Sharing the leased rate among the edges.
 
-# Weight of an edge's own demand in what is expected of it; the mean over the edges has the rest, as clients move.
+# Weight of an edge's own demand in its expected demand; the rest is the mean over all edges, as clients move.
 OWN_DEMAND_WEIGHT = 0.6
-# An edge's lease is at most this multiple of what is expected of it.
+# Maximum rate of an edge's lease, as a multiple of its expected demand.
 DEMAND_HEADROOM = 1.5
-# Nothing is leased where the buckets would hold fewer mean requests than this: the rate would lie idle.
+# No rate is leased if the buckets would hold fewer mean-sized requests than this: the leased rate would go unused.
 MIN_REQUESTS_PER_LEASE = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """What the operator's rule allows beyond a tenant's limit, and over which window.
+    """The operator's rule: the window, and the allowance beyond a tenant's limit.
 
     Args:
-        window_s: Length of a window.
-        overshoot: Share of rate x window + burst that is allowed beyond it.
-        slack: Tokens or requests that are allowed beyond it besides.
+        window_s: Length of the window in seconds.
+        overshoot: Allowed excess as a share of rate x window + burst.
+        slack: Additional allowed excess, in tokens or requests.
     """
 
     window_s: float
@@ -101,12 +101,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantLimit:
-    """A limit in force.
+    """Rate limit of a tenant.
 
     Args:
-        rate_per_s: Tokens or requests a second.
-        burst: Tokens or requests.
-        has_slack: The slack is in the unit of this tenant.
+        rate_per_s: Rate in tokens or requests per second.
+        burst: Burst in tokens or requests.
+        has_slack: Whether `QuotaBounds.slack` is in the unit of this tenant and applies to it.
     """
 
     rate_per_s: float
@@ -116,16 +116,16 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketSize:
-    """How large a tenant's token bucket is, in tokens; rates in tokens a second.
+    """Size of a tenant's token bucket, in tokens; rates are in tokens per second.
 
     Args:
-        rate: The tenant's rate.
-        emergency_rate: Rate of a new leader, beside what it knows not to be leased.
-        max_outstanding: Tokens that are issued and may be unused.
+        rate: Rate of the tenant.
+        emergency_rate: Additional rate of a new leader, beside the part that is known not to be leased.
+        max_outstanding: Maximum number of tokens that are issued and not expired.
         min_capacity: Capacity while all of `lease_depth` is leased.
-        max_capacity: Capacity at most.
-        lease_depth: What buckets of leases may hold; the leader's may hold what no lease does.
-        token_lifetime_s: Lifetime of issued tokens.
+        max_capacity: Maximum capacity.
+        lease_depth: Depth shared by the buckets of leases and the leader's bucket, which may hold the unleased part.
+        token_lifetime_s: Lifetime of issued tokens in seconds.
     """
 
     rate: float = 0.0
@@ -138,7 +138,7 @@
 
     @property
     def leased_rate(self) -> float:
-        """Return the rate that may be leased, in tokens a second."""
+        """Return the rate that may be leased, in tokens per second."""
         return LEASED_SHARE * self.rate
 
     @property
@@ -148,7 +148,7 @@
 
 
 def bucket_size(bounds: QuotaBounds, limit: TenantLimit) -> BucketSize:
-    """Return the size of a tenant's bucket: capacity, outstanding tokens and leases together stay within the rule."""
+    """Return the bucket size for which capacity, outstanding tokens and leases together stay within the rule."""
     rate = limit.rate_per_s
     allowance = bounds.overshoot * (rate * bounds.window_s + limit.burst)
     allowance += bounds.slack if limit.has_slack else 0.0
@@ -157,7 +157,7 @@
     outstanding = max(OUTSTANDING_LIFETIMES * TOKEN_LIFETIME_S * rate, OUTSTANDING_SHARE * retained)
     max_outstanding = min(outstanding, total / 2.0)
     min_capacity = min(max(limit.burst, MIN_CAPACITY_S * rate), total - max_outstanding)
-    # Tokens of a leader that has just ended may be outstanding beside those that its successor fills in.
+    # Tokens issued by the previous leader may still be outstanding while its successor fills its own bucket.
     predecessor_tokens = max(0.0, TOKEN_LIFETIME_S * rate - limit.burst)
     return BucketSize(
         rate=rate,
@@ -171,7 +171,7 @@
 
 
 def _token_lifetime_s(max_outstanding: float, rate: float) -> float:
-    """Return a lifetime that is short enough for the full rate to pass within the bound on outstanding tokens."""
+    """Return a token lifetime at which the full rate can be issued within the bound on outstanding tokens."""
     if rate <= 0:
         return TOKEN_LIFETIME_S
     return min(TOKEN_LIFETIME_S, max(MIN_TOKEN_LIFETIME_S, max_outstanding / (OUTSTANDING_LIFETIMES * rate)))
--- a/rosechute/control_plane/quota_service.py
+++ b/rosechute/control_plane/quota_service.py
@@ -1,8 +1,8 @@
-"""Answers the quota messages of edges, under the newest configuration and for the term of this leader.
+"""Quota service of the leader: answers the quota messages of edges.
 
-Answers are sent only while this machine leads (`core_machine`). After a change of leader the new one starts a term
-with `QuotaService.leadership_gained`; a lease report that names another term is answered with the term and nothing
-else, so that the edge reports again.
+`core_machine` calls it only while this machine is the leader. A new leader starts a term with
+`QuotaService.leadership_gained`. A lease report for another term is answered with the current term only, so that the
+edge reports again.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from .rate_leases import LeaseOwner
 from .token_bucket import TokenDemand
 
-# Event in `Counts`, by what became of the tokens.
+# Name of the event in `Counts`; its kinds are "asked", "issued" and "deposited".
 QUOTA_TOKENS = "quota_tokens"
 
 
 class QuotaService:
-    """The quota allocator of one core machine, behind the messages of edges."""
+    """Translation between the quota messages of edges and the quota allocator of one core machine."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.counts = Counts()
@@ -36,48 +36,48 @@
         self._term = 0
 
     def configuration_committed(self, now: float, body: bytes) -> None:
-        """Put the limits of a newer configuration in force."""
+        """Apply the limits of a newer configuration; an invalid one is ignored."""
         parsed = parse_configuration(body)
         if not isinstance(parsed, Failure):
             self._allocator.configure(now, _limits(parsed.unwrap()))
 
     def leadership_gained(self, now: float, term: int, rate_lease_owners: frozenset[str] | None = None) -> None:
-        """Begin a term as leader, with empty buckets.
+        """Start a term as leader, with empty buckets.
 
         Args:
-            now: Steady time, in seconds.
-            term: Higher than every term before.
-            rate_lease_owners: Only these edges may hold rate leases of earlier terms; None where that is not known.
+            now: Monotonic time in seconds.
+            term: Term of the leader lease; higher than every earlier term.
+            rate_lease_owners: Names of all edges that may own rate leases of earlier terms; None if unknown.
         """
         self._term = term
         self._allocator.leadership_gained(now, now + FULL_RATE_EXPIRY_S, now + LEASE_EXPIRY_S, rate_lease_owners)
 
     def all_leases_known(self, now: float) -> bool:
-        """Return whether all rate leases that may run are known."""
+        """Return whether all rate leases that may be in force are known."""
         return self._allocator.all_leases_known(now)
 
     def rate_lease_owners_to_persist(self, now: float) -> OwnerStatement | None:
-        """Return the statement to store for this term, None for nothing; called while this machine leads."""
+        """Return the statement to replicate in this term, None if there is none. Call only while leader."""
         return self._allocator.rate_lease_owners_to_persist(now)
 
     def rate_lease_owners_persisted(self, term: int, statement: OwnerStatement) -> None:
-        """Handle that a majority has stored a statement of a term."""
+        """Handle the storage of a statement of a term by a majority."""
         if term == self._term:
             self._allocator.rate_lease_owners_persisted(statement)
 
     def change_bounds(self, now: float, bounds: Bounds) -> None:
-        """Put the bounds of changed settings in force."""
+        """Apply the bounds of changed settings."""
         self._allocator.change_bounds(now, _quota_bounds(bounds))
 
     def answer(self, now: float, request: pb.QuotaRequest) -> pb.QuotaIssue:
-        """Return the answer to an edge: tokens, rate leases or both. Called only while this machine leads."""
+        """Return the answer to an edge: tokens, rate leases or both. Call only while leader."""
         issue = self._issue(now, request)
         if request.held or request.boot:
             self._renew(now, request, issue)
         return issue
 
     def _renew(self, now: float, request: pb.QuotaRequest, issue: pb.QuotaIssue) -> None:
-        """Add grants of rate leases to an answer; none where the report may be older than this term."""
+        """Add rate lease grants to an answer, unless the report belongs to another term."""
         issue.term = self._term
         if request.term != self._term:
             return
@@ -91,7 +91,7 @@
             issue.granted.append(grant.to_message())
 
     def _issue(self, now: float, request: pb.QuotaRequest) -> pb.QuotaIssue:
-        """Return an answer with the tokens that an edge requests, as far as it may have them."""
+        """Return an answer with the tokens issued for the demands of an edge."""
         demands = [TokenDemand(each.tenant, each.tokens, each.min_tokens) for each in request.wanted]
         self.counts.add(QUOTA_TOKENS, "asked", sum(each.tokens for each in demands))
         issue = pb.QuotaIssue(request=request.request)
@@ -111,7 +111,7 @@
 
 
 def _limits(configuration: Configuration) -> Mapping[str, TenantLimit | None]:
-    """Return the limits by tenant. The slack is counted in tokens where any tenant counts tokens."""
+    """Return the limits by tenant. The slack is in tokens if any tenant is limited in tokens, else in requests."""
     in_tokens = any(tenant.counts_tokens for tenant in configuration.tenants)
     return {
         tenant.name: TenantLimit(tenant.rate_per_s, tenant.burst, tenant.counts_tokens or not in_tokens)
--- a/rosechute/control_plane/rate_lease_owners.py
+++ b/rosechute/control_plane/rate_lease_owners.py
@@ -1,15 +1,15 @@
-"""Which edges may own rate leases or no-lease promises, and what a majority of the core has stored of it.
-
-Pure. A leader that knows every such edge need not wait for the leases of earlier terms to expire: once each of them
-has reported in the new term, all leases that run are known. So a leader has a majority store the names, for whoever
-leads next (`coordination.owner_replication`). What is stored for a term says: only these edges may own leases of this
-term or of an earlier one; or that any edge may.
-
-Nothing is granted before the first statement of the term is stored. While another one is being stored, nothing is
-granted to edges that are not in both; an edge that is in neither is stored first. A leader that does not know the
-owners of earlier leases states that any edge may own one, until these have expired. An edge that was not granted
-anything for longer than a lease lasts is left out of later statements, and at once one whose process has ended in
-order and said so.
+"""The edges that may own rate leases or no-lease promises, and the part of this set that a majority has stored.
+
+This module does no I/O. A leader that knows all such edges need not wait for the leases of earlier terms to expire:
+once each of these edges has reported in the new term, all leases in force are known. So each leader has a majority
+store the names for its successor (`coordination.owner_replication`). The statement stored for a term is either that
+only the named edges may own leases of this or an earlier term, or that any edge may.
+
+No lease is granted before the first statement of the term is stored. While a further statement is being stored,
+leases are granted only to edges that both statements include; an edge that neither includes is added to the next one.
+A leader that does not know the owners of earlier leases states that any edge may own one, until these leases have
+expired. An edge that has not been granted a lease for longer than the lease duration is left out of later statements;
+an edge that has released its leases on shutdown is left out immediately.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerStatement:
-    """The edges that may own rate leases; None where any edge may."""
+    """The edges that may own rate leases; None means any edge."""
 
     edges: frozenset[str] | None
 
@@ -34,50 +34,50 @@
 
 
 class RateLeaseOwnerTracker:
-    """The owners in one term of this machine.
+    """Tracker of the possible owners of rate leases in one term of this machine as the leader.
 
     Args:
-        now: Steady time when the term began, in seconds.
-        earlier: Edges that may own leases of earlier terms; None where that is not known.
+        now: Monotonic time of the start of the term in seconds.
+        earlier: Edges that may own leases of earlier terms; None if unknown.
     """
 
     def __init__(self, now: float, earlier: frozenset[str] | None) -> None:
-        self._unreported = earlier  # edges of earlier terms without a report in this one; None: not known
+        self._unreported = earlier  # owners of earlier terms that have not reported in this one; None if unknown
         self._is_complete = earlier is not None
-        self._granted_at: dict[str, float] = dict.fromkeys(earlier or (), now)  # by edge: its last grant
+        self._granted_at: dict[str, float] = dict.fromkeys(earlier or (), now)  # time of the last grant by edge
         self._persisted: OwnerStatement | None = None  # stored by a majority
         self._pending: OwnerStatement | None = None  # being stored
-        self._unpersisted: set[str] = set()  # reported, and are in no statement yet
-        self._has_released = False  # an edge of the newest statement
+        self._unpersisted: set[str] = set()  # edges that have reported and are in no statement yet
+        self._has_released = False  # an edge in the newest statement has released its leases
         self._stated_at = now
 
     @property
     def has_all_reported(self) -> bool:
-        """Return whether every edge with leases of earlier terms is known to have reported in this one."""
+        """Return whether all owners of leases of earlier terms are known and have reported in this one."""
         return self._unreported is not None and not self._unreported
 
     def on_report(self, edge: str) -> None:
-        """Handle a report of this term: what the edge owns is known."""
+        """Handle a report of this term: the leases of the edge are now known."""
         if self._unreported is not None:
             self._unreported -= {edge}
 
     def on_released(self, edge: str) -> None:
-        """Handle that an edge owns nothing any more: the next statement leaves it out."""
+        """Handle the release of all leases of an edge: the next statement leaves the edge out."""
         self.on_report(edge)
         self._unpersisted.discard(edge)
         if self._granted_at.pop(edge, None) is not None:
             self._has_released = True
 
     def on_unusable_report(self) -> None:
-        """Handle a report that could not be applied in full: earlier leases have to expire."""
+        """Handle a report that could not be fully applied: the leader has to wait for earlier leases to expire."""
         self._unreported = None
 
     def on_earlier_leases_known(self) -> None:
-        """Handle that all leases of earlier terms have expired, or are known."""
+        """Handle that all leases of earlier terms have expired or are known."""
         self._is_complete = True
 
     def try_grant(self, now: float, edge: str) -> bool:
-        """Return whether leases may be granted to an edge now; where not, add it to the next statement."""
+        """Return whether an edge may be granted leases now; if not, add the edge to the next statement."""
         in_force = [statement for statement in (self._persisted, self._pending) if statement is not None]
         if self._persisted is not None and all(statement.includes(edge) for statement in in_force):
             self._granted_at[edge] = now
@@ -87,7 +87,7 @@
         return False
 
     def to_persist(self, now: float) -> OwnerStatement | None:
-        """Return what to store now, None for nothing; `on_persisted` tells that a majority has stored it."""
+        """Return the statement to store now, None if there is none; `on_persisted` confirms that it is stored."""
         if self._pending is not None:
             return None
         if not self._is_complete:
@@ -106,13 +106,13 @@
         return self._pending
 
     def on_persisted(self, statement: OwnerStatement) -> None:
-        """Handle that a majority has stored a statement."""
+        """Handle the storage of a statement by a majority."""
         if statement == self._pending:
             self._persisted, self._pending = statement, None
             self._unpersisted -= statement.edges or frozenset()
 
     def _is_stated(self, edge: str) -> bool:
-        """Return whether the newest statement, or the first one that is to be made, includes an edge."""
+        """Return whether the newest statement, or the first one if none has been made yet, includes an edge."""
         newest = self._pending or self._persisted
         return edge in self._granted_at if newest is None else newest.includes(edge)
 
--- a/rosechute/control_plane/replica_runtime.py
+++ b/rosechute/control_plane/replica_runtime.py
@@ -1,11 +1,12 @@
-"""Run a replica: carry out its actions (messages, record writes, replies) and drive it by time, messages and writes.
+"""Runtime of a replica: drives it with time, messages and completed writes, and performs the actions it returns.
 
-The replica itself is pure and returns actions. This module sends its messages over links and writes its records. The
-large fields of messages go apart, in chunks (`coordination.blob_transfer`).
+The replica itself does no I/O and returns actions. This module sends its messages over links, writes its records and
+completes the futures of requests. Large fields of messages are sent separately, in chunks
+(`coordination.blob_transfer`).
 
-After a write that failed, the next write is a full snapshot: how much of the failed one reached the disk is unknown.
-A snapshot is also written once the log has grown beyond `LOG_LIMIT_BYTES`. A snapshot replaces the log and includes
-the records of the write that it stands for, so these are not appended as well.
+After a failed write, the next write is a full snapshot, since it is unknown how much of the failed write reached the
+disk. A snapshot is also written when the log exceeds `LOG_LIMIT_BYTES`. A snapshot replaces the log and includes the
+records of the write that triggered it, so these are not appended as well.
 """
 
 import asyncio
@@ -32,49 +33,49 @@
 from rosechute.messages.coordination_pb2 import CoreMessage
 from rosechute.storage.writer import WriteResult
 
-TICK_S = 0.04  # how often the replica advances; well below the shortest of its time-outs
-LOG_LIMIT_BYTES = 512 * 1024  # a longer log is replaced by a snapshot, so that loading stays short
+TICK_S = 0.04  # interval between two ticks; well below the shortest timeout of the replica
+LOG_LIMIT_BYTES = 512 * 1024  # a longer log is replaced by a snapshot, to keep loading fast
 
 WriteCallback = Callable[[WriteResult], None]
 
 
 class RecordLog(Protocol):
-    """Durable storage of the records, written in order; `rosechute.storage.writer.StoreWriter`.
+    """Durable storage of records, written in order; implemented by `rosechute.storage.writer.StoreWriter`.
 
-    Both methods return at once and call `done` on the event loop when the write is synced or has failed.
+    Both methods return immediately and call `done` on the event loop when the write is synced or has failed.
     """
 
     @property
     def log_size(self) -> int:
-        """Return the size of the log behind the last snapshot, in bytes."""
+        """Return the size of the log since the last snapshot, in bytes."""
 
     def append(self, records: Sequence[bytes], done: WriteCallback) -> None:
         """Append records to the log."""
 
     def write_snapshot(self, records: Sequence[bytes], done: WriteCallback) -> None:
-        """Replace everything by a snapshot."""
+        """Replace the previous snapshot and the log by a new snapshot."""
 
 
 class ReplicaObserver(Protocol):
-    """Learns of what the replica has concluded."""
+    """Receiver of state changes of the replica."""
 
     def committed(self, configuration: CommittedConfiguration) -> None:
-        """A newer configuration is committed."""
+        """Handle a newer committed configuration."""
 
     def leadership_gained(self, term: int, rate_lease_owners: frozenset[str] | None) -> None:
-        """This machine holds the leader lease of a term; only these edges may own rate leases, None: any edge."""
+        """Handle the acquisition of the leader lease; only these edges may own rate leases, None means any edge."""
 
     def leadership_lost(self) -> None:
-        """This machine holds the leader lease no longer."""
+        """Handle the loss of the leader lease."""
 
     def rate_lease_owners_persisted(self, term: int, edges: frozenset[str] | None) -> None:
-        """A majority has stored that only these edges may own rate leases; None: any edge."""
+        """Handle that a majority has stored the only edges that may own rate leases; None means any edge."""
 
 
 class ReplicaRuntime:
-    """One replica, and the effects of its actions.
+    """Runtime of one replica.
 
-    `start` is called once, then `tick` every `TICK_S`. All methods are called on the event loop.
+    Call `start` once, then `tick` every `TICK_S`. All methods must be called on the event loop.
     """
 
     def __init__(
@@ -87,15 +88,15 @@
         *,
         snapshot_first: bool,
     ) -> None:
-        """Connect a replica to its surroundings; `start` sets it going.
+        """Create the runtime; `start` starts the replica.
 
         Args:
-            replica: The replica, not started.
-            records: Where its records are written.
+            replica: The replica, not yet started.
+            records: Log to which its records are written.
             send: Sends a message to the link address of a core machine.
-            observer: Told of commits and of leadership.
-            clock: The steady clock, in seconds.
-            snapshot_first: Whether the first write has to be a snapshot, as the log can't be appended to.
+            observer: Notified of commits and changes of leadership.
+            clock: Returns the monotonic time in seconds.
+            snapshot_first: Whether the first write has to be a snapshot because the log cannot be appended to.
         """
         self.replica = replica
         self._records = records
@@ -105,23 +106,23 @@
         self._clock = clock
         self._snapshot_first = snapshot_first
         self._is_compacting = False  # a snapshot is being written
-        self._is_failing = False  # the last write failed
-        self._pending: dict[int, asyncio.Future[Outcome]] = {}  # by request number
+        self._is_failing = False  # whether the last write failed
+        self._pending: dict[int, asyncio.Future[Outcome]] = {}  # futures of outcomes by request number
         self._request_count = 0
 
     def start(self) -> None:
-        """Start the replica; `tick` has to be called every `TICK_S` from now on."""
+        """Start the replica; the caller then calls `tick` every `TICK_S`."""
         self._perform(self.replica.start(self._clock()))
 
     def tick(self) -> None:
-        """Advance the replica to the present."""
+        """Advance the replica to the current time."""
         now = self._clock()
         for request in self._blobs.tick(now):
             self._send(request.address, request.message)
         self._perform(self.replica.tick(now))
 
     def receive(self, message: CoreMessage) -> None:
-        """Handle a message of another core machine, once its large fields are here."""
+        """Handle a message from another core machine as soon as all its large fields have arrived."""
         now = self._clock()
         received = self._blobs.receive(now, message)
         if received.problem:
@@ -135,13 +136,13 @@
         """Propose a configuration.
 
         Args:
-            base_version: Version that it builds on; 0 for the first.
-            version: Its own version.
+            base_version: Version that the configuration is based on; 0 for the first.
+            version: Version of the configuration.
             body: The configuration, byte for byte.
             digest: `write_requests.write_request_digest` of base version and body.
 
         Returns:
-            A future of the outcome, which may never come; to be cancelled by a caller that gives up.
+            A future of the outcome. It may never complete; a caller that gives up must cancel it.
         """
         request, answer = self._new_request()
         self._perform(
@@ -150,21 +151,21 @@
         return answer
 
     def read(self) -> asyncio.Future[Outcome]:
-        """Read the newest acknowledged configuration; returns a future of the outcome, which may never come."""
+        """Read the newest acknowledged configuration; return a future of the outcome, which may never complete."""
         request, answer = self._new_request()
         self._perform(self.replica.read(self._clock(), request))
         return answer
 
     def persist_rate_lease_owners(self, term: int, edges: frozenset[str] | None) -> None:
-        """Have a majority store which edges may own rate leases in a term, None for any; the observer is told."""
+        """Store at a majority which edges may own rate leases in a term, None for any; then notify the observer."""
         self._perform(self.replica.persist_rate_lease_owners(self._clock(), term, edges))
 
     def resign(self) -> None:
-        """Release the leader lease, if this machine holds it, and leave the chain."""
+        """Release the leader lease if this machine holds it, and leave the chain."""
         self._perform(self.replica.resign(self._clock()))
 
     def _new_request(self) -> tuple[int, asyncio.Future[Outcome]]:
-        """Return the number of a new request and the future of its outcome."""
+        """Return the number of a new request and a future of its outcome."""
         self._request_count += 1
         request = self._request_count
         answer: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
@@ -173,7 +174,7 @@
         return request, answer
 
     def _perform(self, actions: Sequence[Action]) -> None:
-        """Carry out the actions of the replica, in their order."""
+        """Perform the actions of the replica in order."""
         for action in actions:
             match action:
                 case SendMessage(address, message):
@@ -219,7 +220,7 @@
             self._perform(self.replica.on_persisted(now, token))
 
     def _log_change(self, outcome: WriteResult) -> None:
-        """Log the first of several failed writes, and the first success after them."""
+        """Log the first of consecutive failed writes, and the first success after them."""
         is_failing = isinstance(outcome, Failure)
         if is_failing and not self._is_failing:
             logger.warning("record write failed error={}", outcome.failure())
--- a/rosechute/control_plane/replica_settings.py
+++ b/rosechute/control_plane/replica_settings.py
@@ -1,16 +1,16 @@
-"""Derive the settings of a replica from those of its process. Pure."""
+"""Conversion of process settings to replica settings."""
 
 from rosechute.configuration.process import ProcessSettings
 from rosechute.coordination.replica_config import ReplicaConfig
 
 
 def seed_addresses(settings: ProcessSettings) -> tuple[tuple[str, str], ...]:
-    """Return the control address and the link address of each seed machine."""
+    """Return the control address and link address of each seed machine."""
     return tuple(zip(settings.seeds, settings.seed_peers, strict=True))
 
 
 def replica_config(settings: ProcessSettings) -> ReplicaConfig:
-    """Return the settings of the replica that runs in this process."""
+    """Return the replica settings for this process."""
     return ReplicaConfig(
         name=settings.node_name,
         zone=settings.zone,
--- a/rosechute/control_plane/token_bucket.py
+++ b/rosechute/control_plane/token_bucket.py
@@ -1,10 +1,10 @@
 """The leader's token bucket of one tenant, from which tokens are issued to edges.
 
-Pure. The bucket fills with the part of the rate that is not leased. Until the leases of earlier leaders are known, or
-have expired, it fills only with what is certainly not leased, and with a small emergency rate.
+This module does no I/O. The bucket fills at the unleased part of the rate. Until the leases of earlier leaders are
+known or have expired, it fills only at the rate that is certainly not leased plus a small emergency rate.
 
-A request that could not be met reserves its tokens for a moment, in the order of arrival, and later requests leave
-them in the bucket. So large requests get their turn, and edges that request seldom.
+An unmet request reserves its tokens for a short time, in the order of arrival, and later requests may not use them.
+This prevents the starvation of large requests and of edges that request rarely.
 
 Source: RFC 2215, 3.1 (token bucket).
 """
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenDemand:
-    """An edge's request for tokens of one tenant; fewer than `minimum` are of no use now."""
+    """An edge's request for tokens of one tenant; the edge cannot use fewer than `minimum`."""
 
     tenant: str
     tokens: int
@@ -37,14 +37,14 @@
 
 
 class OutstandingTokens(NamedTuple):
-    """Tokens that are issued and have not expired."""
+    """Tokens that have been issued and have not expired."""
 
     expires_at: float
     tokens: int
 
 
 class Reservation(NamedTuple):
-    """Tokens that are reserved for an edge whose request could not be met."""
+    """Tokens reserved for an edge whose request could not be met."""
 
     tokens: int
     expires_at: float
@@ -52,13 +52,13 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The tokens of one tenant in one term of this leader. Times are steady, in seconds.
+    """Token bucket of one tenant in one term of this leader. Times are monotonic, in seconds.
 
     Args:
         leases: The tenant's rate leases in this term.
-        late_rate_from: When all leases of earlier leaders have fallen to their late rate.
-        leases_known_at: When all leases that may run are known; at the latest when the earlier ones have expired.
-        filled_at: As of which the level holds: the begin of the term, at first.
+        late_rate_from: Time from which all leases of earlier leaders are at their late rate.
+        leases_known_at: Time from which all leases in force are known, at the latest when earlier ones have expired.
+        filled_at: Time of the last update of `level`; initially the start of the term.
     """
 
     leases: RateLeases
@@ -70,11 +70,11 @@
     outstanding: float = 0.0
     issues: deque[OutstandingTokens] = field(default_factory=deque)  # oldest first
     reservations: dict[str, Reservation] = field(default_factory=dict)  # by edge, oldest first
-    active_until: dict[str, float] = field(default_factory=dict)  # by edge that requests tokens
+    active_until: dict[str, float] = field(default_factory=dict)  # by edge; the end of its activity
 
     @property
     def capacity(self) -> float:
-        """Return the tokens that the bucket holds at most; the buckets of leases lower it."""
+        """Return the capacity in tokens; it decreases with the depth of the leases."""
         if self.filled_at < self.leases_known_at:
             return self.size.min_capacity
         unleased_depth = max(0.0, self.size.lease_depth - self.leases.depth)
@@ -83,9 +83,9 @@
     # Filling
 
     def advance(self, now: float) -> None:
-        """Fill the bucket, and forget what has expired."""
-        self._fill(min(now, self.leases_known_at, self.late_rate_from), self._cautious_rate(late=False))
-        self._fill(min(now, self.leases_known_at), self._cautious_rate(late=True))
+        """Fill the bucket up to `now`, and remove expired leases, tokens, reservations and edges."""
+        self._fill(min(now, self.leases_known_at, self.late_rate_from), self._conservative_rate(late=False))
+        self._fill(min(now, self.leases_known_at), self._conservative_rate(late=True))
         self._fill(now, self._unleased_rate())
         self.leases.expire(now)
         while self.issues and self.issues[0].expires_at <= now:
@@ -94,17 +94,17 @@
         self.active_until = {edge: until for edge, until in self.active_until.items() if until > now}
 
     def fill_rate(self) -> float:
-        """Return the rate at which the bucket fills now, in tokens a second."""
+        """Return the current fill rate in tokens per second."""
         if self.filled_at < self.leases_known_at:
-            return self._cautious_rate(late=self.filled_at >= self.late_rate_from)
+            return self._conservative_rate(late=self.filled_at >= self.late_rate_from)
         return self._unleased_rate()
 
     def clip(self) -> None:
-        """Lower the level to the capacity, which has changed."""
+        """Limit the level to the capacity after a change of the capacity."""
         self.level = min(self.level, self.capacity)
 
     def resize(self, size: BucketSize) -> None:
-        """Put another size in force."""
+        """Set the size of the bucket and the budget of its leases."""
         self.size = size
         self.leases.resize(LeaseBudget(size.leased_rate, size.leased_depth))
         self.clip()
@@ -115,7 +115,7 @@
         self.leases.on_none_running()
 
     def on_all_leases_reported(self, now: float) -> None:
-        """Handle that leases of earlier leaders are known to run only where they were reported in this term."""
+        """Handle that all leases of earlier leaders still in force have been reported in this term."""
         self.advance(now)
         self.leases_known_at = min(self.leases_known_at, now)
         self.leases.on_all_reported(now)
@@ -128,15 +128,15 @@
     def _unleased_rate(self) -> float:
         return max(0.0, self.size.rate - self.leases.rate)
 
-    def _cautious_rate(self, *, late: bool) -> float:
-        """Return the rate while leases may run that are not known here."""
+    def _conservative_rate(self, *, late: bool) -> float:
+        """Return the fill rate while unknown leases may be in force."""
         unleased = max(0.0, self.size.rate - self.leases.rate - self.leases.unreported_rate(late=late))
         return unleased + self.size.emergency_rate
 
     # Issuing
 
     def issue(self, now: float, edge: str, demand: TokenDemand) -> int:
-        """Issue tokens to an edge, or reserve them; return how many are issued."""
+        """Issue tokens to an edge, or reserve them; return the number of issued tokens."""
         self.active_until[edge] = now + ACTIVE_REQUESTER_S
         tokens = self._issuable(edge, demand)
         if tokens:
@@ -145,22 +145,22 @@
         return tokens
 
     def remove(self, now: float, tokens: int) -> None:
-        """Take tokens out of the bucket; they are outstanding until they expire."""
+        """Remove tokens from the bucket; they are outstanding until they expire."""
         self.level -= tokens
         self.outstanding += tokens
         self.issues.append(OutstandingTokens(now + self.size.token_lifetime_s, tokens))
 
     def retry_after_s(self, edge: str, minimum: int) -> float:
-        """Return when the bucket will hold so many tokens beyond those that are reserved for others, in seconds."""
+        """Return the delay in seconds until the bucket holds `minimum` tokens beyond those reserved for others."""
         missing = minimum + self._reserved_before(edge) - self.level
         rate = self.fill_rate()
         wait_s = missing / rate if rate > 0 else MAX_RETRY_S
         return min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s))
 
     def depositable(self, now: float, missing: float) -> int:
-        """Return the tokens to deposit into the bucket of a lease that lacks so many.
+        """Return the number of tokens to deposit into the bucket of a lease with `missing` tokens of free depth.
 
-        Nothing is deposited while a request waits or leases may run that are not known.
+        Nothing is deposited while requests have reservations or unknown leases may be in force.
         """
         if self.reservations or now < self.leases_known_at:
             return 0
@@ -169,16 +169,16 @@
         return int(max(0.0, min(missing, spare / max(1, self.leases.active_edges(now)))))
 
     def _issuable(self, edge: str, demand: TokenDemand) -> int:
-        """Return how many tokens to issue: none, or the minimum, and more while the bucket holds well more."""
+        """Return the number of tokens to issue: 0, or at least the minimum, and more if the bucket has enough."""
         minimum = max(1, demand.minimum)
-        room = min(self.level - self._reserved_before(edge), self.size.max_outstanding - self.outstanding)
-        if room < minimum or demand.tokens <= 0:
+        available = min(self.level - self._reserved_before(edge), self.size.max_outstanding - self.outstanding)
+        if available < minimum or demand.tokens <= 0:
             return 0
-        prefetch = PREFETCH_SHARE * room / max(1, len(self.active_until))
+        prefetch = PREFETCH_SHARE * available / max(1, len(self.active_until))
         return int(max(minimum, min(demand.tokens, prefetch)))
 
     def _reserved_before(self, edge: str) -> int:
-        """Return the tokens reserved earlier than this edge's, or for all others where it has none."""
+        """Return the tokens reserved before the reservation of this edge, or all reserved tokens if it has none."""
         reserved = 0
         for other, reservation in self.reservations.items():
             if other == edge:
@@ -187,7 +187,7 @@
         return reserved
 
     def _update_reservation(self, now: float, edge: str, demand: TokenDemand, issued: int) -> None:
-        """Reserve tokens for a request that was not met, unless it never can be; end a reservation that was met."""
+        """Add a reservation for an unmet request unless it can never be met; remove a reservation that was met."""
         reservation = self.reservations.get(edge)
         if issued:
             if reservation is not None and issued >= reservation.tokens:
--- a/rosechute/control_plane/write_requests.py
+++ b/rosechute/control_plane/write_requests.py
@@ -1,4 +1,4 @@
-"""What the operator's API needs of the core: configurations are proposed and read. Outcomes are the replica's."""
+"""Interface between the operator API and the core: proposals and reads of configurations."""
 
 import hashlib
 from collections.abc import Awaitable
@@ -6,18 +6,18 @@
 
 from rosechute.coordination.outcomes import Outcome
 
-DIGEST_BYTES = 16  # 128 bits: two different write requests never share a digest by chance
+DIGEST_BYTES = 16  # 128 bits make a collision of two different write requests negligible
 
 
 class ConfigurationStore(Protocol):
-    """Proposes writes and serves reads of the replicated configuration; an outcome may never come."""
+    """Store of the replicated configuration. The awaitables it returns may never complete."""
 
     def propose_write(self, base_version: int, version: int, body: bytes, digest: bytes) -> Awaitable[Outcome]:
         """Propose a configuration.
 
         Args:
-            base_version: Version that the configuration builds on; 0 for the first.
-            version: Its own version.
+            base_version: Version that the configuration is based on; 0 for the first.
+            version: Version of the configuration.
             body: The configuration, byte for byte as the operator sent it.
             digest: `write_request_digest` of base version and body.
         """
@@ -27,8 +27,8 @@
 
 
 def write_request_digest(base_version: int, body: bytes) -> bytes:
-    """Return the digest by which a repeated write request is recognised as the same one.
+    """Return the digest that identifies a repeated write request.
 
-    Two requests are the same where base version and every byte of the body are.
+    Two requests are the same if their base versions and bodies are equal.
     """
     return hashlib.blake2b(b"%d\n" % base_version + body, digest_size=DIGEST_BYTES).digest()
--- a/rosechute/coordination/__init__.py
+++ b/rosechute/coordination/__init__.py
@@ -6,7 +6,7 @@
 - The leader is the machine that holds a lease granted by a majority of the acceptors (`lease_grantor`,
   `leader_lease`). It has a majority store who may own rate leases, for its successor (`owner_replication`).
 
-`replica` puts the parts together and explains who calls whom. The package does no input or output: calls go in,
+`replica` combines the parts and documents which part calls which. The package does no input or output: calls go in,
 actions come out (`actions`, `outcomes`), and `control_plane.replica_runtime` performs them.
 """
 
--- a/rosechute/coordination/acceptor.py
+++ b/rosechute/coordination/acceptor.py
@@ -27,7 +27,7 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._record_number = 0  # of the newest promise or acceptance
+        self._record_number = 0  # number of the record with the newest promise or acceptance
         self.sealed_since = context.now
 
     def on_prepare(self, sender: MachineIdentity, prepare: pb.Prepare) -> None:
--- a/rosechute/coordination/actions.py
+++ b/rosechute/coordination/actions.py
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to another core machine. It may be lost.
+    """Send a message to another core machine. The message may be lost.
 
     Attributes:
-        address: host and port of the link.
+        address: host and port of the other machine.
         message: the message.
     """
 
@@ -28,7 +28,7 @@
     Attributes:
         token: number of the batch, for that call.
         records: serialized records.
-        replaces: the records replace all on the disk: on an empty disk, and after a write that failed.
+        replaces: whether the records replace all on the disk: on an empty disk, and after a write that failed.
     """
 
     token: int
--- a/rosechute/coordination/blob_fields.py
+++ b/rosechute/coordination/blob_fields.py
@@ -1,7 +1,7 @@
 """The fields of messages between core machines that may be large, and their removal and restoration.
 
 A large field is sent as a reference: its digest and length in place of its bytes. Two messages that hold the same
-configuration, as proposals under two ballots do, hold the same references. Pure.
+configuration, as proposals under two ballots do, hold the same references. This module does no input or output.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 from rosechute.messages import coordination_pb2 as pb
 
-DIGEST_BYTES = 20  # of blake2b: no two fields with the same digest are ever met
+DIGEST_BYTES = 20  # size of the blake2b digest: large enough that collisions need no handling
 INLINE_LIMIT_BYTES = 4 * 1024  # a field up to this size stays in its message
 
-# Path of each field that may be large, by the number that references name it by. Numbers never change.
+# Path of each field that may be large, by its number in references. The numbers are part of the wire format.
 LARGE_FIELDS: Mapping[int, tuple[str, ...]] = {
     1: ("chain_write", "configuration", "body"),
     2: ("decided", "state", "configuration", "body"),
@@ -32,7 +32,7 @@
 
 
 class LargeField(NamedTuple):
-    """A field of a message that is large.
+    """A large field of a message.
 
     Attributes:
         number: key in `LARGE_FIELDS`.
@@ -44,7 +44,7 @@
 
 
 def blob_digest(data: bytes) -> bytes:
-    """Return the digest by which references name the content of a field."""
+    """Return the digest that identifies the content of a field in references."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
@@ -66,13 +66,13 @@
     """Set the content of a field.
 
     Raises:
-        KeyError: there is no such number.
-        ValueError: the message has no such field.
+        KeyError: no large field has this number.
+        ValueError: the message does not contain this field.
     """
     path = LARGE_FIELDS[number]
     container = _container(message, path)
     if container is None:
-        raise ValueError(f"message {message.WhichOneof('body')} without {'.'.join(path)}")
+        raise ValueError(f"message {message.WhichOneof('body')} has no field {'.'.join(path)}")
     setattr(container, path[-1], data)
 
 
--- a/rosechute/coordination/blob_transfer.py
+++ b/rosechute/coordination/blob_transfer.py
@@ -1,20 +1,21 @@
-"""Transfer of the large fields of messages between core machines, so that nothing urgent waits behind them.
+"""Transfer of the large fields of messages between core machines, so that they do not delay urgent messages.
 
-A message that is sent has references in place of its large fields. Its receiver fills in what it has, as most
-machines have the configuration that a proposal starts from. It holds the message back while it requests the rest from
-the sender: one chunk at a time, from the offset that it has come to. So a lost chunk, a repeated message or another
-sender of the same content costs no byte twice, and a heartbeat waits for a chunk at most.
+A message is sent with references in place of its large fields. The receiver fills in the contents that it has; most
+machines have the configuration that a proposal starts from. It holds the message while it requests the missing
+contents from the sender, one chunk at a time, from the offset that it has reached. So no byte is sent twice after a
+lost chunk, a repeated message or a change of the sender, and a heartbeat waits for at most one chunk.
 
-    MISSING --reference--> REQUESTED --chunk--> REQUESTED --last chunk, digest matches--> in the cache
+    MISSING --reference--> REQUESTED --chunk--> REQUESTED --last chunk, digest matches--> CACHED
     REQUESTED --time-out--> REQUESTED, from the same offset
     REQUESTED --last chunk, digest differs; other encoding--> REQUESTED, from the start
     REQUESTED --no message refers to it any more--> MISSING
 
-The receiver chooses the size of the chunks by delay: larger while answers come hardly later than the fastest one,
-smaller once they wait at the sender's link (delay-based congestion control: RFC 6817, LEDBAT).
+The receiver adapts the size of the chunks to the delay: larger while responses take little longer than the fastest
+one, smaller once they queue at the sender's link (delay-based congestion control: RFC 6817, LEDBAT).
 
-Messages may be late, repeated or out of order without this module as well. Machines of earlier versions get whole
-messages. Pure: time and messages in, messages out.
+The replica tolerates messages that are late, repeated or out of order, so a message may be held. Machines of earlier
+versions are sent complete messages. This module does no input or output: it takes time and messages, and returns
+messages.
 """
 
 from __future__ import annotations
@@ -33,26 +34,26 @@
 from rosechute.coordination.views import identity_to_message
 from rosechute.messages import coordination_pb2 as pb
 
-MAX_BLOB_BYTES = 16 * 1024 * 1024  # a configuration has up to 8 MiB
-MIN_CHUNK_BYTES = 8 * 1024  # the first one has this size
+MAX_BLOB_BYTES = 16 * 1024 * 1024  # larger references are rejected; a configuration has up to 8 MiB
+MIN_CHUNK_BYTES = 8 * 1024  # size of the first chunk
 MAX_CHUNK_BYTES = 256 * 1024
-LOW_DELAY_S = 0.03  # beyond the fastest answer: chunks grow while they are delayed by less
-HIGH_DELAY_S = 0.06  # chunks shrink once they are delayed by more: a heartbeat waits for as long
-MIN_TIMEOUT_S = 0.25  # before a chunk is requested again
-TIMEOUT_RESPONSES = 4.0  # the same in multiples of the last response time
-WANTED_S = 3.0  # a content is requested for so long after the last message that refers to it
-MAX_HELD_MESSAGES = 32  # that wait for contents; the oldest is dropped
-COMPRESSION_LEVEL = 1  # of zlib: configurations shrink to a tenth, and the fastest level does nearly as well
-ENCODED_LIMIT_BYTES = 16 * 1024 * 1024  # of encoded contents that are kept
+LOW_DELAY_S = 0.03  # delay beyond the fastest response below which chunks grow
+HIGH_DELAY_S = 0.06  # delay above which chunks shrink; a heartbeat may be delayed by as much
+MIN_TIMEOUT_S = 0.25  # minimum time before a chunk is requested again
+TIMEOUT_RESPONSES = 4.0  # the same time-out in multiples of the last response time
+WANTED_S = 3.0  # how long a content is requested after the last message that refers to it
+MAX_HELD_MESSAGES = 32  # messages that wait for contents; beyond this number the oldest is dropped
+COMPRESSION_LEVEL = 1  # zlib level: configurations shrink to a tenth, and the fastest level does nearly as well
+ENCODED_LIMIT_BYTES = 16 * 1024 * 1024  # maximum size of the cache of encoded contents
 
 
 class ReceivedMessages(NamedTuple):
-    """What follows from a message that was received.
+    """Result of receiving a message.
 
     Attributes:
-        complete: messages for the replica, in order.
+        complete: complete messages for the replica, in order.
         sends: messages to other machines.
-        problem: why the message was rejected; empty where it was not.
+        problem: why the message was rejected; empty if it was accepted.
     """
 
     complete: list[pb.CoreMessage]
@@ -61,14 +62,14 @@
 
 
 class _Encoded(NamedTuple):
-    """The bytes in which a content is sent."""
+    """A content as it is sent."""
 
     data: bytes
     is_compressed: bool
 
 
 class _HeldKey(NamedTuple):
-    """A newer message of the same kind and sender replaces one that is held."""
+    """Key of a held message. A newer message with the same key replaces it."""
 
     sender_id: str
     kind: str
@@ -81,7 +82,7 @@
     Attributes:
         length: bytes of the content.
         source: address to request it from.
-        wanted_at: when a message referred to it last.
+        last_referenced_at: when a message referred to it last.
         received: encoded bytes, without gaps.
         encoded_length: bytes of the whole encoded content; 0 before the first chunk.
         is_compressed: whether the encoded content is compressed.
@@ -93,7 +94,7 @@
 
     length: int
     source: str
-    wanted_at: float
+    last_referenced_at: float
     received: bytearray = field(default_factory=bytearray)
     encoded_length: int = 0
     is_compressed: bool = False
@@ -103,20 +104,20 @@
     response_s: float = 0.0
 
     def restart(self) -> None:
-        """Begin from the start."""
+        """Discard what was received, so that the next request starts at offset 0."""
         self.received.clear()
         self.encoded_length = 0
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the requested chunk should have come."""
+        """Return whether the requested chunk should have arrived by now."""
         return now - self.requested_at > max(MIN_TIMEOUT_S, TIMEOUT_RESPONSES * self.response_s)
 
-    def is_wanted(self, now: float) -> bool:
-        """Return whether a message has referred to the content lately."""
-        return now - self.wanted_at <= WANTED_S
+    def is_recently_referenced(self, now: float) -> bool:
+        """Return whether a message has referred to the content recently."""
+        return now - self.last_referenced_at <= WANTED_S
 
     def on_response(self, now: float) -> None:
-        """Adapt the size of the chunks to how long the newest one took."""
+        """Adapt the size of the chunks to the response time of the newest one."""
         self.response_s = now - self.requested_at
         self.fastest_s = min(self.fastest_s, self.response_s)
         delay_s = self.response_s - self.fastest_s
@@ -136,7 +137,7 @@
 
 
 class BlobTransfer:
-    """The large fields that one machine sends and receives.
+    """Transfer of the large fields that one machine sends and receives.
 
     Args:
         own: this machine.
@@ -146,15 +147,15 @@
     def __init__(self, own: MachineIdentity, state_blobs: Callable[[], Iterable[bytes]]) -> None:
         self._own = own
         self._cache = BlobCache(state_blobs)
-        self._receivers: dict[str, bool] = {}  # by address: whether it receives references
+        self._receivers: dict[str, bool] = {}  # whether the machine at an address supports references
         self._encoded: SizedCache[_Encoded] = SizedCache(ENCODED_LIMIT_BYTES)
-        self._downloads: dict[bytes, _Download] = {}  # by digest
+        self._downloads: dict[bytes, _Download] = {}  # downloads by digest
         self._held: OrderedDict[_HeldKey, pb.CoreMessage] = OrderedDict()
 
     # Sending
 
     def prepare(self, address: str, message: pb.CoreMessage) -> pb.CoreMessage:
-        """Return a message as it is to be sent: with references, where the receiver understands these."""
+        """Return the message to send: with references if the receiver supports them."""
         message.receives_blobs = True
         if not self._receivers.get(address, False):
             return message
@@ -169,7 +170,7 @@
         return prepared
 
     def _on_request(self, sender: pb.Machine, request: pb.BlobRequest) -> list[SendMessage]:
-        """Send a chunk; nothing where the content is not at hand any more."""
+        """Send a chunk, or nothing if the content is no longer available here."""
         encoded = self._encode(request.digest)
         if encoded is None or request.offset > len(encoded.data):
             return []
@@ -200,7 +201,7 @@
     # Receiving
 
     def receive(self, now: float, message: pb.CoreMessage) -> ReceivedMessages:
-        """Take a message of another machine; return what the replica may handle by now, and what to send."""
+        """Handle a message of another machine; return the messages that are complete now, and those to send."""
         self._receivers[message.sender.peer] = message.receives_blobs
         kind = message.WhichOneof("body")
         if kind == "blob_request":
@@ -212,13 +213,15 @@
         return self._on_references(now, message, kind or "")
 
     def tick(self, now: float) -> list[SendMessage]:
-        """Request overdue chunks again; forget contents that no message has referred to lately."""
-        self._downloads = {digest: each for digest, each in self._downloads.items() if each.is_wanted(now)}
+        """Request overdue chunks again; drop downloads that no message has referred to recently."""
+        self._downloads = {
+            digest: each for digest, each in self._downloads.items() if each.is_recently_referenced(now)
+        }
         overdue = [digest for digest, each in self._downloads.items() if each.is_overdue(now)]
         return [self._request(now, digest) for digest in overdue]
 
     def _on_references(self, now: float, message: pb.CoreMessage, kind: str) -> ReceivedMessages:
-        """Deliver a message whose contents are at hand; otherwise hold it and request what is missing."""
+        """Deliver a message whose contents are all available; otherwise hold it and request the missing ones."""
         if not _are_references_valid(message):
             return ReceivedMessages([], [], f"invalid reference in {kind}")
         missing = [each for each in message.blobs if self._cache.find(each.digest) is None]
@@ -228,7 +231,7 @@
         self._hold(_HeldKey(message.sender.id, kind), message)
         sends: list[SendMessage] = []
         for reference in missing:
-            sends += self._want(now, reference, message.sender.peer)
+            sends += self._start_or_continue_download(now, reference, message.sender.peer)
         return ReceivedMessages([], sends)
 
     def _hold(self, key: _HeldKey, message: pb.CoreMessage) -> None:
@@ -237,16 +240,16 @@
         if len(self._held) > MAX_HELD_MESSAGES:
             self._held.popitem(last=False)
 
-    def _want(self, now: float, reference: pb.BlobReference, source: str) -> list[SendMessage]:
-        """Begin to request a content, or go on from the newest machine that has referred to it."""
+    def _start_or_continue_download(self, now: float, reference: pb.BlobReference, source: str) -> list[SendMessage]:
+        """Start a download; an overdue one continues from the newest machine that has referred to the content."""
         download = self._downloads.get(reference.digest)
         if download is not None:
-            download.wanted_at = now
+            download.last_referenced_at = now
             if not download.is_overdue(now):
                 return []
             download.source = source
         else:
-            self._downloads[reference.digest] = _Download(reference.length, source, wanted_at=now)
+            self._downloads[reference.digest] = _Download(reference.length, source, last_referenced_at=now)
         return [self._request(now, reference.digest)]
 
     def _request(self, now: float, digest: bytes) -> SendMessage:
@@ -264,7 +267,7 @@
             return ReceivedMessages([], [])
         encoding = (chunk.encoded_length, chunk.compressed)
         if download.encoded_length and (download.encoded_length, download.is_compressed) != encoding:
-            download.restart()  # another sender encodes it otherwise
+            download.restart()  # another sender uses a different encoding
             return ReceivedMessages([], [self._request(now, chunk.digest)])
         download.encoded_length, download.is_compressed = encoding
         download.received += chunk.data
@@ -274,7 +277,7 @@
         return self._complete(now, chunk.digest, download)
 
     def _complete(self, now: float, digest: bytes, download: _Download) -> ReceivedMessages:
-        """Keep a content whose digest matches, and deliver the messages that it completes."""
+        """Cache a content whose digest matches, and deliver the messages that it completes."""
         content = download.content()
         if content is None or len(content) != download.length or blob_digest(content) != digest:
             download.restart()
@@ -304,7 +307,7 @@
 
 
 def _are_references_valid(message: pb.CoreMessage) -> bool:
-    """Return whether all references name fields of the message, of a size that is met."""
+    """Return whether all references name large fields of the message, of at most `MAX_BLOB_BYTES`."""
     kind = message.WhichOneof("body")
     return all(
         each.field in LARGE_FIELDS and LARGE_FIELDS[each.field][0] == kind and each.length <= MAX_BLOB_BYTES
--- a/rosechute/coordination/chain.py
+++ b/rosechute/coordination/chain.py
@@ -17,7 +17,7 @@
   builds on the version before it. The head resends it with a growing delay until the tail has it.
 - *conflict unconfirmed*: its base version is not the current one; the rejection waits until the epoch is confirmed
   (`_unconfirmed_conflicts`).
-- *completed*: each request that brought the write has its one reply: `WriteAcknowledged`, `VersionConflict`,
+- *completed*: each request for the write has its one reply: `WriteAcknowledged`, `VersionConflict`,
   `Redirect` to the head, or `OutcomeUnknown` after the request deadline or without a majority.
 
     queued -> in flight -> completed
@@ -60,7 +60,7 @@
 
     Attributes:
         request_id: the runtime's number of the request.
-        arrived_at: when it came, in seconds of the machine's steady clock.
+        arrived_at: when it arrived, in seconds of the machine's steady clock.
     """
 
     request_id: int
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """A write that is not completed, with all requests that brought it: an operator's client may repeat one."""
+    """A write that is not completed, with all requests for it: an operator's client may repeat a request."""
 
     write: WriteRequest
     requests: list[PendingRequest] = field(default_factory=list)
@@ -81,7 +81,7 @@
 
     Attributes:
         sequence: sequence of the register state that it leads to.
-        pending: the write, and who waits for it.
+        pending: the write, with the requests that wait for it.
         sent_at: when it was last sent, in seconds of the machine's steady clock.
         resend_after_s: delay before it is sent once more; doubles each time.
     """
@@ -96,7 +96,7 @@
     """This machine's part in the chain: head, middle member or tail, and requests of operators at any machine."""
 
     def __init__(self, context: Context, confirmer: EpochConfirmer, notify_committed: Callable[[], None]) -> None:
-        """Create the part.
+        """Create this machine's part; it does not accept writes before `activate`.
 
         Args:
             context: what the parts of the replica share.
@@ -109,14 +109,14 @@
         self._in_flight: InFlightWrite | None = None
         self._queue: deque[PendingWrite] = deque()
         self._unconfirmed_conflicts: list[PendingWrite] = []
-        self._pending_reads: deque[PendingRequest] = deque()  # not ordered by arrival: unconfirmed ones go to the end
+        self._pending_reads: deque[PendingRequest] = deque()  # not ordered by arrival: unconfirmed reads are appended
         self._last_write_number = 0  # number of the record with the newest write, see `RecordWriter`
         self.is_active = False  # this machine is the head, and all members have adopted the epoch
 
     # Requests of operators
 
     def propose_write(self, write: WriteRequest) -> None:
-        """Take a write request; its reply comes in this call or later."""
+        """Take a write request; its reply follows in this call or a later one."""
         context = self._context
         applied_version = context.replica_state.committed.applied_version(write.digest)
         if applied_version is not None:
@@ -132,7 +132,7 @@
         self._process_pending()
 
     def read(self, request_id: int) -> None:
-        """Take a read of the newest committed configuration; its reply comes in this call or later."""
+        """Take a read of the newest committed configuration; its reply follows in this call or a later one."""
         self._pending_reads.append(PendingRequest(request_id, self._context.now))
         self._process_pending()
 
@@ -198,9 +198,9 @@
         return bool(view.chain) and view.chain[0] == self._context.own.id
 
     def _is_partitioned(self) -> bool:
-        """Return whether no majority of the acceptors is reachable, so that waiting is in vain.
+        """Return whether no majority of the acceptors is reachable, so that pending requests cannot complete.
 
-        Right after the start nothing is known of the others: then the answer is no.
+        Return False right after the start, when no heartbeat of the others may have arrived yet.
         """
         context = self._context
         view = context.replica_state.view
@@ -212,8 +212,8 @@
     def _redirect_to(self, target: MachineIdentity | None) -> Redirect | None:
         """Return a redirect to a machine, or None where it is this one or does not seem to run.
 
-        A client that is redirected to a machine that is down loses its time. A machine that this one has not heard
-        for long may still be reachable for others, where only the path between the two is cut.
+        A redirect to a machine that is down costs the client a time-out. A machine that has been silent for long may
+        still be reachable from others, if only the path between it and this machine is cut.
         """
         context = self._context
         if target is None or target.id == context.own.id:
@@ -232,7 +232,7 @@
     # Queue of the head
 
     def _start_next_write(self) -> None:
-        """Process queued writes until one is in flight. Those that wait for their predecessor keep their order."""
+        """Process queued writes until one is in flight. Writes that wait for their predecessor keep their order."""
         context = self._context
         without_predecessor: list[PendingWrite] = []
         while self.is_active and context.is_epoch_adopted and self._in_flight is None and self._queue:
@@ -316,7 +316,7 @@
         pending.requests.clear()
 
     def _time_out_requests(self, pending: PendingWrite) -> None:
-        """Reply to the requests for a write that are past their deadline; the operator's client has moved on."""
+        """Reply to the requests for a write that are past their deadline: the client has stopped waiting."""
         arrived_by = self._context.now - self._context.timing.request_deadline_s
         for request in pending.requests:
             if request.arrived_at <= arrived_by:
@@ -371,7 +371,7 @@
         return replica_state.newest.sequence if is_newest_synced else replica_state.committed.sequence
 
     def _store(self, write: pb.ChainWrite) -> None:
-        """Write to the disk. The write before this one is committed by that: see `ReplicaState.commit`."""
+        """Write to the disk. This commits the write before it: see `ReplicaState.commit`."""
         context = self._context
         committed_before = context.replica_state.committed.sequence
         context.record_writer.write(pb.Record(write=write), partial(self._on_stored, write.epoch, write.sequence))
--- a/rosechute/coordination/cluster_status.py
+++ b/rosechute/coordination/cluster_status.py
@@ -1,4 +1,4 @@
-"""What the proposer of a view knows of the machines: the input of `planning`, taken from the failure detector."""
+"""Status of the machines as the proposer of a view knows it from the failure detector: the input of `planning`."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
         chain_eligible_ids: machines that may be in the chain.
         restarted_ids: machines whose process restarted in the current epoch, so that they must adopt a new view.
         join_candidates: machines that may become acceptors.
-        newest_identity: returns what a machine last said of itself, or None; the first view knows addresses only.
+        newest_identity: returns the identity that a machine last reported, or None. The first view has only
+            addresses.
         leaving_ids: acceptors whose processes are about to end.
         recovering_ids: all healthy machines; those not eligible are members only where the chain lacks a majority.
         silence_s: returns the seconds since a machine was last heard from.
@@ -90,7 +91,11 @@
 
 
 def _chain_eligible_ids(context: Context) -> set[str]:
-    """Return this machine, healthy members, readmittable machines, and members not heard from yet after a start."""
+    """Return the ids of the machines that may be in the chain.
+
+    These are this machine, healthy members and readmittable machines. Right after the start of this process they also
+    include the members that it has not heard from yet.
+    """
     detector, view, now = context.failure_detector, context.replica_state.view, context.now
     eligible_ids = {context.own.id}
     for machine_id, peer in detector.peers.items():
@@ -105,7 +110,7 @@
 
 
 def _restarted_ids(context: Context) -> set[str]:
-    """Return the machines whose process did not adopt the current epoch itself."""
+    """Return the ids of the machines whose process did not adopt the current epoch itself."""
     epoch = context.replica_state.view.epoch
     restarted_ids = {
         machine_id
--- a/rosechute/coordination/commit_notifier.py
+++ b/rosechute/coordination/commit_notifier.py
@@ -1,4 +1,4 @@
-"""Reports each committed configuration to the runtime once, in the order of its sequence."""
+"""Notification of the runtime: each committed configuration is reported once, in the order of its sequence."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class CommitNotifier:
-    """Turns progress of the committed state into actions.
+    """Reporter of committed configurations.
 
     Attributes:
         context: what the parts of the replica share.
--- a/rosechute/coordination/context.py
+++ b/rosechute/coordination/context.py
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True)
 class Context:
-    """Shared state. `Replica` sets the time; the parts change the rest.
+    """State shared by the parts of a replica. `Replica` sets the time; the parts change the rest.
 
     Attributes:
         own: this machine.
-        incarnation: random number of this process; another one after each restart.
+        incarnation: random number of this process; it changes with each restart.
         timing: periods and time-outs.
         draw: source of random numbers in [0, 1).
         now: time of the current call, in seconds of the machine's steady clock.
@@ -70,7 +70,7 @@
         """Return the position of this machine among the healthy members of the chain.
 
         Machines wait by their position before they become a candidate or propose a view, so that they seldom collide.
-        A machine outside of the chain comes last.
+        A machine outside the chain comes last.
         """
         position = 0
         for member in self.replica_state.view.chain:
--- a/rosechute/coordination/epoch_confirmer.py
+++ b/rosechute/coordination/epoch_confirmer.py
@@ -1,8 +1,8 @@
-"""Confirmation that an epoch was current: no later view had been decided when the question was asked.
+"""Confirmation that an epoch was current: no later view had been decided when the request was sent.
 
 To decide on a new view, a proposer needs promises of a majority of the acceptors, and a promise seals the epoch. So
-once a majority of the acceptors answers that they have not sealed the epoch, no later view had been decided when they
-were asked (a quorum read). The tail needs this before it serves a read, the head before it rejects a write.
+once a majority of the acceptors answers that they have not sealed the epoch, no later view had been decided when the
+request was sent (a quorum read). The tail needs this before it serves a read, the head before it rejects a write.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
-ROUND_BITS = 48
+ROUND_BITS = 48  # size of the random number at which a process starts to number its rounds
 
 
 class ConfirmationCallback(Protocol):
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Round:
-    """A question to the acceptors.
+    """A confirmation round: one request to all acceptors.
 
     Attributes:
         epoch: the epoch to confirm.
@@ -51,7 +51,7 @@
     """Confirmation rounds of this machine, and its answers to the rounds of others."""
 
     def __init__(self, context: Context) -> None:
-        """Start to number rounds at random, so that answers to an earlier process match none of this one."""
+        """Number rounds from a random number, so that answers to an earlier process match no round of this one."""
         self._context = context
         self._rounds: dict[int, _Round] = {}
         self._round_number = int(context.draw() * 2**ROUND_BITS)
--- a/rosechute/coordination/failure_detector.py
+++ b/rosechute/coordination/failure_detector.py
@@ -28,7 +28,7 @@
         heartbeat: its newest heartbeat.
         last_received_at: when that heartbeat was received.
         echoed_stamp: newest stamp of this machine that the peer has echoed.
-        last_answered_at: the same, moved by the pauses of this machine, so that a pause is not taken for silence.
+        last_answered_at: `echoed_stamp` plus the pauses of this machine, so that a pause is not taken for silence.
         is_healthy: whether it is reachable and reports that its disk works and that it is not leaving.
         healthy_since: when it became healthy.
         removals: when it was removed from the chain, within `Timing.removal_memory_s`.
@@ -95,7 +95,7 @@
         """Return the silence in seconds after which a machine counts as unreachable.
 
         After the same silence a past incarnation is accepted again: bytes of an ended process may arrive after those
-        of its successor, so the one that was taken for ended may be the one that runs, and goes on sending.
+        of its successor, so the incarnation that was taken for ended may be the one that still runs.
         """
         return self.timing.suspect_after_s + self.timing.heartbeat_period_s
 
--- a/rosechute/coordination/freshness.py
+++ b/rosechute/coordination/freshness.py
@@ -15,11 +15,11 @@
 
 
 class FreshnessBound(NamedTuple):
-    """Nothing above a sequence had been committed some time ago.
+    """Upper bound on the sequence that had been committed at a time in the past.
 
     Attributes:
-        sequence: highest sequence that may have been committed then.
-        age_s: how long ago that was, in seconds.
+        sequence: highest sequence that may have been committed at that time.
+        age_s: seconds since that time.
     """
 
     sequence: int
@@ -28,12 +28,12 @@
 
 @dataclass(slots=True)
 class Freshness:
-    """The newest bound.
+    """Tracker of the newest freshness bound.
 
     Attributes:
         context: what the parts of the replica share.
         sequence: highest sequence that may have been committed at `as_of`.
-        as_of: in seconds of the machine's steady clock; None before the first majority.
+        as_of: time of the bound, in seconds of the machine's steady clock; None before the first majority of echoes.
     """
 
     context: Context
--- a/rosechute/coordination/heartbeats.py
+++ b/rosechute/coordination/heartbeats.py
@@ -24,7 +24,7 @@
         seeds: (control address, peer address) of the machines that the settings name.
 
     Attributes:
-        seeds: as above; replaced when the settings change.
+        seeds: the seeds in use; replaced when the settings change.
         next_at: when the next heartbeat is due, in seconds of the steady clock.
     """
 
@@ -44,7 +44,7 @@
         self.next_at = context.now
 
     def send(self) -> None:
-        """Send a heartbeat to all known core machines, and to the seeds while these may help to find others."""
+        """Send a heartbeat to all known core machines, and to the seeds while this machine is isolated."""
         context = self._context
         context.heartbeat_due = False
         self.next_at = context.now + context.timing.heartbeat_period_s
@@ -67,7 +67,7 @@
         return targets
 
     def _is_isolated(self) -> bool:
-        """Return whether this machine is no acceptor, or reaches less than a majority."""
+        """Return whether this machine is no acceptor, or reaches fewer other machines than a majority."""
         context = self._context
         reachable_ids = context.failure_detector.reachable_ids(context.now)
         return not context.is_acceptor or len(reachable_ids) < context.replica_state.view.majority
--- a/rosechute/coordination/leader_lease.py
+++ b/rosechute/coordination/leader_lease.py
@@ -4,9 +4,9 @@
     CANDIDATE --time-out, not eligible--> FOLLOWER
     LEADER --lease expired, released, not eligible--> FOLLOWER
 
-A machine is eligible while it is in the chain and healthy. The leader counts its lease from the moment when it sent
-the request that a majority has granted, and stops a margin before the end: clocks may drift apart, but no clock is
-compared with another.
+A machine is eligible while it is in the chain and healthy. The leader counts its lease from when it sent the
+request that a majority has granted, and stops leading a margin before the end, since clocks may drift apart. Clocks
+of different machines are never compared.
 
 A new leader knows the edges that may own rate leases of earlier terms by the newest statement among the grants of the
 majority that made it the leader (see `owner_replication`).
@@ -45,7 +45,7 @@
         role: current role.
         term: term of the current or latest candidacy.
         valid_until: end of the lease; meaningful while leader.
-        next_candidacy_at: the machine becomes no candidate before this time.
+        next_candidacy_at: earliest time of the next candidacy.
     """
 
     context: Context
@@ -151,7 +151,7 @@
             self._become_leader()
 
     def _collect_rate_lease_owners(self, grant: pb.LeaseGrant) -> None:
-        """Take over the statement of a grant where it is the newest; a grantor of an earlier version makes none."""
+        """Adopt the statement in a grant if it is the newest; the grant of an earlier version holds none."""
         owners = unknown_owners(grant.term)
         if grant.HasField("rate_lease_owners"):
             owners = RateLeaseOwners.from_message(grant.rate_lease_owners)
