--- a/rosechute/coordination/lease_grantor.py
+++ b/rosechute/coordination/lease_grantor.py
@@ -3,11 +3,11 @@
 A grant binds the grantor for the length of one lease on its steady clock. A grantor binds itself to one machine at a
 time, grants within one epoch only, and grants nothing once that epoch is sealed.
 
-Restart: a grantor does not know for how long its last grant runs, but its disk tells to whom it was given, since the
+Restart: a grantor does not know for how long its last grant runs, but its disk tells who received it, since the
 grantee is synced before the first grant to it. Only that machine may be granted the lease at once; others wait for
-the length of one lease. A machine that has just become an acceptor knows of no grants at all and lets everybody wait.
-The grantee of a renewal there is written together with the next record, without a sync of its own: nothing depends on
-it, and the sync would delay writes.
+the length of one lease. A machine that has just become an acceptor knows of no grants at all, so every machine has to
+wait. If its first grant is a renewal, the grantee is written with the next record, without a sync of its own: nothing
+depends on it, and the sync would delay writes.
 
 A grant for a new term carries the newest statement on the owners of rate leases that the grantor has stored. While a
 grantor is bound to one process, it stores no statement of another (`owner_replication`).
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class LeaseGrantor:
-    """The grants of this machine.
+    """Grantor of the leader lease at this machine.
 
     Attributes:
         context: what the parts of a replica share.
@@ -50,7 +50,7 @@
     granted_until: float = 0.0
     restored_grantee: str = ""
     _synced: _SyncedTerm = _SyncedTerm(LeaderTerm(), 0)
-    _record_number: int = 0  # of the newest record with a term or a grantee
+    _record_number: int = 0  # number of the newest record with a term or a grantee
 
     def is_free(self) -> bool:
         """Return whether any machine could be granted the lease now."""
@@ -105,7 +105,7 @@
         self._record_number = self.context.record_writer.last_number
 
     def on_release(self, sender: MachineIdentity, incarnation: int, release: pb.LeaseRelease) -> None:
-        """Take a grant back from the process that releases it, so that others can be granted the lease at once."""
+        """End the grant of a process that releases it, so that others can be granted the lease at once."""
         granted = self.granted_term
         if (granted.number, granted.holder, granted.incarnation) == (release.term, sender.id, incarnation):
             self.granted_term, self.granted_until = LeaderTerm(), min(self.granted_until, self.context.now)
--- a/rosechute/coordination/membership.py
+++ b/rosechute/coordination/membership.py
@@ -18,7 +18,7 @@
 from rosechute.coordination.views import Ballot, Proposal, RegisterState, View
 from rosechute.messages import coordination_pb2 as pb
 
-FETCH_INTERVAL_S = 0.1  # at least, between two requests of a machine for the state of others
+FETCH_INTERVAL_S = 0.1  # minimum time between two requests of this machine for the state of others
 
 
 class Membership:
@@ -74,7 +74,7 @@
         Args:
             view: the decided view.
             state: the register state.
-            accepted_ballot: ballot of the accepted proposal that holds both, so that its ballot suffices as a record.
+            accepted_ballot: ballot of the accepted proposal that holds both; if given, the record holds only this.
         """
         context = self._context
         is_joining = context.replica_state.becomes_acceptor_in(view)
@@ -189,7 +189,7 @@
         return chosen
 
     def _on_decision(self, proposal: Proposal) -> None:
-        """Adopt the decided proposal: by its ballot where this machine has accepted it, else as a whole."""
+        """Adopt the decided proposal: by its ballot if this machine has accepted it, else by its view and state."""
         self.on_chosen(pb.Chosen(epoch=proposal.view.epoch - 1, ballot=proposal.ballot.to_message()))
         if self._context.replica_state.view.epoch < proposal.view.epoch:
             self.adopt(proposal.view, proposal.state)
--- a/rosechute/coordination/outbox.py
+++ b/rosechute/coordination/outbox.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """Actions of the current call.
+    """Collected actions of the current call.
 
     Attributes:
         own: this machine.
@@ -37,7 +37,7 @@
             self.actions.append(SendMessage(target.peer_address, message))
 
     def send_to_address(self, address: str, message: pb.CoreMessage) -> None:
-        """Send a message to a peer address whose machine is unknown; none to this machine's own address."""
+        """Send a message to a peer address whose machine is unknown, unless it is this machine's own address."""
         self._set_sender(message)
         if address != self.own.peer_address:
             self.actions.append(SendMessage(address, message))
@@ -47,7 +47,7 @@
         self.actions.append(Reply(request_id, outcome))
 
     def drain(self) -> list[Action]:
-        """Return the actions so far, in order, and forget them."""
+        """Return the collected actions, in order, and clear them."""
         actions, self.actions = self.actions, []
         return actions
 
--- a/rosechute/coordination/outcomes.py
+++ b/rosechute/coordination/outcomes.py
@@ -11,7 +11,7 @@
 
     Attributes:
         request_id: the runtime's number of the request.
-        base_version: version that has to be the current one.
+        base_version: the write is rejected unless this is the current version.
         version: version of the new configuration, above `base_version`.
         body: the new configuration.
         digest: identifies the write, so that it may be repeated; covers base version and body.
@@ -54,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionConflict:
-    """The write is rejected for good, as its base version is not the current one.
+    """The write is rejected permanently, as its base version is not the current one.
 
     Attributes:
-        current_version: the version that is current.
+        current_version: version of the committed configuration.
     """
 
     current_version: int
@@ -68,7 +68,7 @@
     """Another machine serves the request: the head a write, the tail a read.
 
     Attributes:
-        control_address: host and port of that machine's operator's API.
+        control_address: host and port of the operator's API on that machine.
     """
 
     control_address: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """No outcome is known in time. A write may still be committed; the client repeats the request."""
+    """The outcome is not known in time. A write may still be committed; the client repeats the request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoConfiguration:
-    """No configuration had been committed when the read came."""
+    """No configuration had been committed when the read arrived."""
 
 
 Outcome = WriteAcknowledged | VersionConflict | Redirect | OutcomeUnknown | ReadResult | NoConfiguration
--- a/rosechute/coordination/owner_replication.py
+++ b/rosechute/coordination/owner_replication.py
@@ -1,4 +1,4 @@
-"""Replication of the edges that may own rate leases, so that whoever leads next knows them.
+"""Replication of the edges that may own rate leases, so that the next leader knows them.
 
 A leader states which edges may own rate leases of its term or an earlier one, or that any edge may, and grants leases
 only under a statement that a majority of the acceptors has synced. Its successor collects the newest statement of
@@ -8,8 +8,8 @@
 - *Within an epoch* the two majorities share an acceptor. It synced the statement before it granted the lease to the
   successor: while it is bound to one process, it stores no statement of another
   (`LeaseGrantor.is_bound_to_another`), and once it is not, the successor can't gain its term by that grant.
-- *Across epochs* a promise carries the acceptor's newest statement, a view the newest of its promises, and whoever
-  adopts the view stores it. A sealed acceptor stores no statement of its epoch.
+- *Across epochs* a promise carries the acceptor's newest statement, a view the newest of its promises, and a machine
+  that adopts the view stores it. A sealed acceptor stores no statement of its epoch.
 
 A newer statement that no majority has stored is safe to follow as well: it was complete when it was made, and from
 then on the leader grants leases only to edges of both, it and the one before (`control_plane.rate_lease_owners`).
@@ -56,9 +56,9 @@
         self._context = context
         self._leader_lease = leader_lease
         self._lease_grantor = lease_grantor
-        self._revision = 0  # of the newest statement of this process
+        self._revision = 0  # revision of the newest statement of this process
         self._pending: _PendingStatement | None = None
-        self._record_number = 0  # of the newest record with a statement
+        self._record_number = 0  # number of the newest record with a statement
 
     # The leader
 
--- a/rosechute/coordination/planning.py
+++ b/rosechute/coordination/planning.py
@@ -16,7 +16,7 @@
 
 
 def next_view_if_needed(view: View, status: ClusterStatus) -> View | None:
-    """Return the view that should follow, or None where the current one is right.
+    """Return the view that should follow, or None if the current one needs no change.
 
     The base state and the leader term of the result are those of the current view; the proposer sets them.
     """
@@ -55,7 +55,7 @@
 
 
 def _change_acceptors(view: View, status: ClusterStatus) -> View | None:
-    """Return the view with one acceptor replaced, added or removed, or None where nothing is to change."""
+    """Return the view with one acceptor replaced, added or removed, or None if no change is needed."""
     for candidate in sorted(status.join_candidates, key=lambda each: each.identity.control_address):
         changed = _join(view, candidate, status)
         if changed is not None:
--- a/rosechute/coordination/proposer.py
+++ b/rosechute/coordination/proposer.py
@@ -28,8 +28,8 @@
 )
 from rosechute.messages import coordination_pb2 as pb
 
-BACKOFF_MIN_S = 0.05  # between two attempts of a machine
-BACKOFF_SPREAD_S = 0.2  # random part on top, so that two proposers do not preempt each other forever
+BACKOFF_MIN_S = 0.05  # minimum time between two attempts of a machine
+BACKOFF_SPREAD_S = 0.2  # random time on top, so that two proposers do not preempt each other forever
 
 
 class Phase(enum.Enum):
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _Promise:
-    """What an acceptor reported with its promise."""
+    """State that an acceptor reported with its promise."""
 
     accepted: Proposal | None
     state: RegisterState
@@ -122,7 +122,7 @@
         self._choose_view = choose_view
         self._on_decided = on_decided
         self._attempt: _Attempt | None = None
-        self._highest_round = 0  # seen in any epoch: so no ballot of this process stands for two proposals
+        self._highest_round = 0  # seen in any epoch, so that no ballot of this process is used for two proposals
         self.next_attempt_at = 0.0
 
     @property
@@ -161,7 +161,7 @@
                 self._send_accept(attempt, attempt.proposal)
 
     def stop(self) -> None:
-        """Drop the attempt, as another view was adopted."""
+        """Drop the attempt, because another view was adopted."""
         self._attempt = None
 
     def on_promise(self, sender: MachineIdentity, promise: pb.Promise) -> None:
@@ -199,7 +199,7 @@
             self._abort()
 
     def _matching_attempt(self, sender: MachineIdentity, epoch: int, ballot: pb.Ballot) -> _Attempt | None:
-        """Return the current attempt where a message of an acceptor answers it."""
+        """Return the current attempt if a message of an acceptor answers it, or None."""
         attempt, view = self._attempt, self._context.replica_state.view
         if attempt is None or epoch != attempt.epoch or epoch != view.epoch:
             return None
--- a/rosechute/coordination/record_writer.py
+++ b/rosechute/coordination/record_writer.py
@@ -1,4 +1,4 @@
-"""Write-ahead log of a replica: which records are on their way to the disk, which are synced, and whether it works.
+"""Write-ahead log of a replica: which records are being written, which are synced, and whether the disk works.
 
 Every change of the durable state is a record. Records are numbered; whatever depends on a record waits until all
 records up to its number are synced. After a failed write nothing that was written later counts until the whole state
@@ -28,11 +28,11 @@
     token: int
     last_number: int  # number of its newest record
     started_at: float
-    is_probe: bool  # written only to see whether the disk works
+    is_probe: bool  # written only to check whether the disk works
 
 
 class _Callback(NamedTuple):
-    """What to call once all records up to a number are synced."""
+    """A function to call once all records up to a number are synced."""
 
     number: int
     call: Callable[[], None]
@@ -40,11 +40,11 @@
 
 @dataclass(slots=True)
 class RecordWriter:
-    """Records on their way to the disk. Times are of the machine's steady clock, in seconds.
+    """Writer of records to the disk. Times are of the machine's steady clock, in seconds.
 
     Attributes:
         timing: time-outs.
-        memory: the replica's state, to which each record is applied when it is written.
+        replica_state: the replica's state, to which each record is applied when it is written.
         replace_next: whether the next batch replaces all records on the disk.
         last_number: number of the newest record.
         synced_number: all records up to this number are synced.
@@ -59,12 +59,12 @@
     synced_number: int = 0
     has_failed: bool = False
     is_suspect: bool = False
-    _token: int = 0  # of the newest batch
+    _token: int = 0  # token of the newest batch
     _next_retry_at: float = 0.0
     _unwritten: list[bytes] = field(default_factory=list)
     _deferred: pb.Record | None = None  # written together with the next record, without a sync of its own
     _is_probe_unwritten: bool = False
-    _batches: deque[_Batch] = field(default_factory=deque)  # in flight, oldest first
+    _batches: deque[_Batch] = field(default_factory=deque)  # batches in flight, oldest first
     _callbacks: deque[_Callback] = field(default_factory=deque)
 
     def write(self, record: pb.Record, callback: Callable[[], None] | None = None) -> None:
@@ -90,7 +90,7 @@
         self._deferred = record
 
     def call_when_synced(self, number: int, callback: Callable[[], None]) -> None:
-        """Call back once all records up to this number are synced; at once where they are."""
+        """Call back once all records up to this number are synced; immediately if they already are."""
         if number <= self.synced_number:
             callback()
         else:
@@ -143,7 +143,7 @@
         self._unwritten.append(pb.Record(probe=pb.ProbeRecord()).SerializeToString())
 
     def on_persisted(self, now: float, token: int) -> None:
-        """Mark the batch of this token and all older ones as synced, and call back whatever waited for them."""
+        """Mark the batch of this token and all older ones as synced, and run the callbacks that waited for them."""
         batch: _Batch | None = None
         while self._batches and self._batches[0].token <= token:
             batch = self._batches.popleft()
@@ -156,7 +156,7 @@
             self._callbacks.popleft().call()
 
     def on_persist_failed(self, now: float, token: int) -> None:
-        """Discard all batches in flight, as the disk refused the one of this token."""
+        """Discard all batches in flight, because the one with this token could not be written."""
         if not any(batch.token == token for batch in self._batches):
             return
         self._batches.clear()
--- a/rosechute/coordination/replica.py
+++ b/rosechute/coordination/replica.py
@@ -4,12 +4,12 @@
 operators. Each call returns the actions that it leads to. The replica does no input or output, reads no clock and has
 no randomness of its own, so that tests play whole clusters in simulated time.
 
-Parts, and whom each may call besides `Context`, which calls none of them:
+Parts, and which parts each may call besides `Context`, which calls none of them:
 
 - `Replica` calls all parts.
 - `Membership` adopts views and proposes the next one. It calls `Proposer`, `Acceptor`, `Chain`, `EpochConfirmer`,
   `LeaderLease`, `LeaseGrantor` and `CommitNotifier`.
-- `Heartbeats` sends this machine's state and takes in that of others. It calls `Chain`, `LeaderLease` and
+- `Heartbeats` sends this machine's state and receives that of others. It calls `Chain`, `LeaderLease` and
   `LeaseGrantor`.
 - `Chain` replicates writes and serves reads. It calls `EpochConfirmer`, which confirms that the epoch is current, and
   `CommitNotifier`, which reports committed configurations.
@@ -62,7 +62,7 @@
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.messages.coordination_pb2 import CoreMessage
 
-INCARNATION_BITS = 53
+INCARNATION_BITS = 53  # size of the random number that identifies a process
 LEADER_CLAIM_S = 1.2  # a machine's claim to lead is believed for one lease after its heartbeat
 
 
@@ -186,19 +186,19 @@
         return self._end_call()
 
     def propose_write(self, now: float, write: WriteRequest) -> list[Action]:
-        """Take a write request of an operator; exactly one `Reply` follows, in this call or a later one."""
+        """Handle a write request of an operator; exactly one `Reply` follows, in this call or a later one."""
         self._begin_call(now)
         self._chain.propose_write(write)
         return self._end_call()
 
     def read(self, now: float, request_id: int) -> list[Action]:
-        """Take a read of the newest configuration; exactly one `Reply` follows, in this call or a later one."""
+        """Handle a read of the newest configuration; exactly one `Reply` follows, in this call or a later one."""
         self._begin_call(now)
         self._chain.read(request_id)
         return self._end_call()
 
     def resign(self, now: float) -> list[Action]:
-        """Release the leader lease and ask the others to go on without this machine: its process is about to end."""
+        """Release the leader lease and report that this machine is leaving: its process is about to end."""
         self._begin_call(now)
         self._context.is_leaving = True
         self._context.heartbeat_due = True
@@ -206,7 +206,7 @@
         return self._end_call()
 
     def persist_rate_lease_owners(self, now: float, term: int, edges: frozenset[str] | None) -> list[Action]:
-        """Have a majority store which edges may own rate leases; nothing unless this machine leads with the term.
+        """Have a majority store which edges may own rate leases; do nothing unless this machine leads with the term.
 
         Args:
             now: time in seconds of the machine's steady clock.
@@ -231,7 +231,7 @@
     # State for the runtime
 
     def large_contents(self) -> list[bytes]:
-        """Return the contents of this machine's state that messages may hold, large or not."""
+        """Return the contents of this machine's state that messages may hold, whatever their size."""
         state = self._context.replica_state
         registers = [state.committed, state.newest]
         if state.accepted is not None:
@@ -265,7 +265,7 @@
         return self._leader_lease.is_held(now)
 
     def leader_hint(self) -> MachineIdentity | None:
-        """Return the machine that seems to lead: this one, or the newest term among recent heartbeats."""
+        """Return the machine that seems to lead: this one, or that with the newest term among recent heartbeats."""
         context = self._context
         if self._leader_lease.is_held(context.now):
             return context.own
@@ -286,7 +286,7 @@
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether the newest view does without this machine: it is out of the chain and no surplus acceptor."""
+        """Whether the newest view does not depend on this machine: it is outside the chain and not surplus."""
         view = self.view
         has_surplus = len(view.acceptors) > view.target_size
         return self.identity.id not in view.chain and not (has_surplus and view.is_acceptor(self.identity.id))
--- a/rosechute/coordination/replica_config.py
+++ b/rosechute/coordination/replica_config.py
@@ -1,4 +1,4 @@
-"""Settings of a replica: identity, addresses, time-outs. All times are seconds of the machine's steady clock."""
+"""Settings of a replica: identity, addresses and time-outs. All times are seconds of the machine's steady clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """Identity and addresses of a core machine.
 
     Attributes:
-        id: belongs to the disk; a machine whose disk was wiped has another one.
+        id: identifies the machine and its disk; a machine whose disk was wiped has a new id.
         name: name of the machine in the settings.
         zone: failure domain.
         control_address: host and port of the operator's API.
@@ -28,19 +28,19 @@
 class Timing:
     """Periods and time-outs, in seconds."""
 
-    heartbeat_period_s: float = 0.15  # period
+    heartbeat_period_s: float = 0.15  # period of heartbeats
     suspect_after_s: float = 0.7  # silence, or age of a sync, after which a machine is removed from the chain
     lease_s: float = 1.2  # duration of the leader lease
-    lease_margin_s: float = 0.1  # the leader stops this much before its lease ends, against clock drift
+    lease_margin_s: float = 0.1  # the leader stops leading this long before its lease ends, to allow for clock drift
     renew_period_s: float = 0.3  # period of lease renewals
-    candidate_timeout_s: float = 0.4  # a candidate without a majority of grants gives up
+    candidate_timeout_s: float = 0.4  # a candidate gives up after this long without a majority of grants
     candidate_stagger_s: float = 0.1  # candidates start this much apart, by their position in the chain
-    proposal_timeout_s: float = 0.5  # a proposal without a majority of answers is given up
-    sealed_recovery_s: float = 0.6  # an epoch sealed for this long lets any acceptor propose the next view
+    proposal_timeout_s: float = 0.5  # an attempt is aborted after this long without a decision
+    sealed_recovery_s: float = 0.6  # any acceptor may propose the next view once an epoch is sealed for this long
     resend_after_s: float = 0.12  # delay before an unanswered message is sent once more
     resend_write_after_s: float = 0.25  # delay before an uncommitted write is sent once more; doubles each time
     request_deadline_s: float = 0.9  # a request is answered by then: the operator's client gives up after a second
-    readmit_after_s: float = 0.3  # health for this long lets a machine back into the chain
+    readmit_after_s: float = 0.3  # a machine that has been healthy for this long may rejoin the chain
     max_readmit_after_s: float = 5.0  # upper bound of `readmit_after_s` after several removals
     removal_memory_s: float = 15.0  # each earlier removal within this time doubles `readmit_after_s`
     conflict_after_s: float = 0.5  # two machines that can't reach each other for this long don't share a chain
--- a/rosechute/coordination/replica_state.py
+++ b/rosechute/coordination/replica_state.py
@@ -1,11 +1,11 @@
-"""Replicated and persisted state of a replica: the fold of its write-ahead log.
+"""Replicated and persisted state of a replica: the result of applying its write-ahead log.
 
 Each change of this state is a record. A running replica and one that starts from its disk apply the same records
 through `ReplicaState.apply`, so that the state in memory is what a restart would restore once the newest record is
 synced (event sourcing). Records are idempotent: one that is older than the state changes nothing. A log may therefore
 follow a snapshot that was made later than the first records of the log.
 
-What is kept, and who writes it:
+Parts of the state, and the module that writes each:
 
 - the machine's identity (`Replica.start`);
 - view, committed state and uncommitted write of the register (`Membership`, `Chain`);
@@ -125,7 +125,7 @@
             self._apply_snapshot(record.snapshot)
 
     def _apply_machine(self, record: pb.MachineRecord) -> None:
-        if self.machine is None:  # a log may repeat its first record behind a snapshot, which knows more
+        if self.machine is None:  # a log may repeat its first record after a snapshot, which is newer
             self.machine, self.newcomer = identity_from_message(record.machine), record.newcomer
 
     def _apply_promise(self, epoch: int, ballot: Ballot) -> None:
--- a/rosechute/coordination/sized_cache.py
+++ b/rosechute/coordination/sized_cache.py
@@ -1,4 +1,4 @@
-"""A cache that is bounded by the size of what it holds. Pure."""
+"""A cache that is bounded by the total size of its values."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 
 class SizedCache(Generic[Value]):
-    """Values by digest; the least recently used ones go first, the newest one stays whatever its size.
+    """Cache of values by digest. It evicts the least recently used values; the newest one is kept whatever its size.
 
     Args:
-        limit_bytes: bound of the sum of all sizes.
+        limit_bytes: maximum sum of the sizes of all values.
     """
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
-        self._entries: OrderedDict[bytes, tuple[Value, int]] = OrderedDict()  # with sizes, least recently used first
+        # Value and size by digest, least recently used first.
+        self._entries: OrderedDict[bytes, tuple[Value, int]] = OrderedDict()
         self.size_bytes = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def add(self, digest: bytes, value: Value, size_bytes: int) -> None:
-        """Keep a value as the most recently used one."""
+        """Add a value as the most recently used one."""
         if digest not in self._entries:
             self._entries[digest] = (value, size_bytes)
             self.size_bytes += size_bytes
@@ -34,7 +35,7 @@
             self.size_bytes -= evicted_bytes
 
     def find(self, digest: bytes) -> Value | None:
-        """Return a value, which is the most recently used one from now on; None where it is not here."""
+        """Return a value and mark it as the most recently used one; None if it is not in the cache."""
         entry = self._entries.get(digest)
         if entry is None:
             return None
--- a/rosechute/coordination/views.py
+++ b/rosechute/coordination/views.py
@@ -18,11 +18,11 @@
 from rosechute.coordination.replica_config import MachineIdentity
 from rosechute.messages import coordination_pb2 as pb
 
-MACHINE_ID_CHARACTERS = 16  # of a machine id: 64 bits in hexadecimal
-DIGEST_PREFIX_BYTES = 16  # of a write's digest that the register remembers: enough to tell writes apart
-VERSION_BYTES = 8  # of a version in the register's list of applied writes
-APPLIED_WRITE_BYTES = DIGEST_PREFIX_BYTES + VERSION_BYTES  # of one entry in that list
-# Revision of a statement that no leader made: it follows every revision of a leader of the same term.
+MACHINE_ID_CHARACTERS = 16  # length of a machine id: 64 bits in hexadecimal
+DIGEST_PREFIX_BYTES = 16  # prefix of a write's digest that the register keeps to identify the write
+VERSION_BYTES = 8  # size of a version in the register's list of applied writes
+APPLIED_WRITE_BYTES = DIGEST_PREFIX_BYTES + VERSION_BYTES  # size of one entry in that list
+# Revision of a statement that no leader made. It is above every revision of a leader of the same term.
 UNKNOWN_REVISION = 2**32
 MAX_APPLIED_WRITES = 4096  # newest writes that the register remembers; bounds the size of its state
 
@@ -132,8 +132,8 @@
         term: leader term of the statement; no other edge may own a rate lease of this term or an earlier one. 0 where
             no leader has granted anything yet.
         edges: names of the edges.
-        revision: counts up within the term; 0 in a statement that an earlier version wrote to the leader's disk.
-        is_unknown: any edge may own one.
+        revision: increases within the term; 0 in a statement that an earlier version wrote to the leader's disk.
+        is_unknown: whether any edge may own one.
     """
 
     term: int = 0
@@ -301,7 +301,7 @@
         return StateTag(self.epoch, self.sequence)
 
     def applied_version(self, digest: bytes) -> int | None:
-        """Return the version that a write request set, or None where it was not applied or is forgotten.
+        """Return the version that a write request set, or None if it was not applied or was evicted.
 
         Args:
             digest: digest of the write request.
--- a/rosechute/data_plane/__init__.py
+++ b/rosechute/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane of an edge: clients' requests in, servers' answers and streams out."""
+"""Data plane of an edge: forwards clients' requests to model servers, and the responses and streams back."""
--- a/rosechute/data_plane/admission.py
+++ b/rosechute/data_plane/admission.py
@@ -1,4 +1,7 @@
-"""Admission of requests by the configuration in force: route, tenant, deadlines and cost, or a rejection. Pure."""
+"""Admission of requests by the configuration in force: route, tenant, deadlines and cost, or a rejection.
+
+Pure: performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -26,20 +29,20 @@
 from rosechute.routing.model import RoutingRequest, Ticket
 
 PRIORITIES = 10  # values of the header `Priority`, 0 to 9
-DEADLINE_MARGIN_S = 0.02  # a response is due so long before the client gives up, or the route's time-out ends
-# Clients give up an inactive stream after the longest of
+DEADLINE_MARGIN_S = 0.02  # a response is due this long before the client's deadline or the route's time-out
+# A client gives up on an inactive stream after the longest of the next three.
 MIN_INACTIVITY_TIMEOUT_S = 2.0
-INACTIVITY_TARGETS = 4.0  # this many latency targets, and
-INACTIVITY_GAPS = 8.0  # this many of the longest gaps between events that are still on time
+INACTIVITY_TARGETS = 4.0  # multiple of the route's latency target
+INACTIVITY_GAPS = 8.0  # multiple of the longest gap between events that is still on time
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request is rejected and has not been executed.
+    """The rejection of a request that has not been executed.
 
     Attributes:
         status: HTTP status.
-        retry_after_s: Seconds for `Retry-After`; 0 for none.
+        retry_after_s: Value of `Retry-After` in seconds; 0 for no such header.
     """
 
     status: int
@@ -51,24 +54,25 @@
     """A request that may be routed.
 
     Attributes:
-        request_id: From its header.
-        route: The operator's route.
-        service: Whose servers may serve it.
-        tenant: Whose credential it has; None for a public route, or where the configuration has no tenants.
-        credential: From its header; empty for none.
-        host: Its header `Host`.
-        path: Without the query.
-        arrived: Steady time in seconds of its first byte.
+        request_id: Value of the request id header.
+        route: The matching route of the operator's configuration.
+        service: Name of the service whose servers may execute the request.
+        tenant: The tenant of the credential; None for a public route, or if the configuration has no tenants.
+        credential: Value of the credential header; empty if it is absent.
+        host: Value of the header `Host`.
+        path: Path of the target without the query.
+        arrived: Steady time in seconds at which the first byte arrived.
         client_deadline: Steady time shortly before the client gives up.
-        answer_deadline: Steady time by which a response is due: the route's time-out may be shorter.
-        inactivity_timeout_s: For how long the client waits for the next event; 0 where the response is no stream.
-        cost: Tokens or requests of the tenant's quota; 0 for none.
-        priority: Rank among all pairs of a tenant's and a route's priority; 0 is the most urgent.
-        routing: What the router needs.
-        head: Of the request as every server gets it.
-        last_event_id: Of the last event that the client has; None for none.
-        sequence: Of the configuration by which it was admitted last.
-        repeatable: Whether it may be executed more than once, by every configuration since its admission.
+        answer_deadline: Steady time by which a response is due: the earlier of the client's deadline and the route's
+            time-out.
+        inactivity_timeout_s: Seconds that the client waits for the next event; 0 if the response is not a stream.
+        cost: Tokens or requests that are charged to the tenant's quota; 0 for none.
+        priority: Rank among all pairs of tenant priority and route priority; 0 is the most urgent.
+        routing: The request as the router sees it.
+        head: Serialized head that is common to all attempts (`serialize_head`).
+        last_event_id: Id of the last event that the client has received; None if it has received none.
+        sequence: Sequence number of the configuration that the request was last checked against.
+        repeatable: Whether every configuration since the admission allows more than one execution.
     """
 
     request_id: bytes
@@ -92,11 +96,11 @@
 
 
 class ActiveConfiguration:
-    """The configuration in force. Immutable.
+    """The configuration in force, with its route table and priority ranks. Immutable.
 
     Args:
-        configuration: The operator's.
-        sequence: Its number in the order of commits.
+        configuration: The operator's configuration.
+        sequence: Number of the configuration in the order of commits.
     """
 
     def __init__(self, configuration: Configuration, sequence: int) -> None:
@@ -112,9 +116,9 @@
 
         Args:
             message: The request.
-            ticket: Names it at the router.
+            ticket: Identifies the request at the router.
             now: Steady time in seconds.
-            split_point: Returns a number from 0 up to 1 for a choice by weight on a route, given the route's name.
+            split_point: Takes a route's name; returns a number in [0, 1) that selects a service by weight.
         """
         fields = header_fields(message)
         if fields is None:
@@ -187,7 +191,7 @@
         return route, tenant
 
     def requires_credential(self, route: Route) -> bool:
-        """Return whether a route may be used with a credential only."""
+        """Return whether requests of a route need a credential."""
         return self.table.has_tenants and not route.public_access
 
 
@@ -200,7 +204,7 @@
 
 
 def _priority_ranks(configuration: Configuration) -> dict[tuple[int, int], int]:
-    """Return the rank of each pair of priorities; a tenant's comes before the route's."""
+    """Return the rank of each pair of priorities, ordered by the tenant's priority, then by the route's."""
     tenants = {tenant.priority for tenant in configuration.tenants} | {0}
     routes = {route.priority for route in configuration.routes}
     pairs = sorted((tenant, route) for tenant in tenants for route in routes)
@@ -208,13 +212,13 @@
 
 
 def _inactivity_timeout_s(route: Route) -> float:
-    """Return for how long a client of this route waits for the next event."""
+    """Return how many seconds a client of this route waits for the next event."""
     target_s, gap_s = route.target_latency_ms / 1e3, route.gap_aim_ms / 1e3
     return max(MIN_INACTIVITY_TIMEOUT_S, INACTIVITY_TARGETS * target_s, INACTIVITY_GAPS * gap_s)
 
 
 def _quota_cost(tenant: Tenant | None, token_counts: tuple[int, int] | None) -> int:
-    """Return the cost of a request in units of its tenant's quota; 0 where the tenant is not limited."""
+    """Return the cost of a request in units of its tenant's quota; 0 if the tenant is not limited."""
     if tenant is None or not tenant.limited:
         return 0
     if not tenant.counts_tokens:
--- a/rosechute/data_plane/attempt.py
+++ b/rosechute/data_plane/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request to one server over one connection, written at most once and ended exactly once."""
+"""One attempt: a request to one server over one connection, which is written at most once and ends exactly once."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
         """Return the bytes to write, right before the first of them is written.
 
         Returns:
-            None where nothing is to be sent any more. The owner has then ended the attempt itself.
+            The serialized request; None if it must not be sent any more. The owner has then ended the attempt itself.
         """
 
     def on_response_head(self, attempt: Attempt, reply: Reply, length: int | None) -> Sink | None:
-        """Return where to forward the body of a response whose head has arrived; None where it can't be used.
+        """Return the sink for the body of a response whose head has arrived; None if the response can't be used.
 
         Args:
             attempt: The attempt.
             reply: Status and headers.
-            length: Bytes of the body; None where it is not known.
+            length: Length of the body in bytes; None if it is not known.
         """
 
     def on_attempt_finished(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Take the outcome of an attempt that has ended."""
+        """Handle the outcome of an attempt that has ended."""
 
 
 class AttemptState(enum.Enum):
-    """The state of an attempt. Each may be followed by the next one or by FINISHED."""
+    """The state of an attempt. A state may change to the next one or to FINISHED."""
 
-    CONNECTING = "connecting"  # nothing is written
+    CONNECTING = "connecting"  # no byte of the request has been written
     SENT = "sent"  # bytes of the request may have reached the server
-    STREAMING = "streaming"  # the response is forwarded while it arrives
+    STREAMING = "streaming"  # the response is forwarded as it arrives
     FINISHED = "finished"
 
 
@@ -51,7 +51,7 @@
 
     Attributes:
         server: The server and the connections to it.
-        state: Changed by this class only.
+        state: Current state; only this class changes it.
     """
 
     __slots__ = ("server", "state", "_pool", "_loop", "_owner", "_echo", "_body", "_eager", "_connection", "_task")
@@ -69,14 +69,14 @@
         self.server = server
         self.state = AttemptState.CONNECTING
         self._pool, self._loop, self._owner = pool, loop, owner
-        self._echo = echo  # the header by which a response names the request that it answers
-        self._body = body  # set where the body is forwarded while it arrives
-        self._eager = eager  # whether a success is forwarded from its head on
+        self._echo = echo  # name and value of the header in which a response must echo the request id
+        self._body = body  # the request body, if it is forwarded as it arrives
+        self._eager = eager  # whether a success is forwarded as soon as its head has arrived
         self._connection: PooledConnection | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Write the request to an idle connection, or to a new one once it is established."""
+        """Send the request over an idle connection, or over a new one once it is established."""
         connection = self._pool.acquire_idle(self.server)
         if connection is not None:
             self._write(connection)
@@ -84,7 +84,7 @@
             self._task = self._loop.create_task(self._connect())
 
     def abort(self) -> None:
-        """Abort the attempt. The server drops a request whose connection closes.
+        """Abort the attempt. Closing the connection makes the server drop the request.
 
         A connection that is still being established is kept for later requests.
         """
@@ -100,11 +100,11 @@
             self._connection.wire.pause()
 
     def resume(self) -> None:
-        """Read the response again."""
+        """Resume reading the response."""
         if self._connection is not None:
             self._connection.wire.resume()
 
-    # --- from the connection
+    # --- events of the connection
 
     async def _connect(self) -> None:
         try:
@@ -113,14 +113,14 @@
             self._finish(attempt_outcome.CONNECT_FAILED)
             return
         except Exception:
-            # Whatever else went wrong: an attempt that does not end would leave its request waiting for ever.
+            # Any other error also ends the attempt: otherwise its request would wait forever.
             LOG.error("servers.connect_broken", exc_info=True)
             self._finish(attempt_outcome.CONNECT_FAILED)
             return
         if self.state is not AttemptState.CONNECTING:
             self._pool.release(connection, None)
         elif not connection.wire.silent():
-            connection.wire.close()  # unsolicited bytes would be taken for the response
+            connection.wire.close()  # unsolicited bytes would be read as the response
             self._finish(attempt_outcome.CONNECT_FAILED)
         else:
             self._write(connection)
@@ -144,8 +144,8 @@
 
     def _on_response_head(self, reply: Reply, length: int | None) -> Sink | None:
         if self.state is not AttemptState.SENT or self._connection is None or not self._connection.wire.written:
-            # A success that starts before the request is written can't account for the rest of the request. It is
-            # used only once it is complete (`_on_response`).
+            # A success that starts before the request is fully written can't account for the rest of the request. It
+            # is used only once it is complete (`_on_response`).
             return None
         sink = self._owner.on_response_head(self, reply, length)
         if sink is not None and self.state is AttemptState.SENT:
@@ -153,7 +153,7 @@
         return sink
 
     def _on_response(self, reply: Reply | None) -> None:
-        """Take a complete response; None where the connection was lost first."""
+        """Handle a complete response; None means that the connection was lost first."""
         connection, self._connection = self._connection, None
         if connection is None or self.state is AttemptState.FINISHED:
             return
@@ -167,11 +167,11 @@
         if connection.wire.written:
             self._pool.release(connection, reply)
         else:
-            connection.wire.abort()  # the rest of the request would precede the next one
+            connection.wire.abort()  # the server would read the rest of this request before the next one
         self._finish(attempt_outcome.classify_response(reply, self.server.id))
 
     def _echoes_request_id(self, reply: Reply) -> bool:
-        """Return whether a response carries the id of this request and no other."""
+        """Return whether a response echoes exactly one request id, that of this request."""
         name, expected = self._echo
         return [value for key, value in reply.headers if key == name] == [expected]
 
--- a/rosechute/data_plane/attempt_outcome.py
+++ b/rosechute/data_plane/attempt_outcome.py
@@ -1,4 +1,7 @@
-"""Classification of a server's response, or of its absence, as the outcome of one attempt. Pure."""
+"""Classification of a server's response, or of its absence, as the outcome of one attempt.
+
+Pure: performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +13,20 @@
 STAMP = b"x-rosechute-server-stamp"
 NOT_EXECUTED = b"x-rosechute-not-executed"
 INSTANCE_ID = b"x-rosechute-instance-id"
-# Statuses by which a client may rely on the request not having run and never running.
+# Statuses that guarantee to a client that the request has not been executed and never will be.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
-# Statuses of a request marked as not executed that another server may not return.
+# Statuses marked as not executed after which another server may still succeed.
 _RETRYABLE_STATUSES = frozenset({408, 429, 503, 504})
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How one attempt ended.
+    """The outcome of one attempt.
 
     Attributes:
-        result: What the router learns.
+        result: The result that is reported to the router.
         may_have_executed: Whether the server may have executed the request.
-        reply: The response that the client may be sent, as the server gave it; None for none.
+        reply: The server's response, if it may be forwarded to the client.
     """
 
     result: AttemptResult
@@ -40,7 +43,7 @@
 def classify_response(reply: Reply, server_id: str) -> AttemptOutcome:
     """Return the outcome of an attempt from a complete response that echoes the request's id."""
     if reply.status == 421:
-        # The right instance answers 421 where only the weights' version differs.
+        # The requested instance itself responds 421 if only the version of its weights differs.
         same = reply.header(INSTANCE_ID) == server_id.encode()
         return AttemptOutcome(AttemptResult.NOT_EXECUTED if same else AttemptResult.WRONG_INSTANCE, False)
     if reply.header(NOT_EXECUTED) is not None:
@@ -48,11 +51,11 @@
             return AttemptOutcome(AttemptResult.NOT_EXECUTED, False)
         if not is_success(reply.status):
             return AttemptOutcome(AttemptResult.DONE, False, reply)
-        return RESET  # a success that says it was not executed contradicts itself
+        return RESET  # a success that is marked as not executed contradicts itself
     if is_success(reply.status):
         return AttemptOutcome(AttemptResult.DONE, True, reply) if is_trusted(reply) else RESET
     if reply.status in NOT_EXECUTED_STATUSES:
-        # Without its header the status would make a promise to the client that the server has not made.
+        # Without the header the server has not confirmed that nothing ran, which this status would tell the client.
         return AttemptOutcome(AttemptResult.SERVER_ERROR, True)
     if reply.status < 500:
         return AttemptOutcome(AttemptResult.DONE, True, reply)
@@ -60,12 +63,15 @@
 
 
 def is_success(status: int) -> bool:
-    """Return whether this is a status of success (RFC 9110, 15.3)."""
+    """Return whether a status is a success (RFC 9110, section 15.3)."""
     return 200 <= status < 300
 
 
 def is_trusted(reply: Reply) -> bool:
-    """Return whether a success is the server's own: stamped, not marked as not executed, without a content coding."""
+    """Return whether a success comes from the server itself.
+
+    It has the server's stamp, is not marked as not executed, and has no content coding.
+    """
     if reply.header(STAMP) is None or reply.header(NOT_EXECUTED) is not None:
         return False
     return reply.header(b"content-encoding") is None
--- a/rosechute/data_plane/client_limits.py
+++ b/rosechute/data_plane/client_limits.py
@@ -1,6 +1,8 @@
-"""The limits of header and body sizes and time-outs that clients are held to, across changes of them. Pure.
+"""Limits of header size, body size and time-outs for clients, including the transition between two sets of limits.
 
 Requests over a tenant's quota are not rejected here but by `rosechute.routing.token_cache`.
+
+Pure: performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -8,9 +10,9 @@
 from rosechute.configuration.operator import Limits
 
 MS_PER_S = 1e3
-# An idle connection is kept for this much longer than its client may use it, so that no request crosses its end.
+# An idle connection stays open this much longer than the client may reuse it: no request arrives during its close.
 IDLE_TIMEOUT_MARGIN_S = 1.0
-# Before the first configuration no client is rejected by a limit that may not be in force.
+# Wide limits before the first configuration: it may allow what narrower defaults would reject.
 UNCONFIGURED = Limits(
     max_header_bytes=1 << 18,
     max_body_bytes=1 << 30,
@@ -20,18 +22,18 @@
 
 
 class ClientLimits:
-    """The widest of the limits in force and of the former ones, for as long as a connection may be idle by those.
+    """The widest of the current limits and of replaced ones that clients may still rely on.
 
-    A client that goes by the limits it knows is not rejected, and its idle connection not closed, by narrower ones
-    that have just come into force.
+    Replaced limits hold for as long as a connection may stay idle under them: a client that keeps to the limits it
+    knows is not rejected, nor its idle connection closed, because of narrower limits that have just been applied.
     """
 
     def __init__(self) -> None:
         self._current: Limits | None = None
-        self._former_until: dict[Limits, float] = {}  # steady time until which they hold
+        self._former_until: dict[Limits, float] = {}  # steady time at which they expire
 
     def change(self, limits: Limits, now: float) -> float:
-        """Put other limits in force; return for how many seconds former ones may still hold."""
+        """Apply new limits; return the seconds until the last replaced limits expire, 0 if there are none."""
         if self._current is not None and self._current != limits:
             self._former_until[self._current] = now + _max_idle_s(self._current)
         self._current = limits
@@ -39,7 +41,7 @@
         return max((until - now for until in self._former_until.values()), default=0.0)
 
     def widest(self, now: float) -> Limits:
-        """Return the limits that hold for clients at a steady time."""
+        """Return the limits that apply to clients at steady time `now`."""
         if self._current is None:
             return UNCONFIGURED
         self._former_until = {limits: until for limits, until in self._former_until.items() if until > now}
@@ -53,5 +55,5 @@
 
 
 def _max_idle_s(limits: Limits) -> float:
-    """Return for how long a connection under these limits may be idle."""
+    """Return how many seconds a connection under these limits may be idle."""
     return limits.idle_timeout_ms / MS_PER_S + IDLE_TIMEOUT_MARGIN_S
--- a/rosechute/data_plane/client_statistics.py
+++ b/rosechute/data_plane/client_statistics.py
@@ -1,4 +1,4 @@
-"""Figures of an edge's clients, for the state page and the metrics."""
+"""Statistics of an edge's clients for the state page and the metrics."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientStatistics:
-    """Clients of this edge at a moment.
+    """Snapshot of the clients of this edge.
 
     Attributes:
-        ready: What the readiness address answers.
-        config_version: Of the configuration in force; 0 for none.
-        connections: Open connections of clients.
-        requests: Accepted and not finished.
-        body_bytes: Of bodies held in memory.
+        ready: Whether the edge reports that it is ready.
+        config_version: Version of the configuration in force; 0 for none.
+        connections: Number of open connections of clients.
+        requests: Number of requests in progress.
+        body_bytes: Bytes of request and response bodies that are held in memory.
         body_bytes_most: The limit of `body_bytes`.
     """
 
--- a/rosechute/data_plane/connection_pool.py
+++ b/rosechute/data_plane/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to model servers: idle ones by server, new ones, and when a connection is kept or closed."""
+"""Pool of connections to model servers: reuse, establishment, keep-alive and limits."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from rosechute.proxy.http1.connection import Connection, Reply
 from rosechute.routing.model import ServerEntry
 
-CONNECT_TIMEOUT_S = 0.3  # a server that is up accepts within milliseconds
-DEFAULT_IDLE_TIMEOUT_S = 4.0  # of a connection to a server that does not announce its own
-IDLE_MARGIN_S = 1.0  # an idle connection is closed so long before the server's time-out; at most half of that
-SWEEP_INTERVAL_S = 0.25  # between searches for connections that have been idle for too long
-UNACKNOWLEDGED_TIMEOUT_MS = 1500  # bytes that are not acknowledged for so long end a connection (TCP_USER_TIMEOUT)
-KEEPALIVE_PROBE_INTERVAL_S = 1  # between the kernel's probes of a connection on which nothing arrives
-KEEPALIVE_PROBES = 2
+CONNECT_TIMEOUT_S = 0.3  # a healthy server accepts within milliseconds
+DEFAULT_IDLE_TIMEOUT_S = 4.0  # for servers that do not send `Keep-Alive: timeout`
+IDLE_MARGIN_S = 1.0  # an idle connection is closed this long before the server's time-out, but not before half of it
+SWEEP_INTERVAL_S = 0.25  # interval between checks for connections that have been idle for too long
+UNACKNOWLEDGED_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: limit for unacknowledged bytes
+KEEPALIVE_PROBE_INTERVAL_S = 1  # TCP_KEEPIDLE and TCP_KEEPINTVL
+KEEPALIVE_PROBES = 2  # TCP_KEEPCNT
 ANY_SUCCESS = range(200, 300)
-MAX_ERROR_RESPONSE_BYTES = 4 << 20  # of a response that is no success
+MAX_ERROR_RESPONSE_BYTES = 4 << 20  # body of a response that is not a success
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[,; ])timeout *= *\"?([0-9]{1,6})", re.IGNORECASE)
 
 
@@ -30,9 +30,9 @@
 
     Attributes:
         wire: The HTTP/1.1 connection.
-        server: The server at its other end.
-        retire_at: Steady time in seconds from which an idle connection is not used any more.
-        is_used: Whether a request has been answered on it.
+        server: The server that it is connected to.
+        retire_at: Steady time in seconds after which the connection, while idle, is not reused.
+        is_used: Whether a response has been received on it.
     """
 
     __slots__ = ("wire", "server", "retire_at", "is_used")
@@ -47,10 +47,10 @@
     """One server of the endpoint list and the connections to it.
 
     Attributes:
-        ready: Whether it takes new requests: it is on the list and does not drain.
-        idle: Idle connections; the one that has been idle for longest comes first.
-        open_count: Connections that are open or being established.
-        idle_timeout_s: For how long an idle connection is kept.
+        ready: Whether it accepts new requests: it is on the list and is not draining.
+        idle: Idle connections, longest idle first.
+        open_count: Number of connections that are open or being established.
+        idle_timeout_s: Seconds after which an idle connection is closed.
     """
 
     __slots__ = ("id", "service", "address", "ready", "idle", "open_count", "idle_timeout_s")
@@ -63,26 +63,26 @@
 
 
 class ConnectionPool:
-    """All servers of the endpoint lists, and the connections to them.
+    """Connections to all servers of the endpoint lists.
 
     Args:
         loop: The event loop; its clock is the steady time.
-        budget: Memory for bodies.
-        max_connections: To all servers together.
+        budget: Memory budget for bodies.
+        max_connections: Limit of connections to all servers together.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, budget: Budget, max_connections: int) -> None:
         self._loop, self._budget = loop, budget
         self.max_connections = max_connections
         self._servers: dict[str, ServerConnections] = {}
-        self._limits: dict[str, int] = {}  # connections to each server, by service
+        self._limits: dict[str, int] = {}  # maximum number of connections to each server, by service
         self._open_count = 0
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     # --- the endpoint list
 
     def apply(self, service: str, entries: Sequence[ServerEntry]) -> None:
-        """Take over the complete endpoint list of one service."""
+        """Apply the complete endpoint list of one service."""
         listed = {entry.id for entry in entries}
         for server in [s for s in self._servers.values() if s.service == service and s.id not in listed]:
             self._remove(server)
@@ -99,28 +99,28 @@
                     self._close_idle(known)
 
     def forget_service(self, service: str) -> None:
-        """Remove the servers of a service that has left the configuration."""
+        """Remove the servers of a service that is no longer configured."""
         self.apply(service, ())
 
     def set_server_limit(self, service: str, max_connections: int) -> None:
-        """Limit the connections to each server of this service; idle ones beyond the limit are closed."""
+        """Limit the connections to each server of a service; close idle connections beyond the limit."""
         self._limits[service] = max_connections
         for server in self._servers.values():
             while server.service == service and server.idle and server.open_count > max_connections:
                 self._close_longest_idle(server)
 
     def resize(self, max_connections: int) -> None:
-        """Limit the connections to all servers together; idle ones beyond the limit are closed."""
+        """Limit the connections to all servers together; close idle connections beyond the limit."""
         self.max_connections = max_connections
         while self._open_count > max_connections and self._close_longest_idle_of_all():
             pass
 
     def find(self, server_id: str) -> ServerConnections | None:
-        """Return the server with this id; None where no list has it."""
+        """Return the server with this id; None if no endpoint list has it."""
         return self._servers.get(server_id)
 
     def has_ready_server(self, service: str) -> bool:
-        """Return whether a server of this service takes requests."""
+        """Return whether a server of this service accepts requests."""
         return any(server.service == service and server.ready for server in self._servers.values())
 
     def close_idle(self, server_id: str) -> None:
@@ -145,7 +145,7 @@
             self._close_longest_idle(server)
 
     def _close_longest_idle(self, server: ServerConnections) -> None:
-        """Close the connection that has been idle for longest. It counts no more, though its end takes a turn."""
+        """Close the longest idle connection. It is uncounted at once, though its close takes one loop iteration."""
         connection = server.idle.popleft()
         self._uncount(connection)
         connection.wire.close()
@@ -153,9 +153,9 @@
     # --- connections
 
     def acquire_idle(self, server: ServerConnections) -> PooledConnection | None:
-        """Return the connection that has been idle for longest and is still usable; None for none.
+        """Return the longest idle connection that is still usable; None if there is none.
 
-        Usable means that nothing is unread on it: neither the server's close nor a stray byte.
+        A connection is usable if nothing is unread on it: neither the server's close nor an unsolicited byte.
         """
         now = self._loop.time()
         while server.idle:
@@ -170,10 +170,11 @@
         """Return a new connection.
 
         Raises:
-            OSError: no descriptor is left, the server refuses, or does not accept within `CONNECT_TIMEOUT_S`.
+            OSError: no file descriptor is available, or the server refuses the connection or does not accept it
+                within `CONNECT_TIMEOUT_S`.
         """
         if not self._may_open():
-            raise OSError("no descriptor is left for servers")
+            raise OSError("no file descriptor is available for a connection to a server")
         host, port = split_address(server.address)
         connection = PooledConnection(
             Connection(
@@ -191,22 +192,22 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 transport, _ = await self._loop.create_connection(lambda: connection.wire, host, port)
         except BaseException:
-            # A cancelled connect, too, must be counted no longer.
+            # A cancelled connect must be uncounted, too.
             connection.wire.abort()
             self._uncount(connection)
             raise
         if connection.wire.lost:
             self._uncount(connection)
-            raise ConnectionResetError("closed as soon as it was up")
+            raise ConnectionResetError("the server closed the connection as soon as it was established")
         _detect_dead_peer(transport.get_extra_info("socket"))
         return connection
 
     def release(self, connection: PooledConnection, reply: Reply | None) -> None:
-        """Keep a connection for later requests, or close it where it or its server takes none.
+        """Return a connection to the pool, or close it if it is not reusable or its server accepts no requests.
 
         Args:
             connection: The connection.
-            reply: The response that was received on it; None for none.
+            reply: The response that was received on it; None if there was none.
         """
         server = connection.server
         if reply is not None:
@@ -222,7 +223,7 @@
             self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _apply_keep_alive(self, server: ServerConnections, reply: Reply) -> None:
-        """Take over the idle time-out that a server announces in `Keep-Alive`."""
+        """Apply the idle time-out that a server announces in `Keep-Alive`."""
         text = reply.header(b"keep-alive")
         found = _KEEP_ALIVE_TIMEOUT.search(text) if text is not None else None
         if found is not None:
@@ -230,11 +231,11 @@
             server.idle_timeout_s = max(announced_s / 2, announced_s - IDLE_MARGIN_S)
 
     def _may_open(self) -> bool:
-        """Return whether one more connection may be opened, closing the longest idle one where that is needed."""
+        """Return whether one more connection may be opened, after closing the longest idle one if necessary."""
         return self._open_count < self.max_connections or self._close_longest_idle_of_all()
 
     def _close_longest_idle_of_all(self) -> bool:
-        """Close the connection that has been idle for longest of all; return whether there was one."""
+        """Close the longest idle connection of all servers; return whether there was one."""
         with_idle = [server for server in self._servers.values() if server.idle]
         if not with_idle:
             return False
@@ -252,7 +253,7 @@
         self._uncount(connection)
 
     def _learn_idle_timeout(self, server: ServerConnections, connection: PooledConnection) -> None:
-        """Shorten the idle time-out: the server has closed a connection that was idle for less."""
+        """Shorten the idle time-out after the server has closed a connection that was idle for less."""
         idle_for_s = self._loop.time() - (connection.retire_at - server.idle_timeout_s)
         if connection.is_used and server.ready and IDLE_MARGIN_S / 2 < idle_for_s < server.idle_timeout_s:
             server.idle_timeout_s = max(idle_for_s / 2, idle_for_s - IDLE_MARGIN_S)
@@ -264,9 +265,10 @@
             connection.server.open_count -= 1
 
     def _sweep(self) -> None:
-        """Close what has been idle for too long, safely before the server does.
+        """Close connections that have been idle for too long, well before the server does.
 
-        A request that crosses the server's close may have been executed, and must then not be repeated.
+        A request that is sent while the server closes the connection may have been executed, so that it may not be
+        retried.
         """
         now, idle_left = self._loop.time(), False
         for server in self._servers.values():
@@ -278,7 +280,7 @@
 
 
 def _detect_dead_peer(connected: socket.socket) -> None:
-    """Have the kernel end a connection whose peer is gone without closing it."""
+    """Have the kernel end a connection whose peer has disappeared without closing it."""
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_INTERVAL_S)
--- a/rosechute/data_plane/dispatcher.py
+++ b/rosechute/data_plane/dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands the events of client requests to the router, and carries out the actions that the router returns."""
+"""Dispatcher between client requests and the router: reports events and performs the returned actions."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     Ticket,
 )
 
-MAX_WAKE_DELAY_S = 0.02  # the router's timer fires at least so often while the router waits for a time
+MAX_WAKE_DELAY_S = 0.02  # maximum delay of the router's timer while the router has a deadline pending
 
 
 class RouterPort(Protocol):
-    """What the data plane needs of the router."""
+    """The interface of the router that the data plane uses."""
 
     def apply_servers(self, now: float, service: str, entries: Sequence[ServerEntry]) -> list[RoutingAction]:
-        """Take over the complete endpoint list of a service."""
+        """Apply the complete endpoint list of a service."""
 
     def apply_limits(self, now: float, service: str, max_connections: int, edges: int) -> list[RoutingAction]:
-        """Take over a service's connection limit, and the number of live edges that share it."""
+        """Apply a service's connection limit, which the given number of live edges share."""
 
     def apply_retry_budget(self, ratio: float, window_s: float, slack: float, edges: int) -> None:
-        """Take over the retry budget: a ratio of requests in a window, and a slack that the edges share."""
+        """Apply the retry budget: a ratio of the requests in a window, plus a slack that the edges share."""
 
     def forget_services(self, now: float, keep: Collection[str]) -> list[RoutingAction]:
-        """Forget all services but these."""
+        """Remove all services but these."""
 
     def route(self, now: float, request: RoutingRequest) -> list[RoutingAction]:
         """Select a server for a request, queue the request, or reject it."""
@@ -46,26 +46,26 @@
     def report(
         self, now: float, ticket: Ticket, server_id: str, result: AttemptResult, will_retry: bool
     ) -> list[RoutingAction]:
-        """Take the progress or the end of an attempt."""
+        """Handle the progress or the end of an attempt."""
 
     def can_retry_elsewhere(self, now: float, ticket: Ticket) -> bool:
         """Return whether a request could be sent to another server now if its current one failed."""
 
     def cancel(self, now: float, ticket: Ticket) -> list[RoutingAction]:
-        """Forget a request."""
+        """Remove a request."""
 
     def tick(self, now: float) -> list[RoutingAction]:
-        """Do what is due at this time."""
+        """Perform the actions that are due at this time."""
 
     def next_wake(self) -> float | None:
         """Return the steady time at which `tick` is due; None for never."""
 
 
 class Dispatcher:
-    """The requests that are known to the router, by ticket.
+    """Routes requests and performs the router's actions on them.
 
-    Actions are carried out one after another: an action that causes further ones while it is carried out appends
-    them to the queue, so that no method of the router runs inside another.
+    Actions are performed one after another: actions that are caused while another one is performed are appended to a
+    queue, so that calls of the router are never nested.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, router: RouterPort, pool: ConnectionPool) -> None:
@@ -75,10 +75,10 @@
         self._is_performing = False
         self._wake_timer: asyncio.TimerHandle | None = None
 
-    # --- events in
+    # --- events for the router
 
     def dispatch(self, request: ClientRequest) -> None:
-        """Hand a request to the router."""
+        """Have the router select a server for a request."""
         self._requests[request.ticket] = request
         self._perform(self._router.route(self._loop.time(), request.admitted.routing))
 
@@ -91,34 +91,34 @@
         return self._router.can_retry_elsewhere(self._loop.time(), request.ticket)
 
     def cancel(self, request: ClientRequest) -> None:
-        """Take a request back from the router."""
+        """Withdraw a request from the router."""
         self._perform(self._router.cancel(self._loop.time(), request.ticket))
 
     def on_request_finished(self, request: ClientRequest) -> None:
-        """Forget a finished request."""
+        """Remove a finished request."""
         self._requests.pop(request.ticket, None)
 
     def apply_servers(self, service: str, entries: Sequence[ServerEntry]) -> None:
-        """Take over the complete endpoint list of a service."""
+        """Apply the complete endpoint list of a service."""
         self._perform(self._router.apply_servers(self._loop.time(), service, entries))
 
     def apply_limits(self, service: str, max_connections: int, edges: int) -> None:
-        """Take over the connection limit of a service, and how many edges share it."""
+        """Apply the connection limit of a service, which `edges` edges share."""
         self._perform(self._router.apply_limits(self._loop.time(), service, max_connections, edges))
 
     def apply_retry_budget(self, bounds: Bounds, edges: int) -> None:
-        """Take over the retry budget, and how many edges share its slack."""
+        """Apply the retry budget, whose slack `edges` edges share."""
         slack = float(bounds.retry_slack)
         self._router.apply_retry_budget(bounds.retry_budget_ratio, bounds.retry_window_s, slack, edges)
 
     def forget_services(self, keep: Collection[str]) -> None:
-        """Forget all services but these: the configuration has no others."""
+        """Remove all services that are not configured any more."""
         self._perform(self._router.forget_services(self._loop.time(), keep))
 
-    # --- actions out
+    # --- actions of the router
 
     def _perform(self, actions: list[RoutingAction]) -> None:
-        """Carry out actions in order, then those that they cause."""
+        """Perform actions in order, then those that they cause."""
         self._actions.extend(actions)
         if self._is_performing:
             return
@@ -140,7 +140,7 @@
         try:
             self._apply(request, action)
         except Exception:
-            # A fault in one request must not stop the actions of the others.
+            # An error in one request must not prevent the actions of the others.
             LOG.error("requests.broken", exc_info=True)
             request.abort()
 
@@ -151,12 +151,12 @@
         else:
             request.on_rejected(action.reason, action.retry_after_s)
 
-    # --- time
+    # --- timer
 
     def _set_wake(self) -> None:
-        """Set the timer for the router's next deadline, unless it is set.
+        """Set the timer for the router's next deadline if it is not set yet.
 
-        To look up the earliest deadline of many queued requests after each event would cost more than to be up to
+        Looking up the earliest deadline of many queued requests after each event would cost more than being up to
         `MAX_WAKE_DELAY_S` late.
         """
         if self._wake_timer is not None:
--- a/rosechute/data_plane/event_stream.py
+++ b/rosechute/data_plane/event_stream.py
@@ -1,6 +1,8 @@
-"""Framing of event streams: complete events, their ids, and the version of the weights. Pure.
+"""Parser for resumable event streams: complete events, their ids, and the version of the model's weights.
 
-The format is that of server-sent events (WHATWG HTML, 9.2).
+The format is that of server-sent events (WHATWG HTML, section 9.2).
+
+Pure: performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,23 +17,23 @@
 
 
 class BrokenStreamError(Exception):
-    """The bytes of a server can't continue its event stream."""
+    """Bytes that a server has sent can't continue the event stream."""
 
 
 class EventStream:
-    """The events of one response that may be joined from those of several servers.
+    """The event stream of one response, which may be joined from the responses of several servers.
 
-    Only complete events are forwarded, with ids that rise without a gap or a repeat. An incomplete event is dropped
-    with the response that it came in.
+    Only complete events are forwarded, with increasing ids and without a gap or a repeated event where two responses
+    are joined. An incomplete event is dropped when the response that it belongs to is replaced.
 
     Args:
-        last_id: Of the last event that the client has; None for none.
-        version: Of the weights by which the response is made; None where it is not known.
-        max_event_bytes: Of one event.
+        last_id: Id of the last event that the client has received; None if it has received none.
+        version: Version of the weights that the response is produced with; None if it is not known.
+        max_event_bytes: Maximum size of one event.
 
     Attributes:
-        last_id: Of the last event that was forwarded, or the client's own before that.
-        version: Of the weights, as of that event.
+        last_id: Id of the last event that was forwarded; initially the client's.
+        version: Version of the weights as of that event.
     """
 
     __slots__ = (
@@ -50,18 +52,18 @@
         self.last_id = last_id
         self.version = version
         self._number = _as_number(last_id)
-        self._ids_are_consecutive: bool | None = None  # None until one id has followed another
-        self._partial = b""  # of an event that is not complete
-        self._has_forwarded = False  # whether an event was forwarded
-        self._last_event_has_id = True  # of those that were forwarded
-        self._may_repeat_events = False  # whether another server may send events again that were forwarded
+        self._ids_are_consecutive: bool | None = None  # None until two ids have been compared
+        self._partial = b""  # start of an event that is not complete yet
+        self._has_forwarded = False  # whether any event has been forwarded
+        self._last_event_has_id = True  # whether the last forwarded event had an id
+        self._may_repeat_events = False  # whether the next events may repeat forwarded ones
         self._max_event_bytes = max_event_bytes
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the stream; return the events that they complete and that are to be forwarded.
+        """Process bytes of the stream; return the completed events that are to be forwarded.
 
         Raises:
-            BrokenStreamError: an event is too long, or its id can't follow the last one.
+            BrokenStreamError: an event is too long, or its id can't follow the previous one.
         """
         if self._partial:
             data = self._partial + data
@@ -69,22 +71,23 @@
         if end < 3 and not data.startswith(b"\n\n"):
             end = 0
         if len(data) - end > self._max_event_bytes:
-            raise BrokenStreamError("an event is too long")
+            raise BrokenStreamError("event exceeds the size limit")
         complete, self._partial = (data, b"") if end == len(data) else (data[:end], data[end:])
         return self._filtered(complete) if complete else b""
 
     def finish(self, has_explicit_length: bool = True) -> bytes:
-        """Return the last events: the server's response is complete, with a final blank line or without.
+        """Return the last events of a complete response. The final blank line may be missing.
 
         Args:
-            has_explicit_length: Whether its headers delimit it; otherwise only the close of its connection did.
+            has_explicit_length: Whether the headers delimited the response; otherwise only the close of the
+                connection did.
 
         Raises:
-            BrokenStreamError: a response without explicit length was closed inside an event.
+            BrokenStreamError: a close-delimited response ended inside an event.
         """
         remaining, self._partial = self._partial, b""
         if remaining and not has_explicit_length:
-            raise BrokenStreamError("closed inside an event")
+            raise BrokenStreamError("connection closed inside an event")
         return self._filtered(remaining) if remaining else b""
 
     def resumable(self) -> bool:
@@ -92,13 +95,13 @@
         return self._last_event_has_id
 
     def start_next_response(self) -> None:
-        """Continue with the response of another server, which starts after the last forwarded event."""
+        """Continue with the response of another server, which is to start after the last forwarded event."""
         self._partial = b""
         self._may_repeat_events = self._has_forwarded
 
     def _filtered(self, complete: bytes) -> bytes:
-        """Return those complete events that are to be forwarded."""
-        if complete.find(b"\n\n") == len(complete) - 2:  # the usual case: one event
+        """Return those of the complete events that are to be forwarded."""
+        if complete.find(b"\n\n") == len(complete) - 2:  # fast path for one event
             return complete if self._accept(complete) else b""
         forwarded = []
         for event in _split(complete):
@@ -107,11 +110,11 @@
         return b"".join(forwarded)
 
     def _accept(self, event: bytes) -> bool:
-        """Record one event; return False where it repeats one that was forwarded from another server."""
+        """Record one event; return False if it repeats an event that was forwarded from another server."""
         version = _VERSION.match(event)
         found = _ID.search(event)
         if found is None:
-            self._last_event_has_id = self._last_event_has_id and b"data" not in event  # a comment is no event
+            self._last_event_has_id = self._last_event_has_id and b"data" not in event  # a comment is not an event
         elif not self._follows_last_id(found[1]):
             return False
         else:
@@ -122,22 +125,26 @@
         return True
 
     def _follows_last_id(self, event_id: bytes) -> bool:
-        """Return whether this id follows the last one; raise `BrokenStreamError` where neither is possible."""
+        """Return whether an id follows the last one; False means that the event repeats a forwarded one.
+
+        Raises:
+            BrokenStreamError: the id is neither a valid successor nor a valid repetition.
+        """
         number, before = _as_number(event_id), self._number
         if number is None or before is None:
             if event_id == self.last_id and self._has_forwarded:
                 if self._may_repeat_events:
                     return False
-                raise BrokenStreamError("an id repeats")
+                raise BrokenStreamError("repeated event id")
             self._number = number
             return True
         if number <= before:
             if self._may_repeat_events:
                 return False
-            raise BrokenStreamError("ids do not rise")
+            raise BrokenStreamError("event ids do not increase")
         is_next = number == before + 1
         if not is_next and self._may_repeat_events and self._ids_are_consecutive:
-            raise BrokenStreamError("ids leave a gap")
+            raise BrokenStreamError("gap between event ids")
         self._ids_are_consecutive = is_next and self._ids_are_consecutive is not False
         self._number = number
         return True
@@ -148,7 +155,7 @@
 
 
 def _split(complete: bytes) -> list[bytes]:
-    """Return complete events one by one."""
+    """Split complete events at their blank lines."""
     events, at = [], 0
     for end in _END.finditer(complete):
         if end.end() > at:
--- a/rosechute/data_plane/inactivity.py
+++ b/rosechute/data_plane/inactivity.py
@@ -1,7 +1,7 @@
-"""Inactivity time-out of a server that executes a request.
+"""Inactivity time-out for a server that executes a request.
 
-A server's inactivity alone is no reason to end a response sooner than its client would. The server is abandoned early
-only where the request may be retried at another one.
+Inactivity of a server alone does not end a response before its client would give up. The server is abandoned early
+only if the request may be retried on another one.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 
 from rosechute.data_plane.admission import AdmittedRequest
 
-CLIENT_TIMEOUT_MARGIN_S = 0.05  # an inactive stream is aborted so long before its client would give up
-RETRY_TIME_SHARE = 0.25  # of the client's time-out, which is reserved for a retry at another server
-RETRY_AFTER_TARGETS = 4.0  # latency targets after which an inactive server is abandoned for another one
-MIN_RETRY_AFTER_S = 1.0  # the least time after which it is abandoned for another one
-RECHECK_INTERVAL_S = 0.25  # between checks whether another server is available, where none was
-LATE_TIMER_S = 0.2  # a timer that fires so late shows that the process was suspended
-CATCH_UP_S = 0.05  # for reading what arrived while the process was suspended
+CLIENT_TIMEOUT_MARGIN_S = 0.05  # an inactive stream is aborted this long before its client would give up
+RETRY_TIME_SHARE = 0.25  # share of the client's time-out that is reserved for a retry on another server
+RETRY_AFTER_TARGETS = 4.0  # multiple of the latency target after which a request is retried on another server
+MIN_RETRY_AFTER_S = 1.0  # lower bound of that time
+RECHECK_INTERVAL_S = 0.25  # interval between checks for another server after none was available
+LATE_TIMER_S = 0.2  # a timer that fires this late indicates that the process was suspended
+CATCH_UP_S = 0.05  # time to read what arrived while the process was suspended
 
 
 class InactivityListener(Protocol):
-    """The request whose server is watched."""
+    """The request whose server is monitored."""
 
     def can_retry_elsewhere(self) -> bool:
-        """Return whether the request may be sent to another server now."""
+        """Return whether the request may be retried on another server now."""
 
     def on_server_inactive(self) -> None:
-        """Abandon the server. The watch has stopped."""
+        """Abandon the server. The watch has already stopped."""
 
 
 class InactivityWatch:
-    """Watches the server of one request, from `start` to `stop`. All times are the loop's, in seconds.
+    """Monitors the server of one request from `start` to `stop`. All times are the event loop's, in seconds.
 
     Attributes:
         is_response_started: Whether the head of a response has been sent to the client.
         is_client_paused: Whether the client accepts no more bytes for now.
-        last_received_at: When the server sent bytes last, or was sent the request.
-        last_forwarded_at: When bytes were forwarded to the client last, or the request arrived.
+        last_received_at: Time at which bytes of the server were received last, or the request was sent to it.
+        last_forwarded_at: Time at which bytes were forwarded to the client last, or the request arrived.
     """
 
     __slots__ = (
@@ -62,30 +62,30 @@
         self._loop, self._admitted = loop, admitted
         self._listener: InactivityListener | None = None  # None while stopped
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = math.inf  # when the timer is due
-        self._catching_up = False  # whether the process was suspended and reads what arrived meanwhile
+        self._timer_at = math.inf  # due time of the timer
+        self._catching_up = False  # whether the process reads what arrived while it was suspended
 
     def start(self, listener: InactivityListener) -> None:
-        """Watch the server from now on: the request is being sent to it."""
+        """Start monitoring the server: the request is being sent to it."""
         self._listener = listener
         self.last_received_at = self._loop.time()
         self._set_timer(self._due_at())
 
     def stop(self) -> None:
-        """Stop watching: no server executes the request any more."""
+        """Stop monitoring: no server executes the request any more."""
         self._listener = None
         self._set_timer(math.inf)
 
     def on_bytes_received(self) -> None:
-        """Record that the server has sent bytes. The timer is set again only when it fires: events are many."""
+        """Record that bytes were received. For speed, the timer is not set again until it fires."""
         self.last_received_at = self._loop.time()
 
     def on_event_forwarded(self) -> None:
-        """Record that the bytes received last were forwarded to the client."""
+        """Record that the most recently received bytes were forwarded to the client."""
         self.last_forwarded_at = self.last_received_at
 
     def check(self) -> None:
-        """Abandon the server if it has been inactive for too long, else set the timer again."""
+        """Abandon the server if it has been inactive for too long; otherwise set the timer again."""
         self._timer = None
         listener = self._listener
         if listener is None:
@@ -111,7 +111,7 @@
         return min(self._retry_elsewhere_at(), self._abandon_at())
 
     def _retry_elsewhere_at(self) -> float:
-        """Return from when on an inactive server is abandoned for another one; infinity for never."""
+        """Return when the request is retried on another server if this one stays inactive; infinity for never."""
         admitted = self._admitted
         if not admitted.routing.repeatable:
             return math.inf
@@ -125,7 +125,7 @@
         return retry_at if retry_at + admitted.routing.target_s < admitted.answer_deadline else math.inf
 
     def _abandon_at(self) -> float:
-        """Return when a stream that has not started is abandoned, right before its client would; or infinity."""
+        """Return when a stream that has not started is aborted, right before its client gives up; or infinity."""
         if not self._admitted.inactivity_timeout_s or self.is_response_started:
             return math.inf
         return self._client_timeout_at()
--- a/rosechute/data_plane/plane.py
+++ b/rosechute/data_plane/plane.py
@@ -1,4 +1,4 @@
-"""The data plane of an edge process, put together from its parts."""
+"""The data plane of an edge process."""
 
 from __future__ import annotations
 
@@ -26,38 +26,39 @@
 from rosechute.routing.counts import Counts
 from rosechute.routing.model import AttemptResult, ServerEntry
 
-OTHER_PLANES_MEMORY_MB = 36  # of the process, beyond the data plane's own
-DESCRIPTORS_RESERVED = 200  # for files and listening sockets
-LINKS_RESERVED = 128  # descriptors for links to other processes of the fleet
-MIN_CONNECTIONS = 64  # that clients and servers share however few descriptors there are
-LEASE_MARGIN_S = 0.3  # no request is sent within so long before the lease on the configuration expires
-LEASE_EXPIRED_RETRY_AFTER_S = 1.0  # `Retry-After` where that lease has expired
-# Without a confirmation for so long there may be a newer configuration. One is due every 0.4 s.
+OTHER_PLANES_MEMORY_MB = 36  # memory that the rest of the process needs
+DESCRIPTORS_RESERVED = 200  # file descriptors for files and listening sockets
+LINKS_RESERVED = 128  # file descriptors for links to other processes of the fleet
+MIN_CONNECTIONS = 64  # lower bound of the connections that clients and servers share
+LEASE_MARGIN_S = 0.3  # no request is sent this close to the expiry of the lease on the configuration
+LEASE_EXPIRED_RETRY_AFTER_S = 1.0  # `Retry-After` after that lease has expired
+# After this time without a confirmation there may be a newer configuration. Confirmations are due every 0.4 s.
 CONFIRMATION_MAX_AGE_S = 1.0
-STARTUP_ALLOWANCE_S = 2.0  # configuration and endpoint lists arrive within so long after a start of the whole fleet
-NOT_READY_RETRY_AFTER_S = 0.35  # the shortest `Retry-After` while they are missing
-REQUESTS, REJECTED = "requests", "rejected"  # names of counters
-RETRY_AFTER_JITTER = 0.15  # relative jitter of `Retry-After`, so that clients do not return together
+STARTUP_ALLOWANCE_S = 2.0  # time in which configuration and endpoint lists arrive after a start of the whole fleet
+NOT_READY_RETRY_AFTER_S = 0.35  # minimum `Retry-After` while they are missing
+REQUESTS, REJECTED = "requests", "rejected"  # counter names
+RETRY_AFTER_JITTER = 0.15  # relative jitter of `Retry-After`, so that clients do not retry simultaneously
 
 
 class DataPlane:
-    """Accepts requests, has them routed, and forwards them and their responses. Implements `RequestContext`.
+    """Accepts requests, routes them, and forwards them and their responses. Implements `RequestContext`.
 
     Args:
         loop: The event loop.
-        settings: Of the process.
+        settings: Settings of the process.
         router: Selects servers.
-        quota: Tokens of limited tenants.
-        freshness: When the configuration in force was confirmed last.
-        clock: Steady time in seconds, the loop's clock read anew: the loop's own time stands still during a turn.
-        draw: Random numbers from 0 up to 1.
+        quota: Tokens of tenants with a quota.
+        freshness: Time at which the configuration in force was confirmed last.
+        clock: Returns the steady time in seconds, on the event loop's time base. It is read separately because an
+            event loop may cache its time during an iteration.
+        draw: Returns random numbers in [0, 1).
 
     Attributes:
-        counts: Finished requests by route type and outcome, and rejected ones by status.
-        budget: Memory for bodies.
+        counts: Number of finished requests by route type and outcome, and of rejected ones by status.
+        budget: Memory budget for bodies.
         pool: Connections to model servers.
-        front: Accepts connections of clients.
-        port: At which it accepts them.
+        client_listener: Accepts connections of clients.
+        port: Port at which it accepts them; 0 before the start.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         shares = _descriptors(settings)
         self.budget = Budget(_memory_mb(settings))
         self.pool = ConnectionPool(loop, self.budget, shares.servers)
-        self.front = ClientListener(loop, self.budget, shares.clients, self._admit, self._accept)
+        self.client_listener = ClientListener(loop, self.budget, shares.clients, self._admit, self._accept)
         self._dispatcher = Dispatcher(loop, router, self.pool)
         self._durations = RouteDurations()
         self._active_configuration: ActiveConfiguration | None = None
@@ -92,37 +93,40 @@
     # --- start and shutdown
 
     async def start(self) -> None:
-        """Accept connections of clients from now on."""
+        """Start accepting connections of clients."""
         self._started = self.loop.time()
-        self.port = self.front.listen(self._settings.listen.front)
+        self.port = self.client_listener.listen(self._settings.listen.front)
 
     def ready(self) -> bool:
-        """Return whether requests can be served: configured, confirmed, not shutting down, with a server."""
+        """Return whether requests can be served.
+
+        This needs a configuration that was confirmed, a server that accepts requests, and no shutdown in progress.
+        """
         active = self._active_configuration
         if active is None or self._shutdown is not None or self._freshness.confirmed_at() == -math.inf:
             return False
         return any(self.pool.has_ready_server(service.name) for service in active.configuration.services)
 
     def begin_shutdown(self) -> None:
-        """Stop being ready, and drain clients' connections. Idempotent."""
+        """Report not ready, and start draining clients' connections. Idempotent."""
         if self._shutdown is None:
-            self._shutdown = Shutdown(self.loop, self.front, self._durations, self._settings.bounds.grace_s)
+            self._shutdown = Shutdown(self.loop, self.client_listener, self._durations, self._settings.bounds.grace_s)
 
     async def finish_shutdown(self) -> None:
-        """Serve until nothing is open or the grace period is over."""
+        """Serve until no request is in progress or the grace period is over."""
         self.begin_shutdown()
         assert self._shutdown is not None
         await self._shutdown.finish()
         self.pool.close_all_idle()
 
     def clients(self) -> ClientStatistics:
-        """Return the figures of this edge's clients."""
+        """Return statistics of this edge's clients."""
         version = 0 if self._active_configuration is None else self._active_configuration.configuration.config_version
         return ClientStatistics(
             self.ready(),
             version,
-            len(self.front.listener.connections),
-            len(self.front.requests),
+            len(self.client_listener.listener.connections),
+            len(self.client_listener.requests),
             self.budget.used,
             self.budget.total,
         )
@@ -130,12 +134,12 @@
     # --- from the control plane
 
     def apply_configuration(self, configuration: Configuration, sequence: int) -> None:
-        """Put a configuration in force, in one turn of the loop. One with an older sequence is ignored."""
+        """Apply a configuration, in one iteration of the event loop. An older sequence number is ignored."""
         previous = self._active_configuration
         if previous is not None and sequence <= previous.sequence:
             return
         self._active_configuration = ActiveConfiguration(configuration, sequence)
-        self.front.apply_limits(configuration.limits)
+        self.client_listener.apply_limits(configuration.limits)
         routes = {route.name for route in configuration.routes}
         self._durations.retain(routes)
         self._splits.retain(routes)
@@ -145,27 +149,27 @@
             {service.name for service in previous.configuration.services} if previous is not None else set()
         )
         for name in services - previous_services:
-            if name in self._lists:  # the list arrived before its service, or the service has returned
+            if name in self._lists:  # the list arrived before the service, or the service was configured again
                 self._dispatcher.apply_servers(name, self._lists[name])
         self._apply_limits()
 
     def apply_servers(self, service: str, entries: Sequence[ServerEntry]) -> None:
-        """Put a service's endpoint list in force."""
+        """Apply the endpoint list of a service."""
         self._lists[service] = entries
         self.pool.apply(service, entries)
         self._dispatcher.apply_servers(service, entries)
 
     def apply_settings(self, settings: ProcessSettings) -> None:
-        """Put changed settings in force, except for the listening address."""
+        """Apply changed settings, except for the listening address."""
         self._settings = settings
         shares = _descriptors(settings)
         self.budget.resize(_memory_mb(settings), 1)
-        self.front.resize(shares.clients)
+        self.client_listener.resize(shares.clients)
         self.pool.resize(shares.servers)
         self._dispatcher.apply_retry_budget(settings.bounds, self._edges)
 
     def apply_edges(self, count: int) -> None:
-        """Divide limits that hold for the whole fleet among this many live edges."""
+        """Divide the limits of the whole fleet among this many live edges."""
         if count != self._edges:
             self._edges = max(1, count)
             self._dispatcher.apply_retry_budget(self._settings.bounds, self._edges)
@@ -182,7 +186,7 @@
     # --- admission
 
     def _admit(self, message: Message, ticket: int) -> AdmittedRequest | Rejection:
-        """Admit a request by the configuration in force, or return why it is rejected."""
+        """Admit or reject a request by the configuration in force."""
         active = self._active_configuration
         if active is None:
             return self._not_ready_rejection()
@@ -199,9 +203,9 @@
         return admitted
 
     def _final_or_retryable(self, rejection: Rejection) -> Rejection:
-        """Return a rejection by the configuration in force, or 503 while that may be outdated.
+        """Return the rejection, or 503 if the configuration may be outdated.
 
-        404 and 401 are final for a client; 503 may be retried.
+        Clients don't retry after 404 and 401, but they do after 503.
         """
         return (
             rejection if rejection.status == 400 or self._is_configuration_recent() else self._not_ready_rejection()
@@ -212,7 +216,7 @@
         return self._clock() - self._freshness.confirmed_at() < CONFIRMATION_MAX_AGE_S
 
     def _not_ready_rejection(self) -> Rejection:
-        """Return 503 with a `Retry-After` after which this edge is likely to be ready."""
+        """Return a 503 whose `Retry-After` estimates when this edge will be ready."""
         if self._freshness.confirmed_at() == -math.inf:
             retry_s = max(NOT_READY_RETRY_AFTER_S, self._started + STARTUP_ALLOWANCE_S - self.loop.time())
         else:
@@ -229,8 +233,8 @@
     def _is_lease_valid(self) -> bool:
         """Return whether requests with credentials may be served.
 
-        The configuration was confirmed so recently that a newer one can't have revoked a credential for longer than
-        the operator allows (`revoke_ms`).
+        This needs a recent confirmation of the configuration: a newer one can't have revoked a credential for longer
+        than the operator allows (`revoke_ms`).
         """
         bounds = self._settings.bounds
         if not bounds.strict_revoke:
@@ -252,7 +256,7 @@
         self._dispatcher.dispatch(request)
 
     def report_attempt(self, request: ClientRequest, server_id: str, result: AttemptResult, will_retry: bool) -> None:
-        """See `RequestContext`. A complete response adds to the durations of its route."""
+        """See `RequestContext`. Also records the duration of a complete response."""
         if result is AttemptResult.DONE and not will_retry:
             self._durations.add(request.admitted.route.name, self.loop.time() - request.admitted.arrived)
         self._dispatcher.report_attempt(request, server_id, result, will_retry)
@@ -266,7 +270,7 @@
         self._dispatcher.cancel(request)
 
     def current_rejection(self, admitted: AdmittedRequest) -> Rejection | None:
-        """See `RequestContext`. Its route or credential is gone, or the lease on the configuration has expired."""
+        """See `RequestContext`. The route or credential was removed, or the lease has expired."""
         active = self._active_configuration
         assert active is not None
         if admitted.sequence != active.sequence:
@@ -274,7 +278,7 @@
             if isinstance(authorized, Rejection):
                 return self._final_or_retryable(authorized)
             if authorized[1] != admitted.tenant and _name(authorized[1]) != _name(admitted.tenant):
-                return Rejection(503, NOT_READY_RETRY_AFTER_S)  # the credential belongs to another tenant by now
+                return Rejection(503, NOT_READY_RETRY_AFTER_S)  # the credential now belongs to another tenant
             admitted.sequence = active.sequence
             admitted.repeatable = admitted.repeatable and authorized[0].repeatable
         if active.requires_credential(admitted.route) and not self._is_lease_valid():
@@ -285,11 +289,11 @@
         """See `RequestContext`."""
         self.counts.add(REQUESTS, f"{request.admitted.route.route_type} {request.outcome}")
         self._dispatcher.on_request_finished(request)
-        self.front.on_request_finished(request)
+        self.client_listener.on_request_finished(request)
 
 
 def _descriptors(settings: ProcessSettings) -> Descriptors:
-    """Return how many connections clients and servers may hold."""
+    """Return the connection limits of clients and of servers."""
     return descriptors(max(MIN_CONNECTIONS, settings.limits.max_fds - DESCRIPTORS_RESERVED - LINKS_RESERVED))
 
 
--- a/rosechute/data_plane/request.py
+++ b/rosechute/data_plane/request.py
@@ -1,7 +1,7 @@
-"""One client request from its admission to its one response: what each event does in each state.
+"""State machine of one client request, from its admission to its response.
 
-`request_state` has the states and their transitions, `client_response` what the client is sent, `inactivity` the
-time-out of a server that sends nothing.
+The states and their transitions are defined in `request_state`. `client_response` sends the response, and
+`inactivity` detects servers that send nothing.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 from rosechute.proxy.http1.message import Message
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
-DEFAULT_RETRY_AFTER_S = 0.25  # `Retry-After` where nothing better is known
+DEFAULT_RETRY_AFTER_S = 0.25  # `Retry-After` if there is no better estimate
 SHUTDOWN_RETRY_AFTER_S = 0.05  # `Retry-After` while this edge shuts down: another edge can serve at once
-CLIENT_CHECK_AFTER_S = 0.02  # from this age on the client of a request is checked before the request is sent
+CLIENT_CHECK_AFTER_S = 0.02  # for older requests, check before sending that the client is still connected
 
 
-# Outcomes beside `server_<status>` (a server's complete response) and `own_<status>` (a status of the edge's own).
+# Outcomes in addition to `server_<status>` (complete response of a server) and `own_<status>` (response of the edge).
 CLIENT_DISCONNECTED = "client_disconnected"
-PROXIED = "proxied"  # a response that was forwarded while it arrived, complete
-TRUNCATED = "truncated"  # a response that was started and could not be completed
+PROXIED = "proxied"  # a complete response that was forwarded as it arrived
+TRUNCATED = "truncated"  # a response that was started but not completed
 
 
 class RequestContext(Protocol):
-    """What a request needs of the data plane."""
+    """The interface of the data plane that a request uses."""
 
     loop: asyncio.AbstractEventLoop
     pool: ConnectionPool
 
     def request_quota(self, request: ClientRequest) -> None:
-        """Request the tokens of its tenant's quota; `on_quota_decision` is called once."""
+        """Request tokens of the tenant's quota; `on_quota_decision` is called exactly once."""
 
     def dispatch(self, request: ClientRequest) -> None:
-        """Hand the request to the router, which calls `on_server_selected` or `on_rejected`."""
+        """Have the router select a server; `on_server_selected` or `on_rejected` is called."""
 
     def report_attempt(self, request: ClientRequest, server_id: str, result: AttemptResult, will_retry: bool) -> None:
         """Report the progress or the end of an attempt to the router; `will_retry` asks for another server."""
@@ -56,13 +56,13 @@
         """Return whether the router would select another server now if the current one failed."""
 
     def cancel(self, request: ClientRequest) -> None:
-        """Take the request back from the router."""
+        """Withdraw the request from the router."""
 
     def current_rejection(self, admitted: AdmittedRequest) -> Rejection | None:
-        """Return why the request may not be sent by the configuration in force; None where it may."""
+        """Return a rejection if the configuration in force forbids sending the request; otherwise None."""
 
     def on_request_finished(self, request: ClientRequest) -> None:
-        """Forget the request."""
+        """Remove the request, which has finished."""
 
 
 class ClientRequest:
@@ -70,10 +70,10 @@
 
     Attributes:
         message: The request as it was received.
-        admitted: What routing and servers need of it.
-        ticket: Names the request at the router.
-        state: Changed by `_change` only.
-        outcome: What the client was sent; valid once the request is finished.
+        admitted: The result of its admission.
+        ticket: Identifies the request at the router.
+        state: Current state; only `_change` changes it.
+        outcome: The kind of response, for statistics; valid once the request is finished.
     """
 
     __slots__ = (
@@ -104,15 +104,15 @@
         self._attempt: Attempt | None = None
         self._response = ClientResponse(message, admitted)
         self._inactivity = InactivityWatch(self._loop, admitted)
-        self._may_have_executed = False  # at a server, in an attempt that has ended
-        self._last_error_response: Reply | None = None  # of a server, to be sent where no retry succeeds
-        self._last_result: AttemptResult | None = None  # of the last attempt that has ended
+        self._may_have_executed = False  # by a server, in an attempt that has ended
+        self._last_error_response: Reply | None = None  # server's response that is sent if no retry succeeds
+        self._last_result: AttemptResult | None = None  # result of the last attempt that has ended
         self._client_paused = False  # whether the client accepts no more bytes for now
-        self._deadline = admitted.answer_deadline  # when the request is aborted, whatever its state
+        self._deadline = admitted.answer_deadline  # time at which the request is aborted in any state
         self._deadline_timer = self._loop.call_at(admitted.answer_deadline, self._on_deadline)
 
     def _change(self, state: RequestState) -> None:
-        """Change the state. Nothing else does."""
+        """Change the state; clean up if the request is finished."""
         self.state = validated_transition(self.state, state)
         if state is RequestState.FINISHED:
             self._deadline_timer.cancel()
@@ -121,7 +121,7 @@
             self._context.on_request_finished(self)
 
     def _release_body(self) -> None:
-        """Release the memory of a body that no server was sent. An incomplete one is released by its connection."""
+        """Release the memory of a body that was not sent. Its connection releases an incomplete body."""
         stream = self.message.stream
         if stream is not None and self.message.complete:
             stream.drop()
@@ -129,11 +129,11 @@
     # --- quota
 
     def start(self) -> None:
-        """Request the tenant's quota; the router follows."""
+        """Request tokens of the tenant's quota. Routing starts once they are granted."""
         self._context.request_quota(self)
 
     def on_quota_decision(self, allowed: bool, retry_after_s: float) -> None:
-        """Queue the request at the router, or reject it with 429."""
+        """Have the request routed if the quota allows it; otherwise reject it with 429."""
         if self.state is not RequestState.AWAITING_QUOTA:
             return
         if not allowed:
@@ -142,7 +142,7 @@
         self._change(RequestState.QUEUED)
         self._context.dispatch(self)
 
-    # --- from the router
+    # --- events of the router
 
     def on_server_selected(self, action: Send) -> None:
         """Start an attempt at the selected server."""
@@ -150,7 +150,7 @@
             return
         server = self._context.pool.find(action.server_id)
         if server is None or not server.ready:
-            # Nothing was sent; the router is to take a server that drains or has left out of use.
+            # Nothing was sent. The router has to stop using a server that is draining or was removed.
             self._context.report_attempt(self, action.server_id, AttemptResult.CONNECT_FAILED, True)
             return
         self._change(RequestState.CONNECTING)
@@ -171,16 +171,16 @@
         if self.state is RequestState.QUEUED:
             self._finish_without_server(self._last_result, retry_after_s or DEFAULT_RETRY_AFTER_S)
 
-    # --- from its attempt (AttemptOwner)
+    # --- AttemptOwner
 
     def build_request(self, attempt: Attempt) -> bytes | None:
-        """See `AttemptOwner`. Checks once more that the request may be sent: time has passed since its admission."""
+        """See `AttemptOwner`. Checks again that the request may be sent, as time has passed since its admission."""
         admitted, server = self.admitted, attempt.server
         rejection = self._context.current_rejection(admitted)
         if rejection is None and (
             self._is_body_partly_sent() or (self._may_have_executed and not admitted.repeatable)
         ):
-            # Its body is gone, or a configuration since its first attempt has made the route non-repeatable.
+            # The body can't be sent again, or a newer configuration has made the route non-repeatable.
             rejection = Rejection(503)
         if rejection is not None:
             self._cancel()
@@ -251,7 +251,7 @@
         else:
             self._on_attempt_failed(attempt.server, attempt_outcome.SERVER_ERROR)
 
-    # --- from the inactivity time-out (InactivityListener)
+    # --- InactivityListener
 
     def can_retry_elsewhere(self) -> bool:
         """See `InactivityListener`."""
@@ -272,13 +272,13 @@
         else:
             self._on_attempt_failed(attempt.server, attempt_outcome.TIMEOUT)
 
-    # --- from the client's connection
+    # --- events of the client's connection
 
     def on_client_disconnected(self) -> None:
-        """Abort the request: its client has disconnected, or the rest of its body will not come.
+        """Abort the request: its client has disconnected, or its body has timed out.
 
-        In the second case the client is still connected and is answered here: the 408 of its connection would promise
-        that the request has not run, which a server with part of the body can't be held to.
+        After a time-out the client is still connected and gets its response here. The 408 that its connection would
+        send guarantees that the request was not executed, which is unknown if a server has part of the body.
         """
         if self.state is RequestState.FINISHED:
             return
@@ -301,7 +301,7 @@
         if self._attempt is not None and self.state is RequestState.STREAMING:
             self._attempt.resume()
 
-    # --- from the shutdown of the process, and after a fault of the program
+    # --- shutdown and internal errors
 
     def reject_if_not_sent(self) -> None:
         """Reject the request with 503 unless a server may have executed it or may be executing it."""
@@ -310,13 +310,13 @@
             self._finish_with_local_response(503, SHUTDOWN_RETRY_AFTER_S)
 
     def abort(self) -> None:
-        """Finish the request now: the process ends, or its code has failed. A started response is truncated."""
+        """Finish the request now, on shutdown or after an internal error. A started response is truncated."""
         self._abort_request()
 
-    # --- ends of attempts
+    # --- attempt outcomes
 
     def _on_streamed_response_end(self, server: ServerConnections, outcome: AttemptOutcome) -> None:
-        """Finish the forwarded response, or resume it at another server where it was interrupted."""
+        """Finish the forwarded response; if it was interrupted, resume it on another server."""
         if outcome.result is not AttemptResult.DONE:
             self._on_stream_interrupted(server, outcome.result)
             return
@@ -330,7 +330,7 @@
         self._finish_streamed(remaining)
 
     def _on_stream_interrupted(self, server: ServerConnections, result: AttemptResult) -> None:
-        """Resume the response at another server where that is allowed, else truncate it."""
+        """Resume the response on another server if possible; otherwise truncate it."""
         resumable = self._response.is_resumable() and not self._is_body_partly_sent() and self._has_time_left()
         if resumable:
             self._change(RequestState.QUEUED)
@@ -339,7 +339,7 @@
             self._finish_truncated()
 
     def _complete_resumed_stream(self, server: ServerConnections, reply: Reply) -> None:
-        """Finish a resumed stream whose remaining events came as a complete response."""
+        """Finish a resumed stream whose remaining events arrived in a complete response."""
         try:
             remaining = self._response.resume_with_complete_response(reply)
         except BrokenStreamError:
@@ -352,7 +352,7 @@
         self._finish_streamed(remaining)
 
     def _on_attempt_failed(self, server: ServerConnections, outcome: AttemptOutcome) -> None:
-        """Retry at another server if the request is repeatable or has not been executed, else finish it."""
+        """Retry on another server if the request is repeatable or has not been executed; otherwise finish it."""
         if outcome.reply is not None:
             self._last_error_response = outcome.reply
         will_retry = self._can_retry(outcome) and self._has_time_left()
@@ -369,12 +369,12 @@
         return self.admitted.repeatable or not (outcome.may_have_executed or self._may_have_executed)
 
     def _is_body_partly_sent(self) -> bool:
-        """Return whether part of a streamed body was sent. It is not kept: the request can't be sent again."""
+        """Return whether part of a streamed body was sent. It is not buffered, so the request can't be sent again."""
         stream = self.message.stream
         return stream is not None and stream.begun
 
     def _abandon_invalid_stream(self, error: BrokenStreamError) -> None:
-        """Abort an attempt whose server sends events that can't continue the stream."""
+        """Abort the attempt: its server sent events that can't continue the stream."""
         attempt = self._attempt
         assert attempt is not None
         LOG.warning("streams.broken", server=attempt.server.id, reason=str(error))
@@ -383,17 +383,17 @@
         self._on_stream_interrupted(attempt.server, AttemptResult.RESET)
 
     def _requeue_not_sent(self, server: ServerConnections) -> None:
-        """Return the request to the router: the server drains or has left, and nothing was sent to it."""
+        """Route the request again: the server is draining or was removed, and nothing was sent to it."""
         self._abort_attempt()
         self._change(RequestState.QUEUED)
         self._context.report_attempt(self, server.id, AttemptResult.CONNECT_FAILED, True)
 
     def _is_client_waiting(self) -> bool:
-        """Return whether the client is still connected; finish the request where it is not.
+        """Return whether the client is still connected; finish the request if it is not.
 
-        The kernel is asked, as the client's close may not have been read yet.
+        This checks the socket, as the client's close may not have been read yet.
         """
-        if self.message.connection.look():
+        if self.message.connection.check_disconnected():
             self.on_client_disconnected()
         return self.state is not RequestState.FINISHED
 
@@ -404,12 +404,12 @@
             attempt.abort()
 
     def _cancel(self) -> None:
-        """Take the request back from its server and from the router."""
+        """Abort the attempt and withdraw the request from the router."""
         self._abort_attempt()
         if self.state is not RequestState.AWAITING_QUOTA:
             self._context.cancel(self)
 
-    # --- time
+    # --- deadline
 
     def _has_time_left(self) -> bool:
         return self._loop.time() < self._deadline
@@ -417,7 +417,8 @@
     def _on_deadline(self) -> None:
         """Abort the request: its route's time-out has passed, or its client is about to give up.
 
-        A stream that has delivered events is answered already, and continues up to its client's own deadline.
+        The route's time-out does not apply to a stream that has delivered events: it may continue up to the client's
+        deadline.
         """
         admitted, limit = self.admitted, self.admitted.client_deadline
         has_forwarded = self._inactivity.last_forwarded_at > admitted.arrived
@@ -428,10 +429,10 @@
         self._deadline = limit
         self._deadline_timer = self._loop.call_at(limit, self._on_deadline)
 
-    # --- how a request finishes
+    # --- end of the request
 
     def _abort_request(self) -> None:
-        """Finish the request now, whatever its state."""
+        """Finish the request now, in any state."""
         if self.state is RequestState.FINISHED:
             return
         may_have_executed = self._may_have_executed or self.state in SENT_STATES
@@ -444,7 +445,7 @@
             self._finish_with_local_response(503, DEFAULT_RETRY_AFTER_S)
 
     def _finish_without_server(self, last: AttemptResult | None, retry_after_s: float) -> None:
-        """Finish a request for which no server is left."""
+        """Finish a request that can't be sent to a further server."""
         if self._response.is_started:
             self._finish_truncated()
         elif self._last_error_response is not None:
@@ -457,7 +458,7 @@
     def _finish_rejected(self, rejection: Rejection) -> None:
         """Finish a request that may not be sent any more.
 
-        Where a server may have executed it, a status that promises the opposite is replaced by 502.
+        If a server may have executed it, a status that implies the opposite is replaced by 502.
         """
         if self._response.is_started:
             self._finish_truncated()
--- a/rosechute/data_plane/request_headers.py
+++ b/rosechute/data_plane/request_headers.py
@@ -1,4 +1,7 @@
-"""Names and values of the request headers by which the edge admits and routes a request. Pure."""
+"""Parsing of the request headers that admission and routing use.
+
+Pure: performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 PROMPT_PREFIX = b"x-rosechute-prompt-prefix"
 MODEL = b"x-rosechute-model"
 LAST_EVENT_ID = b"last-event-id"
-_SINGLE_HEADERS = (REQUEST_ID, CREDENTIAL, DEADLINE, LAST_EVENT_ID)  # that may not be repeated
+_SINGLE_HEADERS = (REQUEST_ID, CREDENTIAL, DEADLINE, LAST_EVENT_ID)  # headers that may occur only once
 _REQUEST_ID = re.compile(rb"[!-~]{1,256}")
 _NUMBER = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{0,9})?")
 _TOKEN_COUNTS = re.compile(rb"([0-9]{1,9}) *, *([0-9]{1,9})")
@@ -23,9 +26,9 @@
 
 
 def header_fields(message: Message) -> dict[bytes, bytes] | None:
-    """Return the first value of each header by name; None where a header that may not be repeated is."""
-    if message.told is not None:
-        return message.told
+    """Return the first value of each header by name; None if a header is repeated that may occur only once."""
+    if message.headers_by_name is not None:
+        return message.headers_by_name
     fields: dict[bytes, bytes] = {}
     for name, value in message.headers:
         if name in fields and name in _SINGLE_HEADERS:
@@ -35,25 +38,25 @@
 
 
 def is_request_id(value: bytes) -> bool:
-    """Return whether a value may be a request's id: 1 to 256 visible ASCII characters."""
+    """Return whether a value is a valid request id: 1 to 256 visible ASCII characters."""
     return _REQUEST_ID.fullmatch(value) is not None
 
 
 def parse_milliseconds(value: bytes | None, default_s: float) -> float:
-    """Return a header's milliseconds in seconds; `default_s` where it is absent or malformed."""
+    """Convert a header value in milliseconds to seconds; return `default_s` if it is absent or malformed."""
     if value is None or _NUMBER.fullmatch(value) is None:
         return default_s
     return float(value) / 1e3
 
 
 def parse_token_counts(value: bytes | None) -> tuple[int, int] | None:
-    """Return the numbers of input and output tokens; None where the header is absent or malformed."""
+    """Return the numbers of input and output tokens; None if the header is absent or malformed."""
     found = _TOKEN_COUNTS.fullmatch(value) if value else None
     return (int(found[1]), int(found[2])) if found is not None else None
 
 
 def parse_prompt_parts(value: bytes | None) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt in order; none where the header is absent or malformed."""
+    """Return the parts of the prompt prefix in order; an empty tuple if the header is absent or malformed."""
     if not value:
         return ()
     parts = []
--- a/rosechute/data_plane/request_state.py
+++ b/rosechute/data_plane/request_state.py
@@ -1,12 +1,14 @@
-"""The states of a client request and the transitions between them. Pure.
+"""The states of a client request and the transitions between them.
 
 ```
 AWAITING_QUOTA -> QUEUED -> CONNECTING -> SENT -> STREAMING -> FINISHED
                     ^           |           |         |
-                    +-----------+-----------+---------+   (a retry at another server)
+                    +-----------+-----------+---------+   (a retry on another server)
 ```
 
-Every state may also change to FINISHED: the client has its answer, or has disconnected.
+Every state may also change to FINISHED: the client has got its response, or has disconnected.
+
+Pure: performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -17,12 +19,12 @@
 class RequestState(enum.Enum):
     """The state of one client request."""
 
-    AWAITING_QUOTA = "awaiting quota"  # the tokens of its tenant's quota have been requested
-    QUEUED = "queued"  # the router has to select a server
-    CONNECTING = "connecting"  # to the selected server; no byte has been written
+    AWAITING_QUOTA = "awaiting quota"  # waiting for tokens of the tenant's quota
+    QUEUED = "queued"  # waiting for the router to select a server
+    CONNECTING = "connecting"  # waiting for a connection to the selected server; no byte of the request is written
     SENT = "sent"  # bytes of the request may have reached the server
-    STREAMING = "streaming"  # the response is forwarded while it arrives
-    FINISHED = "finished"  # answered, or its client has disconnected
+    STREAMING = "streaming"  # the response is forwarded as it arrives
+    FINISHED = "finished"  # the response was sent, or the client has disconnected
 
 
 TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
@@ -34,21 +36,21 @@
     RequestState.FINISHED: frozenset(),
 }
 
-# No attempt is at a server.
+# States in which no server has the request.
 NOT_SENT_STATES = frozenset({RequestState.AWAITING_QUOTA, RequestState.QUEUED, RequestState.CONNECTING})
-# A server may be executing the request.
+# States in which a server may be executing the request.
 SENT_STATES = frozenset({RequestState.SENT, RequestState.STREAMING})
 
 
 class InvalidTransitionError(Exception):
-    """A request was to change to a state that can't follow its current one: a fault of the program."""
+    """A state can't follow the current one, which indicates a bug."""
 
     def __init__(self, before: RequestState, after: RequestState) -> None:
         super().__init__(f"{before.value} to {after.value}")
 
 
 def validated_transition(before: RequestState, after: RequestState) -> RequestState:
-    """Return `after`.
+    """Return `after` if the transition is valid.
 
     Raises:
         InvalidTransitionError: `after` can't follow `before`.
--- a/rosechute/data_plane/server_request.py
+++ b/rosechute/data_plane/server_request.py
@@ -1,4 +1,7 @@
-"""Serialization of a request as model servers get it. Pure."""
+"""Serialization of requests to model servers.
+
+Pure: performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 if TYPE_CHECKING:
     from rosechute.data_plane.admission import AdmittedRequest
 
-# Headers that are not forwarded: those of one connection (RFC 9110, 7.6.1), and those that the edge itself sets.
+# Headers that are not forwarded: hop-by-hop ones (RFC 9110, section 7.6.1), and those that the edge itself sets.
 NOT_FORWARDED = HOP_BY_HOP | {
     b"content-length",
     b"expect",
@@ -32,17 +35,18 @@
     b"x-rosechute-tenant",
     b"x-rosechute-expect-instance",
 }
-# Headers that servers need as the client sent them: a client's `Connection` header can't remove one of them.
+# Headers that servers need unchanged: a client can't remove them by naming them in its `Connection` header.
 END_TO_END = frozenset({b"host", REQUEST_ID, MODEL, TOKEN_COUNT, PROMPT_PREFIX})
 
 
 @dataclass(frozen=True, slots=True)
 class ResumePoint:
-    """Where another server has to continue an interrupted event stream.
+    """The position at which another server has to continue an interrupted event stream.
 
     Attributes:
-        last_event_id: Of the last event that was forwarded, or the client's own where none was; None for none.
-        version: Of the weights by which the response is made; None where it is not known.
+        last_event_id: Id of the last forwarded event, or the client's `Last-Event-Id` if none was forwarded; None for
+            neither.
+        version: Version of the weights that the response is produced with; None if it is not known.
     """
 
     last_event_id: bytes | None
@@ -50,11 +54,11 @@
 
 
 def serialize_head(message: Message, tenant: Tenant | None, priority: int) -> bytes:
-    """Return the head of a request as every server gets it, without its end and the headers of one attempt.
+    """Serialize the part of the head that is common to all attempts, without the blank line at its end.
 
     Args:
         message: The request.
-        tenant: Whose request it is; None where tenants do not matter.
+        tenant: Tenant of the request; None for a request without a tenant.
         priority: Value of the header `Priority`; 0 is the most urgent.
     """
     dropped = NOT_FORWARDED
@@ -76,14 +80,14 @@
 def serialize_attempt(
     admitted: AdmittedRequest, server_id: str, left_s: float, resume: ResumePoint | None, body: bytes
 ) -> bytes:
-    """Return the request as one server gets it.
+    """Serialize the request for one attempt.
 
     Args:
         admitted: The request.
-        server_id: Of the server, which refuses a request that is meant for another instance.
-        left_s: Seconds up to the deadline.
-        resume: Where the server has to continue; None for a new response.
-        body: The body; empty where it is forwarded while it arrives.
+        server_id: Id of the server, which rejects a request that is meant for another instance.
+        left_s: Seconds until the deadline.
+        resume: Position at which the server has to continue; None for a new response.
+        body: The body; empty if it is forwarded as it arrives.
     """
     lines = [admitted.head]
     last = resume.last_event_id if resume is not None else admitted.last_event_id
--- a/rosechute/data_plane/shutdown.py
+++ b/rosechute/data_plane/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of an edge: every accepted request gets its response, as far as the grace period allows."""
+"""Graceful shutdown of an edge: requests in progress get their responses within the grace period."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from rosechute.data_plane.route_durations import RouteDurations
 from rosechute.proxy.core.log import LOG
 
-MIN_DRAIN_S = 2.5  # for so long clients may still be sent here: readiness checks need time to fail
-RESPONSE_QUANTILE = 0.9  # of its route's durations, by which the duration of a request is estimated
-STREAM_QUANTILE = 0.75  # the same for streams: a rejection may cost their clients as much as a truncation
-EARLY_STREAM_WINDOW_S = 2.5  # from the begin; a stream that arrives later must not be truncated
-LATE_STREAM_FACTOR = 3.0  # such a stream needs this many times its route's longest recent duration
-STOP_ACCEPTING_BEFORE_END_S = 0.7  # before the end: from then on no connection is accepted and no request sent
-ABORT_BEFORE_END_S = 0.15  # before the end: open requests are aborted
-CLIENT_READ_TIMEOUT_S = 0.3  # for clients to read their last response
+MIN_DRAIN_S = 2.5  # clients may still be directed to this edge until its readiness checks have failed
+RESPONSE_QUANTILE = 0.9  # quantile of its route's durations that estimates the duration of a request
+STREAM_QUANTILE = 0.75  # lower for streams: a rejection may cost a client as much as a truncation
+EARLY_STREAM_WINDOW_S = 2.5  # after the start; streams that arrive later must not be truncated
+LATE_STREAM_FACTOR = 3.0  # such a stream is admitted if this multiple of its route's longest recent duration is left
+STOP_ACCEPTING_BEFORE_END_S = 0.7  # time before the end at which accepting connections and sending requests stops
+ABORT_BEFORE_END_S = 0.15  # time before the end at which open requests are aborted
+CLIENT_READ_TIMEOUT_S = 0.3  # time for clients to read their last response
 POLL_INTERVAL_S = 0.02
 
 
 class Shutdown:
-    """One graceful shutdown. It begins when this object is made.
+    """A graceful shutdown, which starts when this object is created.
 
     Args:
         loop: The event loop.
-        listener: Accepts the clients' connections; starts draining at once.
-        durations: Recent durations by route, for estimates.
-        grace_s: Seconds from the begin to the end of the process.
+        listener: Listener for clients; starts draining at once.
+        durations: Recent durations by route, which are used for estimates.
+        grace_s: Seconds from the start of the shutdown to the end of the process.
     """
 
     def __init__(
@@ -43,9 +43,9 @@
     def can_finish_in_time(self, admitted: AdmittedRequest) -> bool:
         """Return whether a request that is sent to a server now finishes before open requests are aborted.
 
-        Its deadline or its route's time-out may guarantee it. Otherwise the duration is estimated. An estimate that
-        is too low costs a 504, but truncates a stream that has started: for a stream that arrives when clients need
-        not come here any more, the estimate has a wide margin.
+        The request's deadline or its route's time-out may guarantee it; otherwise its duration is estimated. If the
+        estimate is too low, a request gets a 504, but a started stream is truncated. The estimate therefore has a
+        wide margin for streams that arrive when clients need not use this edge any more.
         """
         if completion_deadline(admitted) <= self._abort_at:
             return True
@@ -53,7 +53,7 @@
         return estimated_s is not None and self._loop.time() + estimated_s <= self._abort_at
 
     def _estimated_s(self, admitted: AdmittedRequest) -> float | None:
-        """Estimate the duration of a request in seconds; None where too few are known to take the risk."""
+        """Return the estimated duration of a request in seconds; None if there are too few samples."""
         route = admitted.route
         if not route.streaming:
             quantile_s = self._durations.quantile_s(route.name, RESPONSE_QUANTILE)
@@ -65,7 +65,7 @@
         return maximum_s * LATE_STREAM_FACTOR if maximum_s is not None else None
 
     async def finish(self) -> None:
-        """Serve until nothing is open or the time is over, then abort what is open."""
+        """Serve until no request is in progress or the time is over, then abort open requests."""
         listener = self._clients.listener
         while not self._is_idle():
             now = self._loop.time()
@@ -90,31 +90,31 @@
             request.abort()
 
     async def _wait_for_clients_to_read(self) -> None:
-        """Wait for clients to read their last responses: the end of the process resets unread connections."""
+        """Wait for clients to read their last responses: exiting resets connections with unread data."""
         until = min(self._loop.time() + CLIENT_READ_TIMEOUT_S, self._end - POLL_INTERVAL_S)
         await asyncio.sleep(POLL_INTERVAL_S)
         while self._clients.listener.connections and self._loop.time() < until:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _is_idle(self) -> bool:
-        """Return whether nothing is open and no client is sent here any more."""
+        """Return whether no request is in progress and no client is directed to this edge any more."""
         if self._loop.time() < self._begun + MIN_DRAIN_S:
             return False
         listener = self._clients.listener
-        has_open = len(listener.connections) > len(listener.leaving) or listener.sending()
+        has_open = len(listener.connections) > len(listener.lingering) or listener.sending()
         if listener.accepting and has_open:
             return False
-        listener.close()  # accepts what the kernel has queued, and stops listening once the queue is empty
+        listener.close()  # accepts the connections in the kernel's queue, and stops listening once it is empty
         return not listener.busy()
 
     def _reject_unfinishable(self) -> None:
-        """Reject requests that are not at a server and could not finish in time: another edge may serve them."""
+        """Reject unsent requests that could not finish in time: another edge may serve them."""
         for request in list(self._clients.requests.values()):
             if request.state in NOT_SENT_STATES and not self.can_finish_in_time(request.admitted):
                 request.reject_if_not_sent()
 
     def _stop_accepting(self) -> None:
-        """Accept what the kernel has queued, and reject every request that is not at a server."""
+        """Accept the connections in the kernel's queue, and reject every request that has not been sent."""
         self._clients.is_rejecting = True
         self._clients.listener.close()
         for request in list(self._clients.requests.values()):
--- a/rosechute/distribution/catch_up.py
+++ b/rosechute/distribution/catch_up.py
@@ -1,10 +1,10 @@
-"""Anti-entropy of an edge: the topics that it is behind in, and when it fetches them from the core itself.
+"""Anti-entropy of an edge: the topics whose value is outdated, and when the edge fetches them from the core itself.
 
 Updates normally come through the home edge, which gets a short head start before a fetch is due.
 
-A link keeps the order of its messages. So where the reply to a renewal comes that was sent after a fetch on the same
-link, and the update has not come before it, the update was lost: it is fetched again at once. Otherwise a fetch is
-repeated under backoff, as its reply may still be on its way over a slow link.
+A link preserves the order of its messages. If a renewal was sent after a fetch on the same link and its reply arrives
+before the update, the update was lost and is fetched again at once. Otherwise a fetch is repeated under backoff, as
+its reply may still be in transit over a slow link.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from rosechute.distribution.topics import Position
 
-PATIENCE_S = 0.15  # the home edge's head start: one push from the leader and one relay
-PATIENCE_PER_EDGE_S = 0.01  # added per edge of the zone: a home relays to its subscribers one after the other
+PATIENCE_S = 0.15  # head start of the home edge: time for one push from the leader and one relay
+PATIENCE_PER_EDGE_S = 0.01  # head start per edge of the zone: a home relays to its subscribers one by one
 RETRY_FIRST_S = 0.5  # backoff after the first fetch; doubles with each attempt
 RETRY_LIMIT_S = 2.0  # upper bound of the backoff
 
@@ -26,8 +26,8 @@
 
     topic: str
     source: str  # address of the core machine that reported the position
-    attempt: int  # from 0
-    is_lost: bool  # the reply to the fetch before was lost
+    attempt: int  # number of earlier fetches of this position
+    is_lost: bool  # the reply to the previous fetch was lost
 
 
 @dataclass(slots=True)
@@ -38,9 +38,9 @@
     source: str
     fetch_at: float
     attempts: int = 0
-    fetched_from: str = ""  # address that the newest fetch was sent to; empty for none
+    fetched_from: str = ""  # address that the newest fetch was sent to; empty if there is none
     fetched_at: float = math.inf
-    is_lost: bool = False  # the reply to the newest fetch
+    is_lost: bool = False  # the reply to the newest fetch was lost
 
 
 class CatchUp:
@@ -65,7 +65,7 @@
             pending.position, pending.source, pending.attempts = position, source, 0
 
     def on_position_applied(self, topic: str, position: Position) -> None:
-        """Record that this position is held now."""
+        """Record that the edge now holds this position."""
         pending = self._pending.get(topic)
         if pending is not None and position >= pending.position:
             del self._pending[topic]
@@ -87,7 +87,7 @@
         pending.fetched_from, pending.fetched_at = address, now
 
     def on_reply(self, now: float, address: str, sent_at: float) -> None:
-        """Make the fetches due again whose replies were lost.
+        """Make fetches due again if their replies were lost.
 
         Args:
             now: The current time.
--- a/rosechute/distribution/confirmation.py
+++ b/rosechute/distribution/confirmation.py
@@ -4,20 +4,21 @@
 
 import math
 
-PENDING_LIMIT = 8  # sequences that are awaited at once; more means that updates don't get through
+PENDING_LIMIT = 8  # maximum number of awaited sequences; more means that updates don't get through
 
 
 class Confirmation:
     """Derives the confirmed time from answers to renewals, for the configuration in force only.
 
-    An answer with age a and sequence s to a renewal sent at t states: at t - a nothing newer than s was acknowledged.
-    The answering side measures its age not before t, so t - a is never too late, however late the answer arrives.
+    An answer with age a and sequence s to a renewal sent at t states that at t - a nothing newer than s was
+    acknowledged. The answering side measures the age no earlier than t, so t - a is never too late, even if the
+    answer is delayed.
     """
 
     def __init__(self) -> None:
         self.confirmed_at = -math.inf
         self._applied_sequence = 0
-        self._pending: dict[int, float] = {}  # confirmed time by sequence that is not in force yet
+        self._pending: dict[int, float] = {}  # confirmed time by sequence, for sequences that are not in force yet
 
     def on_answer(self, sent_at: float, sequence: int, age_s: float) -> None:
         """Process an answer to a renewal.
--- a/rosechute/distribution/core_directory.py
+++ b/rosechute/distribution/core_directory.py
@@ -1,4 +1,4 @@
-"""The core machines of the current view, as the renewals' answers report them to the edges."""
+"""The core machines of the current view, as answers to renewals report them to the edges."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     """A core machine of the current view."""
 
     id: str
-    address: str  # of its link, host:port
-    control: str  # of the operator's API, host:port
+    address: str  # link address, host:port
+    control: str  # address of the operator's API, host:port
 
 
 class CoreDirectory:
-    """The core machines and a digest of them, by which an edge shows that it knows them."""
+    """The core machines and a digest of them, which an edge sends to show that it knows them."""
 
     def __init__(self) -> None:
-        self.digest = 0  # of no machines
+        self.digest = 0  # 0 means that no machines are set
         self._machines: tuple[pb.CoreMachine, ...] = ()
 
     def set_machines(self, machines: Sequence[CoreAddress]) -> None:
@@ -31,8 +31,8 @@
             pb.CoreMachine(id=one.id, address=one.address, control=one.control) for one in machines
         )
         lines = "\n".join(f"{one.id} {one.address} {one.control}" for one in machines)
-        self.digest = zlib.crc32(lines.encode()) or 1  # 0 stands for no machines
+        self.digest = zlib.crc32(lines.encode()) or 1  # 0 is reserved for "no machines"
 
     def unknown_to(self, digest: int) -> tuple[pb.CoreMachine, ...]:
-        """Return the machines for an edge that sent this digest: none where it knows them."""
+        """Return the machines for an edge that sent this digest; none if the edge knows them already."""
         return self._machines if digest != self.digest else ()
--- a/rosechute/distribution/endpoint_lists.py
+++ b/rosechute/distribution/endpoint_lists.py
@@ -1,6 +1,6 @@
 """The endpoint lists of the leader: readings of the platform's list become revisions of the services' lists.
 
-Only lists that were read in the leader's own term may be sent: fencing against a former leader's readings.
+Only lists that were read in the leader's own term may be sent, which fences off the readings of a former leader.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class EndpointLists:
-    """The lists in a store, as of readings under one term."""
+    """The endpoint lists in a store, updated from the readings of one term."""
 
     def __init__(self, store: TopicStore) -> None:
         self._store = store
         self._term = 0
-        self._is_read = False  # in this term
+        self._is_read = False  # whether the list was read in this term
 
     def begin_term(self, term: int) -> None:
-        """Start a term, in which nothing was read yet."""
+        """Start a term: lists of earlier terms are no longer sendable."""
         self._term = term
         self._is_read = False
 
@@ -57,7 +57,7 @@
         return [value for value in self._store.lists() if self.sendable(value.topic, is_leader=True) is not None]
 
     def sendable(self, topic: str, *, is_leader: bool) -> Value | None:
-        """Return the value of a topic that this machine may send: lists under the lease and of its own term only."""
+        """Return a topic's value if this machine may send it: a list only under the lease and of its own term."""
         value = self._store.get(topic)
         if value is None or topic == CONFIG_TOPIC:
             return value
--- a/rosechute/distribution/fan_out.py
+++ b/rosechute/distribution/fan_out.py
@@ -13,7 +13,7 @@
 from rosechute.distribution.store import TopicStore
 from rosechute.distribution.topics import NO_POSITION, Position
 
-SUBSCRIPTION_S = 5.0  # lifetime of a subscription that is not renewed, and of a silent target
+SUBSCRIPTION_S = 5.0  # lifetime of a subscription without renewal, and of a target without messages
 
 
 @dataclass(slots=True)
@@ -22,17 +22,19 @@
 
     connection: Connection | None
     last_received_at: float
-    sent_or_reported: dict[str, Position] = field(default_factory=dict)  # the newest position on this connection
-    reported: dict[str, Position] = field(default_factory=dict)  # by the target itself: certainly held
+    sent_or_reported: dict[str, Position] = field(
+        default_factory=dict
+    )  # newest position by topic, on this connection
+    reported: dict[str, Position] = field(default_factory=dict)  # reported by the target, so it holds them
 
 
 class FanOut:
-    """Targets by name, their subscriptions, and the positions that each holds."""
+    """Targets by name, their subscriptions, and the positions that each target holds."""
 
     def __init__(self, store: TopicStore) -> None:
         self._store = store
         self._targets: dict[str, _Target] = {}
-        self._subscriptions: dict[str, dict[str, float]] = {}  # expiry by topic and name
+        self._subscriptions: dict[str, dict[str, float]] = {}  # expiry time by topic and target name
         self._hints = Hints()
 
     def on_report(
--- a/rosechute/distribution/freshness.py
+++ b/rosechute/distribution/freshness.py
@@ -1,4 +1,4 @@
-"""The knowledge of a core machine that no configuration newer than a sequence was acknowledged as of a time."""
+"""Freshness of a core machine's configuration: the newest acknowledged sequence, and as of which time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from rosechute.messages import distribution_pb2 as pb
 
-LARGEST_AGE_MS = 2**32 - 1  # of the message's field
+LARGEST_AGE_MS = 2**32 - 1  # maximum of the uint32 field in the message
 
 
 class ConfigurationFreshness:
@@ -28,7 +28,7 @@
 
         Args:
             now: The time of the answer.
-            held_sequence: Of the committed configuration held here, which may be newer.
+            held_sequence: Sequence of the committed configuration held here, which may be newer.
             answer: The answer to complete.
         """
         answer.config_sequence = max(self._sequence, held_sequence)
--- a/rosechute/distribution/hints.py
+++ b/rosechute/distribution/hints.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-HINT_LIFETIME_S = 60.0  # a target that was away for longer catches up by itself: its renewals report positions
+HINT_LIFETIME_S = 60.0  # a target that is away for longer catches up through the positions in its renewals
 
 
 class Hints:
     """Missed topics by target."""
 
     def __init__(self) -> None:
-        self._missed: dict[str, dict[str, float]] = {}  # expiry by target and topic
+        self._missed: dict[str, dict[str, float]] = {}  # expiry time by target and topic
 
     def add(self, target: str, topic: str, now: float) -> None:
         """Record that an update of this topic could not be sent to this target."""
--- a/rosechute/distribution/home_edges.py
+++ b/rosechute/distribution/home_edges.py
@@ -11,10 +11,10 @@
 
 
 def rendezvous_weight(topic: str, name: str) -> bytes:
-    """Return the weight of an edge for a topic; the edge with the greatest one is the home."""
+    """Return the weight of an edge for a topic; the edge with the greatest weight is the home."""
     return blake2b(f"{topic}\0{name}".encode(), digest_size=8).digest()
 
 
 def home_edge(topic: str, names: Iterable[str]) -> str | None:
-    """Return the home of a topic among these edges of one zone; None where there are no edges."""
+    """Return the home of a topic among these edges of one zone; None if there are no edges."""
     return max(names, key=lambda name: (rendezvous_weight(topic, name), name), default=None)
--- a/rosechute/distribution/home_subscriptions.py
+++ b/rosechute/distribution/home_subscriptions.py
@@ -1,4 +1,4 @@
-"""The subscription of an edge to each topic, at the home edge of its zone, or at the leader while that home fails."""
+"""The subscriptions of an edge: one per topic, at the home edge of its zone or, while that fails, at the leader."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from rosechute.distribution.home_edges import home_edge
 from rosechute.distribution.membership import EdgeIdentity
 
-RESUBSCRIBE_S = 2.0  # renewal of a subscription; well below the lifetime SUBSCRIPTION_S at the home
-HOME_TIMEOUT_S = 0.5  # for the answer to a subscription
-SUSPICION_S = 2.0  # a failed home is not retried for so long
+RESUBSCRIBE_S = 2.0  # renewal interval; well below SUBSCRIPTION_S, the lifetime at the home
+HOME_TIMEOUT_S = 0.5  # time limit for the answer to a subscription
+SUSPICION_S = 2.0  # time before a failed home is tried again
 
 
 class SubscriptionState(enum.Enum):
     """How updates of a topic reach this edge."""
 
-    LOCAL = "local"  # this edge is the home, or no home is known: the leader sends unasked
-    SUBSCRIBING = "subscribing"  # sent to the home, the answer is due
+    LOCAL = "local"  # this edge is the home, or no home is known: the leader sends updates unasked
+    SUBSCRIBING = "subscribing"  # the request was sent to the home; its answer is awaited
     SUBSCRIBED = "subscribed"  # the home answered
-    DIRECT = "direct"  # the home failed: subscribed at the leader until the suspicion ends
+    DIRECT = "direct"  # the home failed; subscribed at the leader until the suspicion ends
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     """Subscribe to a topic at a home, or at the leader."""
 
     topic: str
-    home_address: str | None  # None: at the leader
+    home_address: str | None  # None for a subscription at the leader
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     topic: str
     state: SubscriptionState = SubscriptionState.LOCAL
     home: EdgeIdentity | None = None
-    due_at: float = math.inf  # of the next transition
+    due_at: float = math.inf  # time of the next transition
     suspected_until: float = -math.inf
     is_request_pending: bool = False
 
@@ -69,7 +69,7 @@
             self._assign_home(now, subscription)
 
     def set_zone_edges(self, now: float, edges: Iterable[EdgeIdentity]) -> None:
-        """Set the edges of the zone that may be homes; topics whose home is another one now move to it."""
+        """Set the edges of the zone that may be homes; topics with a new home move to it."""
         self._edges = {edge.name: edge for edge in edges}
         for subscription in self._subscriptions.values():
             self._assign_home(now, subscription)
@@ -83,14 +83,14 @@
             self._to_subscribed(now, subscription)
 
     def on_home_failure(self, now: float, address: str) -> None:
-        """Move the topics of the home at this address to the leader: it timed out, or its link ended."""
+        """Move the topics of the home at this address to the leader: the home timed out, or its link ended."""
         for subscription in self._subscriptions.values():
             is_at_home = subscription.state in (SubscriptionState.SUBSCRIBING, SubscriptionState.SUBSCRIBED)
             if is_at_home and subscription.home is not None and subscription.home.address == address:
                 self._to_direct(now, subscription)
 
     def on_leader_changed(self) -> None:
-        """Renew the subscriptions at the leader: a new one does not know them."""
+        """Renew the subscriptions at the leader: a new leader does not know them."""
         for subscription in self._subscriptions.values():
             if subscription.state is SubscriptionState.DIRECT:
                 subscription.is_request_pending = True
--- a/rosechute/distribution/leader_search.py
+++ b/rosechute/distribution/leader_search.py
@@ -1,10 +1,10 @@
 """Discovery of the core's leader by an edge, and the schedule of its membership renewals.
 
-Attached: renew at the leader every RENEW_INTERVAL_S.
-Searching, after a time-out, a refusal or a closed link: renew at the other core machines in turn, PROBES_AT_ONCE
-every PROBE_INTERVAL_S; each one that answers names the leader if it knows it. Without a leader for
-PEER_PROBES_AFTER_S, the edges of the zone are probed too: all core machines known here may have been replaced while
-this edge was cut off.
+Attached: the edge renews at the leader every RENEW_INTERVAL_S.
+Searching, after a time-out, a refusal or a closed link: the edge sends renewals to the other core machines in turn,
+PROBES_AT_ONCE every PROBE_INTERVAL_S; a machine that answers names the leader if it knows it. After
+PEER_PROBES_AFTER_S without a leader, the edges of the zone are probed too: all known core machines may have been
+replaced while this edge was cut off.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 from rosechute.distribution.membership import RENEW_INTERVAL_S
 
-LEADER_TIMEOUT_S = 0.5  # a renewal is unanswered and nothing came from the leader for so long: search
+LEADER_TIMEOUT_S = 0.5  # the search starts if a renewal is unanswered and the leader silent for this time
 LATE_ANSWER_GRACE_S = (
-    0.7  # after that time-out it may still answer over a crowded link: keep sending it other messages
+    0.7  # other messages still go to the leader after LEADER_TIMEOUT_S: it may answer late over a congested link
 )
 PROBE_INTERVAL_S = 0.1
 PROBES_AT_ONCE = 2
-PEER_PROBES_AFTER_S = 1.5  # without a leader; elections are over before
+PEER_PROBES_AFTER_S = 1.5  # time without a leader; elections take less
 PEER_PROBE_INTERVAL_S = 0.2
-ANSWER_LIMIT_S = 10.0  # older renewals are forgotten
-ADDRESS_LIMIT = 32  # core machines that are probed
+ANSWER_LIMIT_S = 10.0  # renewals without an answer are dropped after this time
+ADDRESS_LIMIT = 32  # maximum number of core machines that are probed
 
 
 class SearchState(enum.Enum):
@@ -40,7 +40,7 @@
     """A renewal to send."""
 
     address: str
-    request: int  # number that the answer repeats
+    request: int  # request number, repeated in the answer
 
 
 class _PendingRenewal(NamedTuple):
@@ -51,25 +51,25 @@
 
 
 class LeaderSearch:
-    """Where to renew, and when."""
+    """Decides where to send renewals, and when."""
 
     def __init__(self, now: float, seeds: Iterable[str]) -> None:
         self.state = SearchState.SEARCHING
-        self.leaderless_since = now  # of the current search; in the future during LATE_ANSWER_GRACE_S
-        self.leader: str | None = None  # the last known one, also while searching
-        self.term = 0  # the highest of a leader that answered
+        self.leaderless_since = now  # start of the current search; in the future during LATE_ANSWER_GRACE_S
+        self.leader: str | None = None  # last known leader, kept while searching
+        self.term = 0  # highest term of a leader that answered
         self._seeds = list(dict.fromkeys(seeds))
         self._core: list[str] = []
         self._peers: list[str] = []
         self._peer_turn = 0
         self._next_peer_at = now
-        self._candidate: str | None = None  # named as the leader; probed first
+        self._candidate: str | None = None  # machine that was named as the leader; probed first
         self._next_at = now
         self._core_turn = 0
         self._request_numbers = itertools.count(1)
         self._pending: dict[int, _PendingRenewal] = {}
         self._last_sent_at: dict[str, float] = {}
-        self._last_received_at = now  # from the leader
+        self._last_received_at = now  # when the leader was last heard from
 
     def addresses(self) -> list[str]:
         """Return the link address of every known core machine, the leader first."""
@@ -124,7 +124,7 @@
         """Match an answer to its renewal.
 
         Returns:
-            When that renewal was sent, or None where none of this number is pending at this address.
+            When that renewal was sent, or None if no renewal with this number is pending at this address.
         """
         pending = self._pending.get(request)
         if pending is None or pending.address != address:
@@ -133,7 +133,7 @@
         return pending.sent_at
 
     def accept_leader(self, now: float, address: str, term: int) -> bool:
-        """Attach to a machine that answered as the leader; return False where a later term is known already."""
+        """Attach to a machine that answered as the leader; return False if a later term is known already."""
         if term < self.term:
             return False
         self._to_attached(now, address, term)
@@ -153,7 +153,7 @@
                 self._next_at = now
 
     def on_leadership_announced(self, now: float, address: str, term: int) -> None:
-        """Probe a core machine at once that announces its leadership unasked."""
+        """Probe at once a core machine that announced its leadership unasked."""
         if self.state is SearchState.SEARCHING and term >= self.term:
             self._candidate = address
             self._next_at = now
@@ -181,7 +181,7 @@
         self._next_at = now
 
     def _leader_timeout_at(self) -> float:
-        """Return when the leader counts as lost; a slow leader that answers steadily never does."""
+        """Return when the leader counts as lost; a slow leader that keeps answering is never lost."""
         sent = [pending.sent_at for pending in self._pending.values() if pending.address == self.leader]
         return max(min(sent, default=math.inf), self._last_received_at) + LEADER_TIMEOUT_S
 
@@ -192,7 +192,7 @@
         return RenewalRequest(address, request)
 
     def _next_peer_probe(self, now: float) -> list[str]:
-        """Return the next edge of the zone in turn, where there has been no leader for long."""
+        """Return the next edge of the zone in turn, if there has been no leader for PEER_PROBES_AFTER_S."""
         if not self._peers or now < max(self._next_peer_at, self.leaderless_since + PEER_PROBES_AFTER_S):
             return []
         self._next_peer_at = now + PEER_PROBE_INTERVAL_S
--- a/rosechute/distribution/membership.py
+++ b/rosechute/distribution/membership.py
@@ -1,12 +1,12 @@
-"""Membership leases of the edges at the leader: which edges are alive, in which zone, and as which incarnation."""
+"""Membership leases of the edges at the leader: which edges are alive, in which zone, and their incarnations."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MEMBERSHIP_LEASE_S = 2.0  # five renewals: an edge outlives a few lost messages
+MEMBERSHIP_LEASE_S = 2.0  # five renewal intervals: a few lost messages do not end a membership
 RENEW_INTERVAL_S = 0.4
-MEMBERSHIP_GRACE_S = 1.0  # after an election, until every living edge has had the time to find the leader and renew
+MEMBERSHIP_GRACE_S = 1.0  # time after an election for every living edge to find the leader and renew
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,7 +15,7 @@
 
     name: str
     zone: str
-    address: str  # of its link, host:port
+    address: str  # link address, host:port
 
 
 @dataclass(slots=True)
@@ -23,8 +23,8 @@
     """An edge with a membership lease."""
 
     edge: EdgeIdentity
-    incarnation: int  # drawn at the start of the process
-    is_leaving: bool  # shutting down: still counted, but no home any more
+    incarnation: int  # random number drawn at the start of the process
+    is_leaving: bool  # shutting down: still counted, but no longer a home
     expires_at: float
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, now: float) -> None:
         self._members: dict[str, Member] = {}
-        self._revisions: dict[str, int] = {}  # by zone
+        self._revisions: dict[str, int] = {}  # revision of the edges by zone
         self._complete_at = now + MEMBERSHIP_GRACE_S
 
     def is_complete(self, now: float) -> bool:
--- a/rosechute/distribution/publisher.py
+++ b/rosechute/distribution/publisher.py
@@ -29,7 +29,7 @@
 from rosechute.distribution.values import Configuration, ListedServer
 from rosechute.messages import distribution_pb2 as pb
 
-SEARCHING_EDGE_S = 1.0  # an edge that renewed so recently at a follower still searches: a new leader contacts it
+SEARCHING_EDGE_S = 1.0  # edges that renewed this recently still search; a follower that becomes leader contacts them
 
 QuotaHandler = Callable[[float, pb.QuotaRequest], "pb.QuotaIssue | None"]
 
@@ -69,13 +69,13 @@
         return self._term
 
     def edges_total(self, now: float) -> int:
-        """Return the number of living edges; 0 where it is not known, or this is not the leader."""
+        """Return the number of living edges; 0 if it is unknown or this machine is not the leader."""
         return self._membership.total(now) if self._is_leader else 0
 
     # --- events of the core machine
 
     def leadership_gained(self, now: float, term: int) -> list[SendMessage]:
-        """Start to lead, for a term that is higher than every one before; announce it to the searching edges."""
+        """Become the leader for a term higher than every earlier one; announce it to the searching edges."""
         if self._is_leader and self._term == term:
             return []
         self._state = PublisherState.LEADER
@@ -88,7 +88,7 @@
         return _announce(searching, pb.Renewed(is_leader=True, members_term=term))
 
     def leadership_lost(self, now: float) -> list[SendMessage]:
-        """Stop to lead; announce it to the attached edges."""
+        """Become a follower; announce it to the attached edges."""
         if not self._is_leader:
             return []
         self._state = PublisherState.FOLLOWER
@@ -98,7 +98,7 @@
         return _announce(attached, pb.Renewed())
 
     def set_leader_address(self, address: str | None) -> None:
-        """Set the address of the leader's link, where it is another machine and known."""
+        """Set the address of the leader's link, if it is another machine and known."""
         self._leader_address = address
 
     def set_core_machines(self, machines: Sequence[CoreAddress]) -> None:
@@ -117,7 +117,7 @@
         self._freshness.update(now, sequence, age_s)
 
     def endpoint_list_read(self, now: float, entries: Iterable[ListedServer]) -> list[SendMessage]:
-        """Store a complete reading of the platform's list, made under the lease, and push what changed."""
+        """Store a complete reading of the platform's list, made under the lease, and push the lists that changed."""
         if not self._is_leader:
             return []
         sends: list[SendMessage] = []
@@ -168,12 +168,12 @@
 
     def _empty_unlisted_services(self, now: float, renew: pb.Renew) -> None:
         for topic in self._lists.empty_unlisted(now, [entry.service for entry in renew.lists]):
-            # Not sent from here: the fan-out records the update as sent, and the edges, which the answers to their
-            # renewals show to be behind, fetch it.
+            # The messages are not sent: the fan-out records the update as sent, and the answers to renewals show the
+            # edges that their list is outdated, so they fetch it.
             self._publish(now, topic)
 
     def _answer(self, now: float, renew: pb.Renew) -> pb.Renewed:
-        """Return what every core machine reports: freshness of the configuration, core machines, the leader."""
+        """Return what every core machine answers: configuration freshness, core machines, and the leader."""
         answer = pb.Renewed(request=renew.request, leader=self._leader_address or "", core_digest=self._core.digest)
         self._freshness.report(now, self._store.position(CONFIG_TOPIC).revision, answer)
         answer.core.extend(self._core.unknown_to(renew.core_digest))
@@ -192,7 +192,7 @@
         return answer
 
     def _report_zone_edges(self, renew: pb.Renew, answer: pb.Renewed) -> None:
-        """Write the revision of the zone's edges into an answer, and the edges themselves where it is new."""
+        """Write the revision of the zone's edges into an answer, and the edges if the receiver lacks it."""
         revision = self._membership.revision(renew.edge.zone)
         answer.members_revision = revision
         if (renew.members_term, renew.members_revision) != (self._term, revision):
--- a/rosechute/distribution/recent_fetches.py
+++ b/rosechute/distribution/recent_fetches.py
@@ -7,7 +7,7 @@
 from rosechute.distribution.actions import Connection
 from rosechute.distribution.topics import Position
 
-REPEAT_AFTER_S = 2.0  # a snapshot may take that long over a slow link
+REPEAT_AFTER_S = 2.0  # a snapshot may take this long over a slow link
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,11 +32,11 @@
         self._sent[connection, topic] = _SentSnapshot(position, now)
 
     def connection_closed(self, connection: Connection) -> None:
-        """Forget what was sent on this connection."""
+        """Remove the snapshots that were sent on this connection."""
         for key in [key for key in self._sent if key[0] == connection]:
             del self._sent[key]
 
     def expire(self, now: float) -> None:
-        """Forget what was sent too long ago to suppress a repeat."""
+        """Remove the snapshots that were sent too long ago to suppress a repeat."""
         for key in [key for key, sent in self._sent.items() if now - sent.sent_at >= REPEAT_AFTER_S]:
             del self._sent[key]
--- a/rosechute/distribution/requests.py
+++ b/rosechute/distribution/requests.py
@@ -15,10 +15,10 @@
     """Builds the requests of one edge from what it reports about itself."""
 
     edge: EdgeIdentity
-    incarnation: int  # drawn at the start of the process
+    incarnation: int  # random number drawn at the start of the process
     store: TopicStore
-    zone_revision: Position = NO_POSITION  # of the zone's edges that are known here: the leader's term and revision
-    core_digest: int = 0  # of the core machines that are known here; 0 for none
+    zone_revision: Position = NO_POSITION  # revision of the known edges of the zone, with the leader's term
+    core_digest: int = 0  # digest of the known core machines; 0 if there are none
     is_leaving: bool = False
 
     def renew(self, request: int) -> pb.Distribution:
@@ -52,7 +52,7 @@
 
     Args:
         topic: The topic.
-        is_lost: The reply to the fetch before was lost.
+        is_lost: Whether the reply to the previous fetch was lost.
     """
     return pb.Distribution(fetch=pb.Fetch(topic=topic, lost=is_lost))
 
--- a/rosechute/distribution/store.py
+++ b/rosechute/distribution/store.py
@@ -1,4 +1,4 @@
-"""The newest value of each topic that a process holds. A topic's position never goes back."""
+"""The newest value of each topic that a process holds. The position of a topic never decreases."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     """The result of applying an update."""
 
     APPLIED = "applied"
-    STALE = "stale"  # this position, or a newer one, was held already
-    GAP = "gap"  # a delta against a position that is not held
-    INVALID = "invalid"  # can't be decoded, or names no service
+    STALE = "stale"  # the store already holds this position or a newer one
+    GAP = "gap"  # the update is a delta against a position that the store does not hold
+    INVALID = "invalid"  # the update can't be decoded, or names no service
 
 
 class TopicStore:
--- a/rosechute/distribution/subscriber.py
+++ b/rosechute/distribution/subscriber.py
@@ -2,7 +2,7 @@
 
 The edge is itself the home of some topics, and relays their updates to the others of its zone (`zone_relay`).
 
-No position that it holds goes back in the life of the process.
+The positions that it holds never decrease during the lifetime of the process.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from rosechute.distribution.zone_relay import ZoneRelay
 from rosechute.messages import distribution_pb2 as pb
 
-EXPIRE_INTERVAL_S = 1.0  # between two looks for expired subscriptions
+EXPIRE_INTERVAL_S = 1.0  # interval between two checks for expired subscriptions
 
 
 class Subscriber:
@@ -46,9 +46,9 @@
         self._homes.add_topic(now, CONFIG_TOPIC)
         self._updates = TopicUpdates(self._store, self._homes, self._relay, self._catch_up, self._confirmation)
         self._edges_total = 0
-        self._attached_term = 0  # of the leader that the subscriptions were made at
+        self._attached_term = 0  # term of the leader that holds the subscriptions
         self._expire_at = now
-        self._now = now  # of the last tick
+        self._now = now  # time of the last tick
 
     # --- state
 
@@ -78,7 +78,7 @@
         return self._edges_total
 
     def leaderless_since(self) -> float | None:
-        """Return since when there is no leader; None while there is one, or one that timed out just now."""
+        """Return since when there is no leader; None while attached, or while a timed-out leader may still answer."""
         since = self._search.leaderless_since
         return None if self.is_attached or since > self._now else since
 
@@ -109,7 +109,7 @@
         self._search.set_seeds(seeds)
 
     def leave(self, now: float) -> None:
-        """Start the shutdown of this edge: it is still counted, but is no home any more."""
+        """Start the shutdown of this edge: it is still counted, but no longer a home."""
         self._requests.is_leaving = True
         self._search.renew_now(now)
 
--- a/rosechute/distribution/topic_updates.py
+++ b/rosechute/distribution/topic_updates.py
@@ -69,7 +69,7 @@
             return
         patience_s = PATIENCE_S + PATIENCE_PER_EDGE_S * self._homes.zone_size()
         if held == NO_POSITION and self._homes.state(topic) is SubscriptionState.LOCAL:
-            patience_s = 0.0  # nothing to serve with yet, and no home that might relay it
+            patience_s = 0.0  # no head start: the edge has no value yet, and no other edge would relay one
         self._catch_up.on_newer_position(topic, position, source, now + patience_s)
 
     def _on_applied(self, now: float, topic: str) -> list[SendMessage]:
--- a/rosechute/distribution/topics.py
+++ b/rosechute/distribution/topics.py
@@ -1,4 +1,4 @@
-"""Topics of the distribution, and the position of a topic's value: a version that only grows.
+"""Topics of the distribution, and the position of a topic's value: a version that only increases.
 
 A topic is the configuration, or the endpoint list of one service.
 """
--- a/rosechute/distribution/values.py
+++ b/rosechute/distribution/values.py
@@ -20,8 +20,8 @@
 )
 from rosechute.messages import distribution_pb2 as pb
 
-COLD_TOLERANCE_S = 0.5  # warm-up ends that differ by less between two readings count as equal: readings jitter
-BODY_LIMIT_BYTES = 32 * 1024 * 1024  # of a decompressed configuration; bounds the memory a broken update can take
+COLD_TOLERANCE_S = 0.5  # warm-up ends of two readings that differ by less count as equal: they jitter
+BODY_LIMIT_BYTES = 32 * 1024 * 1024  # limit for a decompressed configuration; bounds the memory of a malformed update
 COMPRESSION_LEVEL = 6  # zlib's default
 
 
@@ -34,17 +34,17 @@
     address: str  # host:port
     zone: str
     slots: int
-    ready: bool  # False while it drains
+    ready: bool  # False while the server drains
     cold_until: float = 0.0  # end of its warm-up, in steady time of this process
 
     def is_equivalent_to(self, other: ListedServer, now: float) -> bool:
-        """Return whether both differ in nothing but a tolerated difference of their warm-up ends."""
+        """Return whether both servers are equal, with a tolerance of `COLD_TOLERANCE_S` for their warm-up ends."""
         own_end, other_end = max(self.cold_until, now), max(other.cold_until, now)
         is_same_warm_up = abs(own_end - other_end) < COLD_TOLERANCE_S
         return is_same_warm_up and self._compared_fields() == other._compared_fields()
 
     def _compared_fields(self) -> tuple[str, str, str, str, int, bool]:
-        # A tuple, and no copy with an equal warm-up end: this runs for every entry of every reading.
+        # Tuples are cheaper than copies with equal warm-up ends, and this runs for every entry of every reading.
         return (self.id, self.service, self.address, self.zone, self.slots, self.ready)
 
 
@@ -85,7 +85,7 @@
     service: str
     position: Position
     servers: dict[str, ListedServer]
-    base: Position = NO_POSITION  # NO_POSITION: there is no delta
+    base: Position = NO_POSITION  # NO_POSITION if there is no delta
     changed: tuple[ListedServer, ...] = ()
     removed: tuple[str, ...] = ()
     _encoded: dict[bool, tuple[float, pb.Distribution]] = field(default_factory=dict, compare=False)
@@ -101,9 +101,9 @@
         return not self.changed and not self.removed
 
     def update_message(self, held: Position, now: float) -> pb.Distribution:
-        """Return the update for a receiver at the position `held`: a delta where that is the base, else a snapshot.
+        """Return the update for a receiver at the position `held`: a delta if that is the base, else a snapshot.
 
-        Updates of one moment are encoded once: remaining warm-up times depend on `now`.
+        The encoded message is reused for the same `now` only, since remaining warm-up times depend on it.
         """
         is_delta = self.base != NO_POSITION and held == self.base and held.term == self.position.term
         encoded = self._encoded.get(is_delta)
@@ -147,7 +147,7 @@
 
 
 def decode_configuration(update: pb.ConfigUpdate) -> Configuration | None:
-    """Return the configuration in an update; None where its body can't be decompressed."""
+    """Return the configuration in an update; None if its body can't be decompressed."""
     inflater = zlib.decompressobj()
     try:
         body = inflater.decompress(update.body, BODY_LIMIT_BYTES)
--- a/rosechute/distribution/zone_relay.py
+++ b/rosechute/distribution/zone_relay.py
@@ -22,7 +22,7 @@
         return self._fan_out.publish(now, topic, self._fan_out.subscribers(topic))
 
     def on_subscribe(self, now: float, connection: Connection, subscribe: pb.Subscribe) -> list[SendMessage]:
-        """Accept the subscription of an edge to which this one is the home; return the answer and what it lacks."""
+        """Accept the subscription of an edge whose home is this one; return the answer and the missed updates."""
         topic, name = subscribe.topic, subscribe.edge.name
         answer = pb.Subscribed(topic=topic)
         write_topic_position(answer, self._store.position(topic))
@@ -41,5 +41,5 @@
         self._fan_out.connection_closed(now, connection)
 
     def expire(self, now: float) -> None:
-        """End subscriptions that were not renewed."""
+        """Remove subscriptions that were not renewed."""
         self._fan_out.expire(now)
--- a/rosechute/fakes/__init__.py
+++ b/rosechute/fakes/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins on loopback for what a sidecar works with: servers, discovery, and an application that asks.
+"""Fakes on loopback for the peers of a sidecar: servers, the discovery service, and an application.
 
-Written from the platform's protocol page, for the demo, the tests and the measurements. They remember all that
-a judge needs to say whether the rules were kept.
+They implement the platform's protocol for the demo, the tests and the benchmarks, and record the events from which
+a run is checked against the rules.
 """
--- a/rosechute/fakes/fleet/__init__.py
+++ b/rosechute/fakes/fleet/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins on loopback for what the router fleet works with: the platform's list and entry, model servers, the
-operator, and clients; and the fleet's own processes, to be started and killed. For the demo and for tests.
+"""Fakes on loopback for the peers of the router fleet: the platform's list and entry, model servers, the operator
+and clients. For the demo and the tests, which also start and kill the processes of the fleet itself.
 """
--- a/rosechute/fakes/fleet/entry.py
+++ b/rosechute/fakes/fleet/entry.py
@@ -1,4 +1,4 @@
-"""The platform's entry: which edge a new connection of a client goes to, by readiness and a hash of the client."""
+"""A fake of the platform's entry, which assigns connections to edges by readiness and a hash of the client."""
 
 from __future__ import annotations
 
@@ -9,66 +9,70 @@
 
 import aiohttp
 
-ASK_EVERY_S = 0.25
-"""The platform asks every second; a demo has less time."""
-ASK_WITHIN_S = 0.5
-MISSES = 2
+PROBE_INTERVAL_S = 0.25
+"""Readiness probe interval. The platform uses one second, which is too long for a short demo."""
+PROBE_TIMEOUT_S = 0.5
+MAX_MISSED_PROBES = 2
 
 
 @dataclass(slots=True)
-class Gate:
-    """One edge as the entry sees it."""
+class EdgeEndpoint:
+    """The addresses and the readiness of an edge as the entry sees it."""
 
     name: str
     zone: str
     front: str
     readiness: str
-    misses: int = MISSES
+    missed_probes: int = MAX_MISSED_PROBES
 
     @property
-    def ready(self) -> bool:
-        """Whether it is sent new connections."""
-        return self.misses < MISSES
+    def is_ready(self) -> bool:
+        """Whether the edge receives new connections."""
+        return self.missed_probes < MAX_MISSED_PROBES
 
 
 class Entry:
-    """Asks every edge for its readiness, and names an edge for a client of a zone."""
+    """The platform's entry: probes the readiness of the edges and selects an edge for a client."""
 
-    def __init__(self, gates: Sequence[Gate]) -> None:
-        self.gates = list(gates)
+    def __init__(self, edges: Sequence[EdgeEndpoint]) -> None:
+        self.edges = list(edges)
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to ask."""
-        self._tasks = [asyncio.get_running_loop().create_task(self._watch(gate)) for gate in self.gates]
+        """Start the readiness probes."""
+        self._tasks = [asyncio.get_running_loop().create_task(self._probe(edge)) for edge in self.edges]
 
     async def stop(self) -> None:
-        """Ask no more."""
+        """Stop the readiness probes."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def front(self, zone: str, client: str, attempt: int) -> str:
-        """The front address for a new connection of a client; each retry goes to another edge where there is one."""
-        own = [gate for gate in self.gates if gate.zone == zone]
-        ready = [gate for gate in own if gate.ready]
-        if ready and 2 * len(ready) < len(own):
-            ready = own
-        candidates = ready or [gate for gate in self.gates if gate.ready] or own or self.gates
+        """Return the front address for a new connection of a client.
+
+        Ready edges of the client's zone are preferred. If fewer than half of the zone's edges are ready, all of them
+        are used. A retry (`attempt` above 0) goes to another edge if there is one.
+        """
+        zone_edges = [edge for edge in self.edges if edge.zone == zone]
+        ready = [edge for edge in zone_edges if edge.is_ready]
+        if ready and 2 * len(ready) < len(zone_edges):
+            ready = zone_edges
+        candidates = ready or [edge for edge in self.edges if edge.is_ready] or zone_edges or self.edges
         return candidates[(zlib.crc32(client.encode()) + attempt) % len(candidates)].front
 
     def ready_count(self) -> int:
-        """How many edges are ready."""
-        return sum(gate.ready for gate in self.gates)
+        """Return the number of ready edges."""
+        return sum(edge.is_ready for edge in self.edges)
 
-    async def _watch(self, gate: Gate) -> None:
-        """Ask one edge again and again."""
-        timeout = aiohttp.ClientTimeout(total=ASK_WITHIN_S)
+    async def _probe(self, edge: EdgeEndpoint) -> None:
+        """Probe the readiness of one edge periodically."""
+        timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 try:
-                    async with session.get(f"http://{gate.readiness}/readiness") as answer:
-                        gate.misses = 0 if answer.status == 200 else gate.misses + 1
+                    async with session.get(f"http://{edge.readiness}/readiness") as response:
+                        edge.missed_probes = 0 if response.status == 200 else edge.missed_probes + 1
                 except (aiohttp.ClientError, TimeoutError, OSError):
-                    gate.misses += 1
-                await asyncio.sleep(ASK_EVERY_S)
+                    edge.missed_probes += 1
+                await asyncio.sleep(PROBE_INTERVAL_S)
--- a/rosechute/fakes/fleet/judge.py
+++ b/rosechute/fakes/fleet/judge.py
@@ -1,4 +1,4 @@
-"""What a run of the stand-ins says about the rules: each with whether it was kept, and its figures."""
+"""Checks of a run against the service rules, each with its result and the figures behind it."""
 
 from __future__ import annotations
 
@@ -7,82 +7,93 @@
 from typing import NamedTuple
 
 from rosechute.fakes.fleet import words
-from rosechute.fakes.fleet.clients import Done
+from rosechute.fakes.fleet.clients import RequestResult
 from rosechute.fakes.fleet.engine import Engine
 
-SERVED_LEAST = 0.97
-"""The share of requests that a fleet serves while one process at a time is down."""
+MIN_SERVED_SHARE = 0.97
+"""Minimum fraction of requests that a fleet serves while one process at a time is down."""
 
 
-class Verdict(NamedTuple):
-    """One rule."""
+class RuleResult(NamedTuple):
+    """The result of the check of one rule."""
 
     rule: str
-    kept: bool
+    is_kept: bool
     figures: str
 
 
-def endings(done: Iterable[Done]) -> str:
-    """How tries ended, the most frequent first: statuses, or why there was none."""
-    counts = Counter(str(tried.status or tried.problem) for one in done for tried in one.tries)
+def count_endings(results: Iterable[RequestResult]) -> str:
+    """Return the counts of attempts by status, or by failure without a status, most frequent first."""
+    counts = Counter(str(attempt.status or attempt.failure) for result in results for attempt in result.attempts)
     return ", ".join(f"{ending}: {count}" for ending, count in counts.most_common())
 
 
-def judge(done: Sequence[Done], engines: Iterable[Engine]) -> list[Verdict]:
-    """The verdict on every rule."""
+def check_run(results: Sequence[RequestResult], engines: Iterable[Engine]) -> list[RuleResult]:
+    """Check every rule and return the results."""
     engines = list(engines)
-    runs = Counter(run.request_id for engine in engines for run in engine.seen.runs)
+    run_counts = Counter(request.request_id for engine in engines for request in engine.stats.started_requests)
     return [
-        _answers(done),
-        _twice(done, runs),
-        _refused(done, runs),
-        _asked(done, runs),
-        _keys(engines),
-        _served(done),
+        _check_responses(results),
+        _check_single_runs(results, run_counts),
+        _check_rejected(results, run_counts),
+        _check_known(results, run_counts),
+        _check_api_keys(engines),
+        _check_served(results),
     ]
 
 
-def _answers(done: Sequence[Done]) -> Verdict:
-    wrong = [tried.problem for one in done for tried in one.tries if tried.status == 200 and " " in tried.problem]
-    return Verdict(
-        "every success is the server's whole answer",
+def _check_responses(results: Sequence[RequestResult]) -> RuleResult:
+    wrong = [
+        attempt.failure
+        for result in results
+        for attempt in result.attempts
+        if attempt.status == 200 and " " in attempt.failure
+    ]
+    return RuleResult(
+        "every success is the server's complete response",
         not wrong,
-        f"{len(wrong)} wrong" + (f", the first: {wrong[0]}" if wrong else ""),
+        f"{len(wrong)} wrong" + (f", first: {wrong[0]}" if wrong else ""),
     )
 
 
-def _twice(done: Sequence[Done], runs: Counter[str]) -> Verdict:
-    twice = [tried for one in done if not one.kind.repeatable for tried in one.tries if runs[tried.request_id] > 1]
-    return Verdict("what may run once has run once at most", not twice, f"{len(twice)} ran more often")
+def _check_single_runs(results: Sequence[RequestResult], run_counts: Counter[str]) -> RuleResult:
+    duplicated = [
+        attempt
+        for result in results
+        if not result.kind.repeatable
+        for attempt in result.attempts
+        if run_counts[attempt.request_id] > 1
+    ]
+    return RuleResult("non-repeatable requests run at most once", not duplicated, f"{len(duplicated)} ran more often")
 
 
-def _refused(done: Sequence[Done], runs: Counter[str]) -> Verdict:
+def _check_rejected(results: Sequence[RequestResult], run_counts: Counter[str]) -> RuleResult:
     ran = [
-        tried
-        for one in done
-        if not one.kind.repeatable
-        for tried in one.tries
-        if tried.status in words.PROMISES and runs[tried.request_id]
+        attempt
+        for result in results
+        if not result.kind.repeatable
+        for attempt in result.attempts
+        if attempt.status in words.NOT_RUN_STATUSES and run_counts[attempt.request_id]
     ]
-    return Verdict("what was refused has not run", not ran, f"{len(ran)} ran all the same")
+    return RuleResult("rejected requests have not run", not ran, f"{len(ran)} ran")
 
 
-def _asked(done: Sequence[Done], runs: Counter[str]) -> Verdict:
-    sent = {tried.request_id for one in done for tried in one.tries}
-    unasked = [request_id for request_id in runs if request_id not in sent]
-    return Verdict("servers run only what a client sent", not unasked, f"{len(unasked)} runs unasked")
+def _check_known(results: Sequence[RequestResult], run_counts: Counter[str]) -> RuleResult:
+    sent = {attempt.request_id for result in results for attempt in result.attempts}
+    unknown = [request_id for request_id in run_counts if request_id not in sent]
+    return RuleResult("servers run only requests that a client sent", not unknown, f"{len(unknown)} unknown requests")
 
 
-def _keys(engines: Sequence[Engine]) -> Verdict:
-    shown = sum(engine.seen.keys for engine in engines)
-    return Verdict("no server is shown a key", not shown, f"{shown} shown")
+def _check_api_keys(engines: Sequence[Engine]) -> RuleResult:
+    received = sum(engine.stats.received_keys for engine in engines)
+    return RuleResult("no API key reaches a server", not received, f"{received} received")
 
 
-def _served(done: Sequence[Done]) -> Verdict:
-    share = sum(one.served for one in done) / len(done) if done else 0.0
-    tries = sum(len(one.tries) for one in done) / max(1, len(done))
-    return Verdict(
-        f"at least {SERVED_LEAST:.0%} of all requests are served",
-        share >= SERVED_LEAST,
-        f"{share:.2%} of {len(done)}, {tries:.2f} tries each",
+def _check_served(results: Sequence[RequestResult]) -> RuleResult:
+    share = sum(result.is_served for result in results) / len(results) if results else 0.0
+    attempts = sum(len(result.attempts) for result in results) / max(1, len(results))
+    return RuleResult(
+        f"at least {MIN_SERVED_SHARE:.0%} of all requests are served",
+        share >= MIN_SERVED_SHARE,
+        f"{share:.2%} of {len(results)}, {attempts:.2f} attempts each",
     )
--- a/rosechute/fakes/fleet/processes.py
+++ b/rosechute/fakes/fleet/processes.py
@@ -1,4 +1,4 @@
-"""The fleet's own processes on loopback: each with an address, a settings file and a log; started, killed, ended."""
+"""The processes of a fleet on loopback, each with its own address, settings file and log."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 import msgspec
 
 from rosechute.configuration.process import SETTINGS_VARIABLE
-from rosechute.fakes.fleet.entry import Gate
+from rosechute.fakes.fleet.entry import EdgeEndpoint
 
 ROOT = Path(__file__).resolve().parents[3]
 FRONT_PORT, READINESS_PORT, CONTROL_PORT = 8360, 8365, 8367
 PORT_RANGE = (7500, 7515)
-STOP_WITHIN_S = 10.0
-EDGE_NETWORK, CORE_NETWORK = 3, 2
+STOP_TIMEOUT_S = 10.0
+EDGE_SUBNET, CORE_SUBNET = 3, 2
 
 
 @dataclass(slots=True)
-class Member:
+class FleetNode:
     """One process of the fleet."""
 
     name: str
@@ -36,130 +36,130 @@
 
     @property
     def control(self) -> str:
-        """Where a core process takes the operator's calls."""
+        """The control address of a core process."""
         return f"{self.ip}:{CONTROL_PORT}"
 
     @property
     def state(self) -> str:
-        """Where it tells its state."""
+        """The address that serves the state of the process."""
         return self.control if self.role == "core" else f"{self.ip}:{READINESS_PORT}"
 
     @property
     def log(self) -> Path:
-        """Its log."""
+        """The path of the log file."""
         return self.folder / f"{self.name}.log"
 
     @property
     def running(self) -> bool:
-        """Whether there is a process."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Three zones, a core process and an edge process in each.
+    """A fleet of three zones with a core process and an edge process in each.
 
-    `network` is the second number of all addresses: 127.NETWORK.x.y; fleets with different ones do not meet.
+    `network` is the second octet of all addresses (127.NETWORK.x.y), which keeps parallel fleets apart.
     """
 
     folder: Path
     network: int
     cloud_api: str
     zones: tuple[str, ...] = ("north", "middle", "south")
-    members: dict[str, Member] = field(default_factory=dict)
+    nodes: dict[str, FleetNode] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         for index, zone in enumerate(self.zones, 1):
-            for role, third in (("core", CORE_NETWORK), ("edge", EDGE_NETWORK)):
+            for role, subnet in (("core", CORE_SUBNET), ("edge", EDGE_SUBNET)):
                 name = f"{role}-{zone}"
-                ip = f"127.{self.network}.{third}.{index}"
-                self.members[name] = Member(name, role, zone, ip, self.folder)
+                ip = f"127.{self.network}.{subnet}.{index}"
+                self.nodes[name] = FleetNode(name, role, zone, ip, self.folder)
 
-    def of(self, role: str) -> list[Member]:
-        """The processes of a role."""
-        return [member for member in self.members.values() if member.role == role]
+    def by_role(self, role: str) -> list[FleetNode]:
+        """Return the processes of a role."""
+        return [node for node in self.nodes.values() if node.role == role]
 
-    def gates(self) -> list[Gate]:
-        """The edges as the entry sees them."""
+    def edge_endpoints(self) -> list[EdgeEndpoint]:
+        """Return the edge addresses for the entry."""
         return [
-            Gate(member.name, member.zone, f"{member.ip}:{FRONT_PORT}", f"{member.ip}:{READINESS_PORT}")
-            for member in self.of("edge")
+            EdgeEndpoint(node.name, node.zone, f"{node.ip}:{FRONT_PORT}", f"{node.ip}:{READINESS_PORT}")
+            for node in self.by_role("edge")
         ]
 
-    def controls(self) -> list[str]:
-        """The control addresses."""
-        return [member.control for member in self.of("core")]
+    def control_addresses(self) -> list[str]:
+        """Return the control addresses."""
+        return [node.control for node in self.by_role("core")]
 
     async def start(self, name: str) -> None:
-        """Start a process, or start it again."""
-        member = self.members[name]
+        """Start or restart a process."""
+        node = self.nodes[name]
         path = self.folder / f"{name}.json"
-        path.write_bytes(msgspec.json.format(msgspec.json.encode(self._settings(member))))
-        with member.log.open("ab") as log:
-            member.process = await asyncio.create_subprocess_exec(
+        path.write_bytes(msgspec.json.format(msgspec.json.encode(self._settings(node))))
+        with node.log.open("ab") as log:
+            node.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                f"rosechute.processes.{member.role}",
+                f"rosechute.processes.{node.role}",
                 cwd=ROOT,
                 stdout=log,
                 stderr=log,
                 env={**os.environ, SETTINGS_VARIABLE: str(path)},
             )
-        member.starts += 1
+        node.starts += 1
 
     async def start_all(self) -> None:
         """Start every process."""
-        for name in self.members:
+        for name in self.nodes:
             await self.start(name)
 
     async def kill(self, name: str) -> None:
-        """End a process at once."""
-        process = self.members[name].process
+        """Kill a process with SIGKILL."""
+        process = self.nodes[name].process
         if process is not None and process.returncode is None:
             process.kill()
             await process.wait()
 
     async def stop_all(self) -> None:
-        """End every process that was started here, with SIGTERM first."""
-        processes = [member.process for member in self.members.values() if member.running]
+        """Stop every running process with SIGTERM, and kill those that do not exit in time."""
+        processes = [node.process for node in self.nodes.values() if node.running]
         for process in processes:
             if process is not None:
                 process.send_signal(signal.SIGTERM)
-        await asyncio.gather(*(self._ended(process) for process in processes if process is not None))
+        await asyncio.gather(*(self._wait_stopped(process) for process in processes if process is not None))
 
     @staticmethod
-    async def _ended(process: asyncio.subprocess.Process) -> None:
+    async def _wait_stopped(process: asyncio.subprocess.Process) -> None:
         try:
-            async with asyncio.timeout(STOP_WITHIN_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
             await process.wait()
 
-    def _settings(self, member: Member) -> dict[str, Any]:
-        """The settings file of a process."""
-        core = member.role == "core"
+    def _settings(self, node: FleetNode) -> dict[str, Any]:
+        """Return the content of the settings file of a process."""
+        core = node.role == "core"
         listen = (
-            {"control": member.control}
+            {"control": node.control}
             if core
-            else {"front": f"{member.ip}:{FRONT_PORT}", "readiness": f"{member.ip}:{READINESS_PORT}"}
+            else {"front": f"{node.ip}:{FRONT_PORT}", "readiness": f"{node.ip}:{READINESS_PORT}"}
         )
-        data = self.folder / f"{member.name}-data"
+        data = self.folder / f"{node.name}-data"
         if core:
             data.mkdir(exist_ok=True)
         return {
-            "node_name": member.name,
-            "role": member.role,
-            "machine_class": member.role,
+            "node_name": node.name,
+            "role": node.role,
+            "machine_class": node.role,
             "serves": ["control_plane" if core else "edge"],
-            "ip": member.ip,
-            "zone": member.zone,
+            "ip": node.ip,
+            "zone": node.zone,
             "region": "loopback",
             "zones": dict.fromkeys(self.zones, "loopback"),
             "listen": listen,
             "port_range": PORT_RANGE,
-            "seeds": self.controls(),
-            "bootstrap": member.starts == 0,
+            "seeds": self.control_addresses(),
+            "bootstrap": node.starts == 0,
             "counts_for_quorum": core,
             "limits": {
                 "cpu_share": 1.0,
