--- a/rosechute/fakes/fleet/scene.py
+++ b/rosechute/fakes/fleet/scene.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: platform, model servers, operator, entry, clients, and the fleet between them."""
+"""A complete deployment on loopback: platform, model servers, operator, entry, clients, and the router fleet."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 import msgspec
 
-from rosechute.fakes.fleet.clients import Clients, Kind
+from rosechute.fakes.fleet.clients import Clients, RequestKind
 from rosechute.fakes.fleet.engine import Engine
 from rosechute.fakes.fleet.entry import Entry
-from rosechute.fakes.fleet.judge import Verdict, judge
-from rosechute.fakes.fleet.operator import Operator, Outcome
+from rosechute.fakes.fleet.judge import RuleResult, check_run
+from rosechute.fakes.fleet.operator import OperationResult, Operator
 from rosechute.fakes.fleet.platform import Instance, PlatformList
 from rosechute.fakes.fleet.processes import Fleet
 
 HOST = "fleet.example"
 KEY, OTHER_KEY = "k-harbour-1", "k-harbour-2"
 MODEL, PLAIN = "model", "plain"
-FIRST_NETWORK, NETWORKS = 20, 200
-SERVER_NETWORK, PLATFORM_NETWORK = 4, 1
-SERVERS_A_ZONE = 2
+FIRST_NETWORK, NETWORK_COUNT = 20, 200
+SERVER_SUBNET, PLATFORM_SUBNET = 4, 1
+SERVERS_PER_ZONE = 2
 SLOTS = 16
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 KINDS = [
-    Kind("summary", HOST, "/summary/7", 12, KEY, streaming=True, repeatable=True, output_tokens=60),
-    Kind("reply", HOST, "/reply/7", 8, KEY, streaming=True, output_tokens=40),
-    Kind("confirm", HOST, "/confirm/7", 15, OTHER_KEY),
+    RequestKind("summary", HOST, "/summary/7", 12, KEY, streaming=True, repeatable=True, output_tokens=60),
+    RequestKind("reply", HOST, "/reply/7", 8, KEY, streaming=True, output_tokens=40),
+    RequestKind("confirm", HOST, "/confirm/7", 15, OTHER_KEY),
 ]
 CONFIGURATION: dict[str, Any] = {
     "config_version": 1,
@@ -113,32 +113,32 @@
 }
 
 
-class Scene:
-    """Everything, in one folder and one network of loopback."""
+class FleetDeployment:
+    """A router fleet with its fake peers, in one folder and one loopback network."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
-        self.network = FIRST_NETWORK + os.getpid() % NETWORKS
+        self.network = FIRST_NETWORK + os.getpid() % NETWORK_COUNT
         self.platform = PlatformList()
         self.engines: dict[str, Engine] = {}
         self.configuration = copy.deepcopy(CONFIGURATION)
         self._folder, self._seed = folder, seed
 
     async def start(self) -> None:
-        """Start all; the fleet's processes are not waited for."""
-        address = await self.platform.start(f"127.{self.network}.{PLATFORM_NETWORK}.1")
+        """Start all parts without waiting until the processes of the fleet are ready."""
+        address = await self.platform.start(f"127.{self.network}.{PLATFORM_SUBNET}.1")
         self.fleet = Fleet(self._folder, self.network, address)
         for index, zone in enumerate(self.fleet.zones, 1):
             for service in (MODEL, PLAIN):
-                for number in range(SERVERS_A_ZONE):
+                for number in range(SERVERS_PER_ZONE):
                     await self.add_server(f"i-{service}-{zone}-{number + 1}", service, zone, index)
-        self.operator = Operator(self.fleet.controls(), self._seed)
-        self.entry = Entry(self.fleet.gates())
+        self.operator = Operator(self.fleet.control_addresses(), self._seed)
+        self.entry = Entry(self.fleet.edge_endpoints())
         self.clients = Clients(self.entry, list(self.fleet.zones), self._seed)
         await self.fleet.start_all()
         self.entry.start()
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop all parts."""
         await self.entry.stop()
         await self.fleet.stop_all()
         for engine in self.engines.values():
@@ -146,51 +146,53 @@
         await self.platform.stop()
 
     async def add_server(self, name: str, service: str, zone: str, zone_number: int) -> None:
-        """Start a server and show it in the list."""
+        """Start a server and add it to the platform's list."""
         engine = Engine(name, streaming=service == MODEL, slots=SLOTS)
-        address = await engine.start(f"127.{self.network}.{SERVER_NETWORK}.{zone_number}")
+        address = await engine.start(f"127.{self.network}.{SERVER_SUBNET}.{zone_number}")
         self.engines[name] = engine
         self.platform.put(Instance(id=name, service=service, address=address, zone=zone, slots=SLOTS))
 
     def drain(self, name: str) -> None:
-        """Have a server leave: it serves on, and the list shows it."""
+        """Mark a server as draining, in its health check and in the list; it continues to serve."""
         self.engines[name].draining = True
         self.platform.drain(name)
 
-    async def order(self, change: Callable[[dict[str, Any]], None] | None = None, within_s: float = 10.0) -> Outcome:
-        """Send the next configuration, after a change to the one before; the first one as it is."""
-        wanted, base = copy.deepcopy(self.configuration), 0
+    async def replace_configuration(
+        self, change: Callable[[dict[str, Any]], None] | None = None, within_s: float = 10.0
+    ) -> OperationResult:
+        """Send the next configuration, made by applying `change` to the current one, or the first one unchanged."""
+        new_configuration, base = copy.deepcopy(self.configuration), 0
         if change is not None:
-            base = int(wanted["config_version"])
-            wanted["config_version"] = base + 1
-            change(wanted)
-        outcome = await self.operator.replace(wanted, base, within_s)
+            base = int(new_configuration["config_version"])
+            new_configuration["config_version"] = base + 1
+            change(new_configuration)
+        outcome = await self.operator.replace(new_configuration, base, within_s)
         if outcome.status == 200:
-            self.configuration = wanted
+            self.configuration = new_configuration
         return outcome
 
-    async def ready(self, edges: int, within_s: float) -> bool:
-        """Wait until so many edges are ready."""
+    async def wait_ready(self, edges: int, within_s: float) -> bool:
+        """Wait up to `within_s` seconds until `edges` edges are ready, and return whether they are."""
         try:
             async with asyncio.timeout(within_s):
                 while self.entry.ready_count() < edges:
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             return False
         return True
 
-    async def verdicts(self) -> list[Verdict]:
-        """What holds in the end, with the configuration read back."""
-        found = await self.operator.read()
+    async def check_rules(self) -> list[RuleResult]:
+        """Check all rules at the end of a run, including that the configuration is read back."""
+        response = await self.operator.read()
         version = None
-        if found.status == 200:
-            version = msgspec.json.decode(found.body).get("config_version")
-        wanted = self.configuration["config_version"]
+        if response.status == 200:
+            version = msgspec.json.decode(response.body).get("config_version")
+        expected_version = self.configuration["config_version"]
         return [
-            *judge(self.clients.done, self.engines.values()),
-            Verdict(
+            *check_run(self.clients.results, self.engines.values()),
+            RuleResult(
                 "the newest acknowledged configuration is read back",
-                version == wanted,
-                f"version {version}, acknowledged {wanted}",
+                version == expected_version,
+                f"version {version}, acknowledged {expected_version}",
             ),
         ]
--- a/rosechute/fakes/fleet/words.py
+++ b/rosechute/fakes/fleet/words.py
@@ -1,4 +1,4 @@
-"""Names on the wire that stand-ins share, and loopback addresses."""
+"""Header names and response bodies that the fakes share."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 EVENT_STREAM = "text/event-stream"
 
 TOKENS_PER_EVENT = 5
-PROMISES = frozenset((408, 421, 429, 503))
-"""Statuses that promise that a request has not run and never will."""
-END = "end"
-"""The data of a stream's last event ends with this word."""
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses that guarantee that a request has not run and never will."""
+LAST_EVENT_MARK = "end"
+"""The last word in the data of the last event of a stream."""
 
 
 def plain_body(path: str, body: bytes) -> bytes:
-    """What every server answers to a plain request: clients can tell whether an answer is whole and theirs."""
+    """Return the response body of a plain request, by which clients check that it is complete and their own."""
     return f"done {path} {len(body)}\n".encode()
 
 
 def event_count(output_tokens: int) -> int:
-    """How many events a stream of so many tokens has."""
+    """Return the number of events in a stream of `output_tokens`."""
     return max(1, -(-output_tokens // TOKENS_PER_EVENT))
 
 
 def event_data(path: str, number: int, count: int) -> str:
-    """The data of one event of a stream."""
-    return f"{path} {number}" + (f" {END}" if number == count else "")
+    """Return the data of an event; `number` counts from 1 to `count`."""
+    return f"{path} {number}" + (f" {LAST_EVENT_MARK}" if number == count else "")
 
 
 def event(path: str, number: int, count: int) -> bytes:
-    """One event of a stream as it is sent."""
+    """Return an encoded event; `number` counts from 1 to `count`."""
     return f"id: {number}\ndata: {event_data(path, number, count)}\n\n".encode()
--- a/rosechute/fakes/scene.py
+++ b/rosechute/fakes/scene.py
@@ -1,4 +1,4 @@
-"""Servers, discovery, one sidecar and an application, on one loop; and a judge of the rules that show there."""
+"""Fake servers, discovery, one sidecar and an application on one event loop, with a check of the service rules."""
 
 from __future__ import annotations
 
@@ -8,40 +8,40 @@
 from pathlib import Path
 from typing import Any
 
-from rosechute.fakes.discovery import StandInDiscovery
-from rosechute.fakes.load import Application, Outcome
-from rosechute.fakes.server import Conduct, StandInServer
+from rosechute.fakes.discovery import FakeDiscovery
+from rosechute.fakes.load import Application, LoadResult
+from rosechute.fakes.server import FakeServer, ServerBehavior
 from rosechute.load_balancing.interface import Settings
 from rosechute.proxy.core.address import Address
 from rosechute.sidecar.config import Config
 from rosechute.sidecar.operator_policy.policy import FilePolicy
 from rosechute.sidecar.sidecar import Sidecar
 
-MS = 1_000_000
-GRACE_S = 0.25 + 0.05  # after a drain is told; the rule's time, and what the loopback takes
+NS_PER_MS = 1_000_000
+DRAIN_GRACE_S = 0.25 + 0.05  # 250 ms of the drain rule, and 50 ms for delivery over loopback
 
 
 def platform(**changes: Any) -> dict[str, Any]:
-    """Settings of a platform that books desks."""
+    """Return the settings of a desk booking platform, with `changes` merged into its sections."""
     raw: dict[str, Any] = {
         "classes": [
             {
                 "name": "hold-desk",
-                "onTimeNs": 600 * MS,
-                "hardLimitNs": 1200 * MS,
+                "onTimeNs": 600 * NS_PER_MS,
+                "hardLimitNs": 1200 * NS_PER_MS,
                 "repeat": "single_shot",
                 "credit": 2.0,
             },
             {
                 "name": "confirm-booking",
-                "onTimeNs": 600 * MS,
-                "hardLimitNs": 2500 * MS,
+                "onTimeNs": 600 * NS_PER_MS,
+                "hardLimitNs": 2500 * NS_PER_MS,
                 "repeat": "guarded",
                 "group": "all",
-                "windowNs": 5000 * MS,
+                "windowNs": 5000 * NS_PER_MS,
                 "credit": 10.0,
             },
-            {"name": "list-rooms", "onTimeNs": 400 * MS, "hardLimitNs": 1500 * MS, "repeat": "free"},
+            {"name": "list-rooms", "onTimeNs": 400 * NS_PER_MS, "hardLimitNs": 1500 * NS_PER_MS, "repeat": "free"},
         ],
         "discovery": "subscribe",
         "failureDomains": ["a"],
@@ -51,17 +51,17 @@
             "maxAttempts": 5,
             "secondCopies": True,
             "retryAfter": True,
-            "maxRetryAfterNs": 1200 * MS,
-            "connectTimeoutNs": 250 * MS,
+            "maxRetryAfterNs": 1200 * NS_PER_MS,
+            "connectTimeoutNs": 250 * NS_PER_MS,
             "cancel": True,
-            "connIdleNs": 30_000 * MS,
+            "connIdleNs": 30_000 * NS_PER_MS,
         },
         "invariants": {
-            "drainGraceNs": 250 * MS,
+            "drainGraceNs": 250 * NS_PER_MS,
             "coldFrom": 0.1,
-            "coldNs": 4_000 * MS,
+            "coldNs": 4_000 * NS_PER_MS,
             "fallMultiple": 3.0,
-            "fallNs": 1500 * MS,
+            "fallNs": 1500 * NS_PER_MS,
         },
     }
     for key, value in changes.items():
@@ -69,12 +69,16 @@
     return raw
 
 
-class Scene:
-    """All parts of one run."""
+class SidecarDeployment:
+    """A sidecar with fake servers, discovery and an application.
+
+    `raw` are the platform settings, `file` is an optional operator policy file, `sockets` the socket limit of the
+    sidecar and `memory_mb` its memory limit in megabytes.
+    """
 
     def __init__(
         self,
-        servers: dict[str, Conduct],
+        servers: dict[str, ServerBehavior],
         raw: dict[str, Any] | None = None,
         file: Path | None = None,
         seed: int = 1,
@@ -83,13 +87,13 @@
     ) -> None:
         self._raw, self._file, self._seed = raw or platform(), file, seed
         self._limits = sockets, memory_mb
-        self.servers = {name: StandInServer(name, conduct, seed) for name, conduct in servers.items()}
-        self.discovery = StandInDiscovery()
+        self.servers = {name: FakeServer(name, behavior, seed) for name, behavior in servers.items()}
+        self.discovery = FakeDiscovery()
         self.drained: dict[str, float] = {}
         self.started: dict[str, float] = {}
 
     async def start(self) -> Application:
-        """Start all of it; the application is ready to send."""
+        """Start all parts and return the application, which is ready to send."""
         loop = asyncio.get_running_loop()
         for name, server in self.servers.items():
             self.discovery.put(name, await server.start())
@@ -101,7 +105,7 @@
             Address("127.0.0.1", self.discovery.port),
             self._seed,
             sockets,
-            self.discovery.whole(),
+            self.discovery.snapshot(),
             Settings.parse(self._raw),
             Address("127.0.0.1", 0),
             memory_mb=memory,
@@ -113,65 +117,73 @@
         return self.application
 
     def drain(self, name: str) -> None:
-        """A server takes nothing new; discovery tells so."""
+        """Mark a server as draining in discovery."""
         self.drained[name] = asyncio.get_running_loop().time()
         self.discovery.put(name, self.servers[name].port, "DRAINING")
 
-    async def join(self, name: str, conduct: Conduct) -> None:
-        """A server starts, cold."""
-        server = self.servers[name] = StandInServer(name, conduct, self._seed)
+    async def join(self, name: str, behavior: ServerBehavior) -> None:
+        """Start a server and add it to discovery with its start time."""
+        server = self.servers[name] = FakeServer(name, behavior, self._seed)
         port = await server.start()
         self.started[name] = asyncio.get_running_loop().time()
         self.discovery.put(name, port, since_ms=self.discovery.started_now())
 
     def attempts(self) -> int:
-        """Attempts that have come in whole at servers."""
-        return sum(len(server.seen.came) for server in self.servers.values())
+        """Return the number of complete requests that servers have received."""
+        return sum(len(server.stats.received) for server in self.servers.values())
 
     def routes(self) -> dict[str, Any]:
-        """What GET /routes shows."""
+        """Return the content of GET /routes, or an empty dictionary if there are no routes."""
         shown = self.sidecar.routes()
-        told: dict[str, Any] = json.loads(shown) if shown is not None else {}
-        return told
+        announced_at: dict[str, Any] = json.loads(shown) if shown is not None else {}
+        return announced_at
 
     async def stop(self) -> None:
-        """End all of it."""
+        """Stop all parts."""
         self.application.close()
         await self.sidecar.stop()
         for server in self.servers.values():
             server.stop()
         self.discovery.stop()
 
-    def verdicts(self, outcome: Outcome) -> list[tuple[str, bool, str]]:
-        """The rules, whether each was kept, and by what figures."""
-        lost = [d for d in outcome.done if not d.status]
-        runs = [run for server in self.servers.values() for run in server.seen.runs]
-        times = Counter(run.rid for run in runs)
-        single = {d.rid for d in outcome.done if d.kind.repeat == "single_shot"}
-        doubled = [rid for rid in single if times[rid] > 1]
+    def check_rules(self, outcome: LoadResult) -> list[tuple[str, bool, str]]:
+        """Return for each rule its text, whether it was kept, and the figures behind the result."""
+        lost = [d for d in outcome.results if not d.status]
+        started_requests = [request for server in self.servers.values() for request in server.stats.started_requests]
+        run_counts = Counter(request.rid for request in started_requests)
+        single = {d.rid for d in outcome.results if d.kind.repeat == "single_shot"}
+        duplicated = [rid for rid in single if run_counts[rid] > 1]
         late = sum(
-            at > told + GRACE_S for name, told in self.drained.items() for at, _ in self.servers[name].seen.came
+            at > announced_at + DRAIN_GRACE_S
+            for name, announced_at in self.drained.items()
+            for at, _ in self.servers[name].stats.received
         )
-        cold = {name: self.servers[name].seen for name in self.started}
-        pushed = sum(seen.turned_away for seen in cold.values())
-        deepest = max((seen.most_waiting for seen in cold.values()), default=0)
-        found = [
+        cold_stats = {name: self.servers[name].stats for name in self.started}
+        rejections = sum(stats.rejected for stats in cold_stats.values())
+        max_queue = max((stats.max_queued for stats in cold_stats.values()), default=0)
+        rule_results = [
             (
-                "one final answer for all that was taken",
+                "every accepted request has one final answer",
                 not lost,
-                f"{len(outcome.done)} asked, {len(lost)} unanswered",
+                f"{len(outcome.results)} sent, {len(lost)} unanswered",
+            ),
+            (
+                "hold-desk never runs twice",
+                not duplicated,
+                f"{len(single)} sent, {len(duplicated)} run more than once",
             ),
-            ("hold-desk never twice", not doubled, f"{len(single)} held, {len(doubled)} doubled"),
         ]
         if self.drained:
-            found.append(("nothing new 250 ms after a drain is told", not late, f"{late} came later"))
-        if cold:
-            found.append(
+            rule_results.append(
+                ("no new request 250 ms after a drain is announced", not late, f"{late} arrived later")
+            )
+        if cold_stats:
+            rule_results.append(
                 (
-                    "no cold server pushed over",
-                    not pushed,
-                    f"{sum(len(s.runs) for s in cold.values())} served there, {deepest} waiting at the most, "
-                    f"{pushed} turned away",
+                    "no cold server is overloaded",
+                    not rejections,
+                    f"{sum(len(s.started_requests) for s in cold_stats.values())} served there, at most "
+                    f"{max_queue} waiting, {rejections} rejected",
                 )
             )
-        return found
+        return rule_results
--- a/rosechute/load_balancing/__init__.py
+++ b/rosechute/load_balancing/__init__.py
@@ -1,4 +1,4 @@
-"""rosechute.load_balancing: the decisions of a sidecar balancer for service-to-service calls."""
+"""Load balancing decisions of a sidecar for service-to-service calls."""
 
 from rosechute.load_balancing.interface import (
     Accept,
--- a/rosechute/load_balancing/adapter.py
+++ b/rosechute/load_balancing/adapter.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire and one `Balancer` per instance. It decides nothing."""
+"""Adapter between the line protocol of the simulator and one `Balancer` per instance."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 from rosechute.load_balancing.rules import Balancer
 
 Fields = dict[str, str]
-TEXT_FIELDS = {"open_instance": " env="}
+TEXT_FIELDS = {"open_instance": " env="}  # by event, the field that extends to the end of the line
 HINT_BIT, RETRY_BIT, WRITE_BIT = 1, 2, 4
 SCOPES = ("INCREMENTAL", "FULL", "SAVED", "FAILED")
 
 
 class WireError(Exception):
-    """A line that cannot be read; the message says what is wrong with it."""
+    """Invalid input line."""
 
 
 def _fields(line: str) -> Fields:
-    """Split a line's name=value parts; the field that holds free text runs to the end of the line."""
+    """Return the name=value fields of a line. A free-text field extends to the end of the line."""
     fields: Fields = {}
     name, _, rest = line.partition(" ")
     mark = TEXT_FIELDS.get(name)
@@ -93,7 +93,7 @@
 
 
 def _usage(fields: Fields) -> dict[str, float]:
-    """A load report; pairs that are not name:number are unknown to us and skipped."""
+    """Return the load report of a line. Pairs other than name:number are ignored."""
     report = {}
     for pair in fields.get("usage", "").split(","):
         name, _, value = pair.partition(":")
@@ -140,7 +140,7 @@
     )
 
 
-READERS: dict[str, Callable[[Fields], Event]] = {
+EVENT_READERS: dict[str, Callable[[Fields], Event]] = {
     "accept": _accept,
     "response": _response,
     "begun": lambda f: Begun(_text(f, "tid"), f.get("server", ""), _int(f, "go", 0), _int(f, "lagNs", 0)),
@@ -163,7 +163,7 @@
     )
 
 
-def _write(who: int, action: Action) -> str:
+def _format_action(who: int, action: Action) -> str:
     match action:
         case Submit(tid, server, abandon_ns):
             return f"submit_to who={who} tid={tid} server={server} abandonAtNs={abandon_ns}\n"
@@ -190,7 +190,7 @@
 
 
 class Host:
-    """Holds the instances of one process and turns batches into replies."""
+    """Instances of one process, with the input and output streams."""
 
     def __init__(self, source: Iterable[str], sink: TextIO) -> None:
         self._source = enumerate(source, 1)
@@ -201,7 +201,7 @@
         self._instances: dict[int, Balancer] = {}
 
     def run(self) -> int:
-        """Serve batches until the input ends; return the exit status."""
+        """Process batches until the end of the input and return the exit status."""
         out: list[str] = []
         in_batch = False
         try:
@@ -221,7 +221,7 @@
                     out.clear()
                     in_batch = False
                 elif line:
-                    self._event(line, out)
+                    self._process_event(line, out)
             if in_batch:
                 raise WireError("input ends inside a batch")
         except (WireError, SettingsError) as error:
@@ -237,11 +237,11 @@
             raise WireError(f"expected a clock line, found {line[:40]!r}")
         self._now = _int(_fields(line), "wallNs")
 
-    def _event(self, line: str, out: list[str]) -> None:
+    def _process_event(self, line: str, out: list[str]) -> None:
         name = line.partition(" ")[0]
-        if name in READERS:
+        if name in EVENT_READERS:
             fields = _fields(line)
-            self._deliver(_int(fields, "who"), READERS[name](fields), out)
+            self._deliver(_int(fields, "who"), EVENT_READERS[name](fields), out)
         elif name == "roster":
             fields = _fields(line)
             self._rosters[_int(fields, "slot")] = self._read_roster(_int(fields, "nodesList", 0))
@@ -249,7 +249,7 @@
             fields = _fields(line)
             self._deliver(_int(fields, "who"), self._directory(fields), out)
         elif name == "open_instance":
-            self._open(_fields(line), out)
+            self._open_instance(_fields(line), out)
         elif name == "crash_now":
             self._instances.pop(_int(_fields(line), "who"), None)
 
@@ -277,7 +277,7 @@
             raise WireError(f"no roster has slot {slot}")
         return Directory(scope, self._rosters[slot], gen)
 
-    def _open(self, fields: Fields, out: list[str]) -> None:
+    def _open_instance(self, fields: Fields, out: list[str]) -> None:
         who = _int(fields, "who")
         if who in self._instances:
             raise WireError(f"instance {who} is already open")
@@ -287,7 +287,9 @@
             raise WireError(f"field 'env' is not valid JSON: {error}") from None
         settings = Settings.parse(raw)
         seed = _int(fields, "prng", 0)
-        self._guard(who, lambda: self._instances.__setitem__(who, Balancer(settings, seed, self._now)), out)
+        self._run_reporting_errors(
+            who, lambda: self._instances.__setitem__(who, Balancer(settings, seed, self._now)), out
+        )
 
     def _deliver(self, who: int, event: Event, out: list[str]) -> None:
         balancer = self._instances.get(who)
@@ -295,18 +297,18 @@
             return
         try:
             for action in balancer.handle(self._now, event):
-                out.append(_write(who, action))
-        except Exception as error:  # the wire wants any failure of an instance as its fault action
-            self._report(who, error, out)
+                out.append(_format_action(who, action))
+        except Exception as error:  # the protocol reports any failure of an instance as an action
+            self._append_fault(who, error, out)
 
-    def _guard(self, who: int, work: Callable[[], None], out: list[str]) -> None:
+    def _run_reporting_errors(self, who: int, work: Callable[[], None], out: list[str]) -> None:
         try:
             work()
-        except Exception as error:  # as in _deliver
-            self._report(who, error, out)
+        except Exception as error:  # reported as in _deliver
+            self._append_fault(who, error, out)
 
     @staticmethod
-    def _report(who: int, error: Exception, out: list[str]) -> None:
+    def _append_fault(who: int, error: Exception, out: list[str]) -> None:
         traceback.print_exc(file=sys.stderr)
         text = f"{type(error).__name__}: {error}".replace("\n", " ")
         out.append(f"give_in who={who} line={text}\n")
@@ -314,7 +316,7 @@
 
 def main() -> int:
     """Entry point of `python -m rosechute.load_balancing.adapter`."""
-    # Decoded line by line, so that the number of a line that is not text is known.
+    # Decoded line by line, so that an error message can give the number of a line that is not valid UTF-8.
     return Host((raw.decode("utf-8") for raw in sys.stdin.buffer), sys.stdout).run()
 
 
--- a/rosechute/load_balancing/interface.py
+++ b/rosechute/load_balancing/interface.py
@@ -1,7 +1,7 @@
-"""The balancer's settings, events and actions. All times are whole nanoseconds on one clock.
+"""Settings, events and actions of the balancer. All times are whole nanoseconds on one clock.
 
-`Settings.parse` reads the settings object as handed over at start; every absent optional key has a
-default here, so the decisions in `rules.py` never meet a missing one.
+`Settings.parse` reads the settings object that is passed at start. Absent optional keys have their defaults here, so
+`rules.py` need not handle missing values.
 """
 
 from __future__ import annotations
@@ -13,9 +13,12 @@
 from typing import Any, NamedTuple, Protocol
 
 SECOND = 1_000_000_000
-TOLD_NS = 6 * SECOND
-"""After a failed, refused or given-up call to discovery a change counts as told so long after discovery had it and
-could be reached. A term of the operators' standing test, which the settings do not tell: it goes before theirs."""
+MAX_CHANGE_DELAY_NS = 6 * SECOND
+"""Longest delay of a change of the server list after a call to discovery failed, was refused or timed out.
+
+It counts from when discovery has the change and can be reached. The operators require this bound; it is not part of
+the settings and takes precedence over them.
+"""
 
 
 class How(enum.IntEnum):
@@ -32,40 +35,45 @@
 
 
 NEVER_RAN = frozenset({How.FULL, How.CONNECT_FAILED, How.MOOT})
-"""Outcomes that prove the attempt had no effect."""
+"""Outcomes after which the attempt is known not to have been executed."""
 
 
 class RetryBudget(Protocol):
-    """A share of further attempts that several calls have in common. Pure: its clock is handed in."""
+    """Budget of retries that several calls share. It reads no clock; the time is passed in."""
 
     def spend(self, now: int) -> bool:
-        """Take one further attempt out of the budget; False, and nothing is taken, where there is none."""
+        """Take one attempt from the budget at time `now`; return False if it is exhausted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What operators have set for a call, besides its class. The module decides within it; it may only make
-    a call stricter, and what a class or the site forbids stays forbidden."""
+    """Limits that operators have set for the route of a call.
+
+    They only restrict what the class and the limits of the site allow.
+    """
 
     attempts: int = 0
-    """Attempts in all; 0 for the settings' own maximum."""
+    """Maximum number of attempts; 0 for the maximum of the settings."""
     try_ns: int = 0
-    """How long one attempt may take; 0 for as long as the call has."""
+    """Timeout of one attempt; 0 for the remaining time of the call."""
     copy_after_ns: int = 0
-    """After how long without an outcome a second attempt joins the first; 0 for never."""
+    """Time without an outcome after which a second copy is sent; 0 for never."""
     retry_on: frozenset[int] | None = None
-    """The outcomes after which there may be another attempt; None for all that the class allows."""
+    """Outcomes after which a retry is allowed; None for all that the class allows."""
     budget: RetryBudget | None = None
-    """What further attempts are taken from, besides the module's own; None for no other."""
+    """Retry budget in addition to that of the balancer; None for no other."""
 
 
 class SettingsError(ValueError):
-    """The settings object cannot be used; the message names the key."""
+    """Invalid settings object. The message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request: what an answer is worth, by when, and how it may be repeated."""
+    """Class of requests: deadline, worth of a response and rules for repeated execution.
+
+    `aim_ns` is the target latency. `repeat` is "free", "guarded" (within `window_ns` and `group`) or "single_shot".
+    """
 
     name: str
     aim_ns: int
@@ -81,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """Limits of the site."""
 
     max_attempts: int = 1
     second_copies: bool = False
@@ -100,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invariants:
-    """Figures of the four rules."""
+    """Parameters of the rules that every balancer must keep: cold starts, draining and discovery."""
 
     cold_from: float = 0.1
     cold_ns: int = 30 * SECOND
@@ -113,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its share of the service."""
+    """Tenant with its share of the service."""
 
     name: str
     share: float = 1.0
@@ -122,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """Settings of one instance."""
 
     classes: tuple[RequestClass, ...]
     zones: tuple[str, ...] = ()
@@ -151,7 +159,11 @@
 
     @classmethod
     def parse(cls, raw: Any) -> Settings:
-        """Build settings from the decoded settings object; raise SettingsError on what is unusable."""
+        """Return settings from a decoded JSON object.
+
+        Raises:
+            SettingsError: A key is missing or has an invalid value.
+        """
         root = _Reader(raw, "settings")
         classes = tuple(_request_class(item) for item in root.items("classes"))
         if not classes:
@@ -188,7 +200,7 @@
 
 
 class _Reader:
-    """Typed access to one JSON object, with its path for messages."""
+    """Typed access to one JSON object; keeps its path for error messages."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
@@ -278,11 +290,11 @@
     )
 
 
-# --- Events: what the instance sees -------------------------------------------------------------
+# --- Events -------------------------------------------------------------------------------------
 
 
 class Entry(NamedTuple):
-    """One line of a server list."""
+    """Entry of a server list."""
 
     server: str
     zone: int = 0
@@ -294,18 +306,22 @@
 
 
 class Directory(NamedTuple):
-    """News of the server list. `scope` is INCREMENTAL, FULL, SAVED, FAILED, SILENT for a watch that was on and
-    says nothing any more, or MOVED where another discovery is to be asked from now on."""
+    """Server list, or the result of a call to discovery.
+
+    `scope` is INCREMENTAL (changed entries), FULL (the complete list), SAVED (the list stored by a previous process),
+    FAILED (a call failed), SILENT (an open watch has stopped sending) or MOVED (another discovery is used from now
+    on).
+    """
 
     scope: str
     entries: tuple[Entry, ...] = ()
     gen: int = 0
     took_ns: int = 0
-    """How long a call had been under way that FAILED; 0 for a watch."""
+    """Duration of the call for FAILED; 0 for a watch."""
 
 
 class Accept(NamedTuple):
-    """A client's request; exactly one final answer is owed."""
+    """Request of a client. It needs exactly one final answer."""
 
     tid: str
     cls: int
@@ -316,13 +332,13 @@
     retry: bool = False
     write: bool = False
     kind: RequestClass | None = None
-    """The class it was taken with, where the settings' class at `cls` is another by now."""
+    """Class with which the request was accepted, if the settings have another class at `cls` by now."""
     bounds: Bounds | None = None
-    """What its route has to keep within, where operators have set anything."""
+    """Limits of its route, if operators have set any."""
 
 
 class Response(NamedTuple):
-    """The one outcome of an attempt. `load` is the server's report, empty if none came."""
+    """Outcome of an attempt. `load` is the load report of the server, empty if there is none."""
 
     tid: str
     how: int
@@ -332,11 +348,11 @@
     closed: bool
     load: Mapping[str, float] = {}
     again: bool = True
-    """Whether the request is still there to be sent: a long body is not, once part of it has gone."""
+    """Whether the request can be sent again; False after part of a streamed body was sent."""
 
 
 class Begun(NamedTuple):
-    """A streamed answer has started: the attempt now belongs to the client."""
+    """Start of a streamed response, after which the call is not retried."""
 
     tid: str
     server: str = ""
@@ -345,19 +361,19 @@
 
 
 class Hangup(NamedTuple):
-    """The client left; nothing more is owed."""
+    """Disconnect of the client. The call needs no answer any more."""
 
     tid: str
 
 
 class Alarm(NamedTuple):
-    """A timer asked for by `Defer` has come due."""
+    """Expiry of a timer that was started by `Defer`."""
 
     tag: int
 
 
 class Echo(NamedTuple):
-    """The result of one `Probe`. `load` is the server's report, empty if none came."""
+    """Result of a `Probe`. `load` is the load report of the server, empty if there is none."""
 
     server: str
     how: int
@@ -366,14 +382,14 @@
 
 
 class Heard(NamedTuple):
-    """Bytes that this peer sent by `Tell`."""
+    """Bytes from a peer, sent with `Tell`."""
 
     peer: int
     data: bytes
 
 
 class Reconfigure(NamedTuple):
-    """Other settings hold from now on. Open calls keep the class that they were taken with."""
+    """Change of the settings. Open calls keep the class with which they were accepted."""
 
     settings: Settings
 
@@ -381,11 +397,11 @@
 Event = Directory | Accept | Response | Begun | Hangup | Alarm | Echo | Heard | Reconfigure
 
 
-# --- Actions: what the instance wants done ------------------------------------------------------
+# --- Actions ------------------------------------------------------------------------------------
 
 
 class Submit(NamedTuple):
-    """Start the next attempt for a request, given up at `abandon_ns`."""
+    """Start the next attempt of a request, with a timeout at the time `abandon_ns`."""
 
     tid: str
     server: str
@@ -393,37 +409,37 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: declined, and trying again is harmless."""
+    """Final answer: refused; the client may safely retry after `hold_off_ns`."""
 
     tid: str
     hold_off_ns: int
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about effects."""
+    """Final answer: failed; the request may have been executed."""
 
     tid: str
 
 
 class Retract(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     tid: str
     attempt: int
 
 
 class Subscribe(NamedTuple):
-    """Ask discovery for the list and its changes from now on, or end that."""
+    """Subscribe to the server list and its changes, or unsubscribe."""
 
     want: bool = True
 
 
 class Fetch(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Request the complete server list once."""
 
 
 class Probe(NamedTuple):
-    """Check a server; an `Echo` follows."""
+    """Probe a server. An `Echo` with the result follows."""
 
     server: str
 
@@ -435,20 +451,20 @@
 
 
 class Tell(NamedTuple):
-    """Send bytes to the peer with this index, or to every peer if it is -1."""
+    """Send bytes to the peer with an index, or to all peers for -1."""
 
     peer: int
     data: bytes
 
 
 class Note(NamedTuple):
-    """A line for the log."""
+    """Log a line."""
 
     text: str
 
 
 class Defer(NamedTuple):
-    """Ask for an `Alarm` after `in_ns`."""
+    """Start a timer that leads to an `Alarm` after `in_ns`."""
 
     in_ns: int
     tag: int
--- a/rosechute/messages/__init__.py
+++ b/rosechute/messages/__init__.py
@@ -1,5 +1,5 @@
 """The internal protocol between processes: protobuf messages, frames, and the TCP links that carry them.
 
 `framing` encodes and decodes frames. `link_connection` is one open connection; `link_server` accepts connections;
-`link_pool` holds a `client_link` for each address, which connects, and connects again under `backoff`.
+`link_pool` holds one `client_link` per address, which connects, and reconnects under `backoff`.
 """
--- a/rosechute/messages/address.py
+++ b/rosechute/messages/address.py
@@ -17,5 +17,5 @@
     """
     host, separator, port = address.rpartition(":")
     if not separator or not host:
-        raise ValueError(f"no address: {address!r}")
+        raise ValueError(f"address {address!r} is not of the form host:port")
     return host, int(port)
--- a/rosechute/messages/backoff.py
+++ b/rosechute/messages/backoff.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 INITIAL_BACKOFF_S = 0.05  # a process that restarts listens again within a fraction of a second
-MAX_BACKOFF_S = 0.5  # below the time after which a peer counts as failed
+MAX_BACKOFF_S = 0.5  # less than the time after which a peer counts as failed
 BACKOFF_FACTOR = 2.0
 
 
 class ExponentialBackoff:
-    """The delays before the next attempts: each is twice the one before, up to a limit."""
+    """Delays between attempts: each is twice the previous one, up to a limit."""
 
     __slots__ = ("_next_delay_s",)
 
@@ -22,5 +22,5 @@
         return delay_s
 
     def reset(self) -> None:
-        """Begin with the shortest delay once more, after an attempt that succeeded."""
+        """Start over with the shortest delay, after a successful attempt."""
         self._next_delay_s = INITIAL_BACKOFF_S
--- a/rosechute/messages/client_link.py
+++ b/rosechute/messages/client_link.py
@@ -21,8 +21,8 @@
 from rosechute.messages.link_connection import LinkConnection, OnMessage
 from rosechute.messages.socket_options import set_link_options
 
-CONNECT_TIMEOUT_S = 0.5  # after which the queued frames are dropped and the owner is notified
-ATTEMPT_LIMIT_S = 3.0  # a timed-out attempt goes on for so long beside later ones
+CONNECT_TIMEOUT_S = 0.5  # time until the queued frames are dropped and the owner is notified
+ATTEMPT_LIMIT_S = 3.0  # a timed-out attempt goes on beside later ones up to this time
 MAX_CONCURRENT_ATTEMPTS = 4  # bounds the sockets that an unreachable address can cost
 
 
@@ -57,7 +57,7 @@
         self._connection: LinkConnection | None = None
         self._attempts: set[asyncio.Task[None]] = set()
         self._newest_attempt: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None  # of the connect time-out or of the backoff
+        self._timer: asyncio.TimerHandle | None = None  # timer of the connect time-out or of the backoff
         self._backoff = ExponentialBackoff()
         self._queue = FrameQueue()
 
@@ -71,7 +71,7 @@
             self._enter_connecting()
 
     def close(self) -> None:
-        """Close the link without a call of `on_closed`."""
+        """Close the link without calling `on_closed`."""
         self._queue.clear()
         self._cancel_attempts_and_timer()
         connection, self._connection = self._connection, None
@@ -96,7 +96,7 @@
             connection.send_frame(self._queue.pop())
 
     def _enter_backoff(self, error: LinkError) -> None:
-        """Drop the queued frames, whose senders repeat what matters, and wait before the next attempt."""
+        """Drop the queued frames (their senders repeat what matters) and wait before the next attempt."""
         self.state = LinkState.BACKOFF
         self._queue.clear()
         self._connection = None
@@ -146,8 +146,8 @@
         """Open a connection.
 
         Raises:
-            OSError: The peer refused, or the network does not reach it.
-            TimeoutError: `ATTEMPT_LIMIT_S` is over.
+            OSError: The peer refused the connection, or is unreachable.
+            TimeoutError: The attempt took longer than `ATTEMPT_LIMIT_S`.
             ValueError: The address is malformed.
         """
         link_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -158,7 +158,7 @@
             async with asyncio.timeout(ATTEMPT_LIMIT_S):
                 await loop.sock_connect(link_socket, split_address(self.address))
             _, connection = await loop.create_connection(self._new_connection, sock=link_socket)
-        except BaseException:  # also a cancelled attempt must not leak its socket
+        except BaseException:  # a cancelled attempt must not leak its socket either
             link_socket.close()
             raise
         return connection
@@ -171,7 +171,7 @@
             self._enter_backoff(LinkError("open", self.address, reason))
 
     def _cancel_attempts_and_timer(self) -> None:
-        """Cancel every attempt but the one that calls, and the timer."""
+        """Cancel the timer and every attempt except the calling one."""
         current = asyncio.current_task() if self._attempts else None
         for task in self._attempts:
             if task is not current:
--- a/rosechute/messages/errors.py
+++ b/rosechute/messages/errors.py
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkError:
-    """Why a link could not be opened, or has ended. Handed to the owner of a pool, not raised."""
+    """The reason why a link could not be opened, or has ended. Passed to the owner of a pool, not raised."""
 
     step: str
     """The step that failed: `connect`, or `open` for a link that was in use."""
     peer: str
     """The address of the other side, `host:port`."""
     reason: str
-    """One sentence of the operating system or of this package."""
+    """One sentence, from the operating system or from this package."""
--- a/rosechute/messages/frame_queue.py
+++ b/rosechute/messages/frame_queue.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-QUEUE_LIMIT_BYTES = 2 * 1024 * 1024  # bounds the memory that a peer which does not read can cost
+QUEUE_LIMIT_BYTES = 2 * 1024 * 1024  # bounds the memory used for a peer that does not read
 
 
 class FrameQueue:
@@ -24,7 +24,7 @@
         return len(self._frames)
 
     def push(self, frame: bytes) -> None:
-        """Add a frame; drop the oldest ones where the limit is exceeded."""
+        """Add a frame; drop the oldest ones if the limit is exceeded."""
         self._frames.append(frame)
         self._size_bytes += len(frame)
         while self._size_bytes > QUEUE_LIMIT_BYTES and len(self._frames) > 1:
--- a/rosechute/messages/framing.py
+++ b/rosechute/messages/framing.py
@@ -12,7 +12,7 @@
 
 from rosechute.messages.errors import FrameError
 
-MESSAGE_LIMIT_BYTES = 20 * 1024 * 1024  # a promise may hold two states, each with a configuration of up to 8 MiB
+MESSAGE_LIMIT_BYTES = 20 * 1024 * 1024  # a Promise may hold two states, each with a configuration of up to 8 MiB
 _HEADER = struct.Struct(">IB")  # length of the message, kind
 
 
@@ -41,7 +41,7 @@
         FrameError: The message is over `MESSAGE_LIMIT_BYTES`.
     """
     if len(data) > MESSAGE_LIMIT_BYTES:
-        raise FrameError(f"message of {len(data)} bytes is over the bound")
+        raise FrameError(f"message of {len(data)} bytes exceeds the size limit")
     return _HEADER.pack(len(data), kind) + data
 
 
--- a/rosechute/messages/link_connection.py
+++ b/rosechute/messages/link_connection.py
@@ -12,7 +12,7 @@
 from rosechute.messages.framing import FrameReader, MessageKind, encode_frame
 from rosechute.messages.socket_options import set_link_options
 
-WRITE_BUFFER_HIGH_BYTES = 256 * 1024  # of the transport; frames beyond it wait in a queue that drops the oldest
+WRITE_BUFFER_HIGH_BYTES = 256 * 1024  # limit of the transport; further frames wait in a queue that drops the oldest
 
 OnMessage = Callable[["LinkConnection", MessageKind, bytes], None]
 """Called with the connection, the kind and the data of each message that arrives."""
@@ -21,7 +21,7 @@
 
 
 class LinkConnection(asyncio.Protocol):
-    """An open connection. Delivery is not promised: frames that cannot be sent are dropped, the oldest first."""
+    """An open connection. Delivery is not guaranteed: frames that cannot be sent are dropped, the oldest first."""
 
     def __init__(self, address: str, on_message: OnMessage, on_closed: OnClosed) -> None:
         """Create the protocol of a connection that is about to open.
@@ -84,7 +84,7 @@
             set_link_options(link_socket)
 
     def data_received(self, data: bytes) -> None:
-        """Hand over the messages that are complete; called by asyncio."""
+        """Pass the complete messages to the handler; called by asyncio."""
         try:
             messages = self._reader.feed(data)
         except FrameError as error:
@@ -95,7 +95,7 @@
             self._handle(kind, message)
 
     def pause_writing(self) -> None:
-        """Queue frames from here on: the peer reads slower than this side sends; called by asyncio."""
+        """Start to queue frames, as the peer reads slower than this side sends; called by asyncio."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
@@ -113,5 +113,5 @@
     def _handle(self, kind: MessageKind, message: bytes) -> None:
         try:
             self._on_message(self, kind, message)
-        except Exception:  # the handler may fail in any way; the connection and the next messages must survive it
+        except Exception:  # the connection and the next messages must survive any failure of the handler
             logger.exception("link message handler failed peer={} kind={}", self.address, kind.name)
--- a/rosechute/messages/link_pool.py
+++ b/rosechute/messages/link_pool.py
@@ -13,9 +13,9 @@
 
 
 class LinkPool:
-    """One link to each address, opened by the first message to it and opened again under backoff.
+    """One link to each address, opened by the first message to it and reopened under backoff.
 
-    Delivery is not promised: messages that cannot be sent are dropped, the oldest first, and every sender repeats
+    Delivery is not guaranteed: messages that cannot be sent are dropped, the oldest first, and every sender repeats
     what matters.
     """
 
@@ -47,7 +47,7 @@
         return list(self._links)
 
     def remove(self, address: str) -> None:
-        """Close and drop the link to an address, without a call of `on_closed`."""
+        """Close and drop the link to an address, without calling `on_closed`."""
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
--- a/rosechute/messages/link_server.py
+++ b/rosechute/messages/link_server.py
@@ -8,7 +8,7 @@
 from rosechute.messages.address import split_address
 from rosechute.messages.link_connection import LinkConnection, OnMessage
 
-LISTEN_BACKLOG = 256  # connections that wait to be accepted; after a restart all peers dial at once
+LISTEN_BACKLOG = 256  # limit of pending connections; after a restart all peers connect at once
 
 
 class LinkServer:
@@ -24,7 +24,7 @@
 
         Args:
             address: Where to listen, `host:port`.
-            on_message: Called with each message; a reply is sent on the connection that it is called with.
+            on_message: Called with each message and its connection, on which a reply is sent.
             on_closed: Called with each accepted connection that has ended.
         """
         self._address = address
@@ -34,7 +34,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Start to listen.
+        """Start listening.
 
         Raises:
             OSError: The address is in use or does not belong to this machine.
--- a/rosechute/messages/socket_options.py
+++ b/rosechute/messages/socket_options.py
@@ -5,7 +5,7 @@
 import contextlib
 import socket
 
-USER_TIMEOUT_MS = 2000  # the kernel closes a link whose bytes stay unacknowledged for so long (RFC 5482)
+USER_TIMEOUT_MS = 2000  # the kernel closes a link with bytes unacknowledged for this long (RFC 5482)
 KEEPALIVE_IDLE_S = 2  # silence before the first keepalive probe
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2  # unanswered probes after which the kernel closes a link
@@ -21,7 +21,7 @@
 
 
 def set_link_options(link_socket: socket.socket) -> None:
-    """Set the options of a link; an option that the system does not offer is left out."""
+    """Set the options of a link; options that the system does not support are skipped."""
     for level, option, value in _OPTIONS:
         with contextlib.suppress(OSError):
             link_socket.setsockopt(level, option, value)
--- a/rosechute/native.py
+++ b/rosechute/native.py
@@ -1,8 +1,8 @@
-"""Which modules are loaded compiled: those that the build left in `.compiled/`, where they are of these sources.
+"""Import hook for the compiled modules in `.compiled/`.
 
-The build (`deploy/build.sh`) compiles the modules on each request's way and puts beside every library a copy of the
-source it was made from. Before the process loads them, `prefer` compares. Any difference, a library of another
-interpreter or none at all, and every module comes from its source: what runs is always what can be read.
+The build (`deploy/build.sh`) compiles the modules on the request path and stores beside each library a copy of its
+source. `install_finder` compares these copies with the current sources. If one differs, or no library fits this
+interpreter, all modules are loaded from source, so that the running code always matches the sources.
 """
 
 from __future__ import annotations
@@ -15,15 +15,17 @@
 from types import ModuleType
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-FOLDER = ".compiled"
-OFF = "ROSECHUTE_PLAIN"  # set to 1: from the sources, whatever was built
+LIBRARY_FOLDER = ".compiled"
+DISABLE_VARIABLE = (
+    "ROSECHUTE_PLAIN"  # environment variable; with 1, modules are loaded from source even if libraries exist
+)
 
 
-class Libraries:
-    """Finds modules in compiled libraries. Stands before the finders of sources on `sys.meta_path`.
+class CompiledModuleFinder:
+    """Finder for modules in compiled libraries, placed before the source finders on `sys.meta_path`.
 
     Args:
-        files: The library of each module, by the module's full name.
+        files: Paths of the libraries, by full module name.
     """
 
     def __init__(self, files: Mapping[str, str]) -> None:
@@ -32,56 +34,57 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
+        """Return the spec of a compiled module; None for any other module."""
         file = self._files.get(name)
         return spec_from_file_location(name, file) if file is not None else None
 
 
-def found(root: str = ROOT, folder: str = FOLDER) -> dict[str, str]:
-    """The libraries to load, by module; empty where there are none or any differs from its source.
+def find_libraries(root: str = ROOT, folder: str = LIBRARY_FOLDER) -> dict[str, str]:
+    """Return the paths of the libraries by module; empty if there are none, or if any source has changed.
 
     Args:
-        root: The folder that holds the packages.
-        folder: The one that holds the libraries, below `root` or absolute. Libraries of another interpreter are
-            passed over.
+        root: Directory of the packages.
+        folder: Directory of the libraries, absolute or relative to `root`. Libraries for another interpreter are
+            ignored.
     """
     base = os.path.join(root, folder)
     suffix = EXTENSION_SUFFIXES[0]
     files: dict[str, str] = {}
     try:
-        for inside, _, names in os.walk(base):
+        for directory, _, names in os.walk(base):
             for name in names:
-                path = os.path.join(inside, name)
-                place = os.path.relpath(path, base)
+                path = os.path.join(directory, name)
+                relative = os.path.relpath(path, base)
                 if name.endswith(suffix):
-                    files[place[: -len(suffix)].replace(os.sep, ".")] = path
-                elif name.endswith(".py") and _bytes(path) != _bytes(os.path.join(root, place)):
+                    files[relative[: -len(suffix)].replace(os.sep, ".")] = path
+                elif name.endswith(".py") and _read_bytes(path) != _read_bytes(os.path.join(root, relative)):
                     return {}
-    except OSError:  # a source that is gone, or a folder that may not be read: nothing to rely on
+    except OSError:  # a source was removed, or a directory can't be read
         return {}
     return files
 
 
-def prefer(env: Mapping[str, str] = os.environ) -> bool:
-    """Have modules come from their libraries from now on; whether they do.
+def install_finder(env: Mapping[str, str] = os.environ) -> bool:
+    """Load the compiled modules from their libraries from now on; return whether this is in effect.
 
-    This goes before any import of theirs: where one of them is loaded already, all come from their sources, as a
-    compiled module does not take another's classes from both.
+    Must run before any of these modules is imported. If one is loaded already, all are loaded from source: a compiled
+    module can't mix classes of compiled and of source modules.
     """
-    if any(isinstance(finder, Libraries) for finder in sys.meta_path):
+    if any(isinstance(finder, CompiledModuleFinder) for finder in sys.meta_path):
         return True
-    files = {} if env.get(OFF) == "1" else found()
+    files = {} if env.get(DISABLE_VARIABLE) == "1" else find_libraries()
     if files and files.keys().isdisjoint(sys.modules):
-        sys.meta_path.insert(0, Libraries(files))
+        sys.meta_path.insert(0, CompiledModuleFinder(files))
         return True
     return False
 
 
-def in_force() -> bool:
-    """Whether the decision module of this process was loaded from a library."""
+def is_compiled() -> bool:
+    """Return whether this process loaded the decision module from a library."""
     module = sys.modules.get("rosechute.load_balancing.rules")
     return module is not None and str(module.__file__).endswith(EXTENSION_SUFFIXES[0])
 
 
-def _bytes(path: str) -> bytes:
+def _read_bytes(path: str) -> bytes:
     with open(path, "rb") as file:
         return file.read()
--- a/rosechute/processes/__init__.py
+++ b/rosechute/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Thin programs that assemble the planes, and the command line."""
+"""Entry points of the edge and core processes, and the command line."""
--- a/rosechute/processes/__main__.py
+++ b/rosechute/processes/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rosechute.processes`."""
+"""Run the command line: `python -m rosechute.processes`."""
 
 from rosechute.processes.main import main
 
--- a/rosechute/processes/core.py
+++ b/rosechute/processes/core.py
@@ -1,4 +1,4 @@
-"""The program of a core machine. `ROSECHUTE_NODE_FILE` names its settings file."""
+"""Entry point of a core process. `ROSECHUTE_NODE_FILE` holds the path of its settings file."""
 
 import rosechute.processes.early_start  # noqa: F401
 
@@ -29,19 +29,19 @@
 from rosechute.processes.settings_watch import SettingsWatch
 from rosechute.processes.state import ProcessState
 
-SHUTDOWN_TIMEOUT_S = 1.8  # above the 1.05 s that the handover may take
-EXIT_UNUSABLE = 2  # the settings are unusable, or an address is taken
+SHUTDOWN_TIMEOUT_S = 1.8  # longer than the handover of the leader lease, which may take 1.05 s
+EXIT_UNUSABLE = 2  # the settings are unusable, or an address cannot be bound
 
 
 class CoreProcess:
-    """The core machine, its metrics and its settings file, from start to end of the process."""
+    """Runs the core machine, its metrics server and the watch of its settings file until the process is stopped."""
 
     def __init__(self, settings: ProcessSettings, path: str) -> None:
         """Build the parts without starting any.
 
         Args:
             settings: The settings in force at the start.
-            path: The file that they came from, which is watched for changes.
+            path: Path of the file that they were loaded from; it is watched for changes.
         """
         self._settings = settings
         state = ProcessState(settings)
@@ -55,19 +55,19 @@
         """Serve until SIGTERM or SIGINT, then shut down.
 
         Raises:
-            OSError: An address is taken or not of this machine.
+            OSError: An address is in use or does not belong to this machine.
             TimeoutError: The shutdown took longer than `SHUTDOWN_TIMEOUT_S`.
         """
         self._install_handlers(asyncio.get_running_loop())
         await self._machine.start()
         await self._metrics.start()
-        gc.freeze()  # what is loaded by now stays: later collections needn't look at it
+        gc.freeze()  # objects loaded by now are never freed, so later collections can skip them
         gc.enable()
         address = self._settings.listen.control
         logger.info("core started node={} control_address={}", self._settings.node_name, address)
-        watching = asyncio.create_task(self._settings_watch.run())
+        watch_task = asyncio.create_task(self._settings_watch.run())
         await self._stop_requested.wait()
-        watching.cancel()
+        watch_task.cancel()
         await self._metrics.stop()
         await asyncio.wait_for(self._machine.stop(), SHUTDOWN_TIMEOUT_S)
 
@@ -79,7 +79,7 @@
 
 
 def main() -> int:
-    """Run the program; return its exit status."""
+    """Run a core process; return its exit status: 0 or `EXIT_UNUSABLE`."""
     loaded = load_settings_from_environment()
     if isinstance(loaded, Failure):
         logs.configure_logging()
@@ -97,7 +97,7 @@
 def _run(settings: ProcessSettings) -> int:
     try:
         asyncio.run(_run_process(settings, os.environ[SETTINGS_VARIABLE]))
-    except TimeoutError:  # before OSError, whose subclass it is
+    except TimeoutError:  # must precede OSError, of which it is a subclass
         logger.warning("shutdown timed out timeout_s={}", SHUTDOWN_TIMEOUT_S)
     except OSError as error:
         logger.critical("cannot listen node={} error={}", settings.node_name, error)
@@ -110,7 +110,7 @@
 
 
 def _log_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-    """Log an exception of a callback or task that nobody awaits; the event loop goes on."""
+    """Log an exception of a callback or of a task that is never awaited; the event loop continues."""
     error = context.get("exception")
     exception = error if isinstance(error, BaseException) else None
     logger.opt(exception=exception).error("unhandled error in event loop context={}", context.get("message"))
--- a/rosechute/processes/core_metrics.py
+++ b/rosechute/processes/core_metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of a core machine. docs/fleet/metrics.md explains their names to operators.
+"""Metrics of a core machine. docs/fleet/metrics.md explains them to operators.
 
-Names follow the conventions of Prometheus: base units, `_total` for counters. A metric that an edge has as well has
-the same name and meaning there.
+Names follow the conventions of Prometheus: base units, `_total` for counters. A metric that an edge exports as
+well has the same name and meaning there.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ReportMetric(NamedTuple):
-    """A metric whose value stands in the core's report; a value of None is left out."""
+    """A metric whose value is part of the core's report; a value of None is omitted from the output."""
 
     name: str
     help_text: str
@@ -54,9 +54,9 @@
 
 
 def core_families(machine: CoreMachine) -> list[Family]:
-    """Return the metrics of a core machine; those of its report are left out until its records are loaded."""
+    """Return the metrics of a core machine; those of its report are omitted until its records are loaded."""
     families = [
-        Family(metric.name, metric.help_text, (), single(_reported(machine, metric.value)))
+        Family(metric.name, metric.help_text, (), single(_report_reader(machine, metric.value)))
         for metric in REPORT_METRICS
     ]
     families.append(
@@ -78,13 +78,13 @@
     return families
 
 
-def _reported(machine: CoreMachine, value: ReportValue) -> Callable[[], float]:
+def _report_reader(machine: CoreMachine, value: ReportValue) -> Callable[[], float]:
     """Return a function that reads one value of the machine's report; NaN where it is unknown."""
 
     def read() -> float:
         report = machine.report()
-        found = value(report) if report is not None else None
-        return math.nan if found is None else float(found)
+        reported = value(report) if report is not None else None
+        return math.nan if reported is None else float(reported)
 
     return read
 
--- a/rosechute/processes/early_start.py
+++ b/rosechute/processes/early_start.py
@@ -1,8 +1,8 @@
 """Signal handling and garbage collection while a process starts. Import it before everything else.
 
-SIGHUP is ignored: its default would end the process, and the settings are loaded later anyway. SIGTERM ends the
-process at once: it has accepted nothing yet. Garbage collection is off, since nothing that is loaded is freed again;
-the program turns it on when it has started.
+SIGHUP is ignored: its default action would end the process, and the settings are loaded later anyway. SIGTERM ends
+the process at once, since it has not accepted any request yet. Garbage collection is disabled, since objects loaded
+at the start are never freed; the entry point enables it when the process has started.
 """
 
 from __future__ import annotations
--- a/rosechute/processes/edge.py
+++ b/rosechute/processes/edge.py
@@ -1,4 +1,4 @@
-"""The program of an edge machine. `ROSECHUTE_NODE_FILE` names its settings file."""
+"""Entry point of an edge process. `ROSECHUTE_NODE_FILE` holds the path of its settings file."""
 
 import rosechute.processes.early_start  # noqa: F401
 
@@ -43,28 +43,28 @@
 
 READINESS_PATH = "/readiness"
 BACKLOG = 64
-RELEASE_WAIT_S = 0.05  # at the end, for the last message to the leader to leave this machine
+RELEASE_WAIT_S = 0.05  # at shutdown, until the last message to the leader has been sent
 
 
 class EdgeProcess:
-    """One run of the program: start, changed settings, graceful shutdown.
+    """Runs an edge: start, reload of settings, graceful shutdown.
 
     Implements `rosechute.data_plane.ports.Freshness`.
 
     Args:
         loop: The event loop.
-        settings: As read from the settings file.
-        path: Of that file, which is read again at SIGHUP and when it changes.
+        settings: The settings in force at the start.
+        path: Path of the file that they were loaded from, which is loaded again on SIGHUP and when it changes.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: ProcessSettings, path: str) -> None:
         self._settings = settings
-        self._watch = SettingsWatch(settings, path, self._change_settings)
-        self._ending = asyncio.Event()
+        self._settings_watch = SettingsWatch(settings, path, self._change_settings)
+        self._stop_requested = asyncio.Event()
         self._links = EdgeLinks(loop, settings, secrets.randbits(63), self._apply)
-        self._invalid_sequence = 0  # of a configuration that could not be parsed; 0 for none
-        draw = secrets.SystemRandom().random
-        router = Router(draw, RouterTuning(zone=settings.zone))
+        self._invalid_sequence = 0  # sequence number of the newest configuration if it cannot be parsed; else 0
+        random = secrets.SystemRandom().random
+        router = Router(random, RouterTuning(zone=settings.zone))
         self._plane = DataPlane(loop, settings, router, self._links.quota, self)
         families = edge_families(loop, self._plane, router, self._links)
         self._metrics = MetricsServer(settings.ip, EDGE_PORT, families)
@@ -74,22 +74,22 @@
         self._state.add("routing", lambda: router_report(router, loop.time()))
 
     async def run(self) -> None:
-        """Run until SIGTERM or SIGINT, then until every request is answered or the grace period is over."""
+        """Serve until SIGTERM or SIGINT, then until every request is answered or the grace period has elapsed."""
         loop = asyncio.get_running_loop()
         await self._plane.start()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.end)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        loop.add_signal_handler(signal.SIGHUP, self._settings_watch.reload)
         runner = await self._listen_readiness()
         await self._metrics.start()
         await self._links.start()
         logger.info("edge started edge={} listen={}", self._settings.node_name, self._settings.listen.front)
         gc.enable()
         gc.freeze()
-        watching = loop.create_task(self._watch.run())
-        await self._ending.wait()
+        watch_task = loop.create_task(self._settings_watch.run())
+        await self._stop_requested.wait()
         logger.info("edge shutting down edge={}", self._settings.node_name)
-        watching.cancel()
+        watch_task.cancel()
         self._links.leave()
         await self._plane.finish_shutdown()
         self._links.quota.release()
@@ -99,12 +99,15 @@
         await runner.cleanup()
 
     def end(self) -> None:
-        """Begin the shutdown. Readiness fails from this very turn on: it may be probed before the next one."""
+        """Begin the shutdown. Readiness fails at once, since a probe may arrive before `run` resumes."""
         self._plane.begin_shutdown()
-        self._ending.set()
+        self._stop_requested.set()
 
     def confirmed_at(self) -> float:
-        """See `Freshness`. Nothing is confirmed while the newest configuration can't be parsed."""
+        """Return the loop time at which the configuration in force was last confirmed to be the newest.
+
+        It is minus infinity while the newest configuration cannot be parsed.
+        """
         return -math.inf if self._invalid_sequence else self._links.subscriber.confirmed_at
 
     def _change_settings(self, settings: ProcessSettings) -> None:
@@ -125,17 +128,17 @@
         return web.Response(status=200 if self._plane.ready() else 503)
 
     def _apply(self, action: Action) -> None:
-        """Put an update of the distribution in force."""
+        """Apply an update that the subscriber received."""
         match action:
             case ConfigurationChanged():
                 self._apply_configuration(action)
             case ServersChanged(service=service, servers=servers):
-                self._plane.apply_servers(service, [_entry(server) for server in servers])
+                self._plane.apply_servers(service, [_server_entry(server) for server in servers])
             case EdgesTotalChanged(count=count):
                 self._plane.apply_edges(count)
 
     def _apply_configuration(self, change: ConfigurationChanged) -> None:
-        """Put a configuration in force. One that can't be parsed is not, and nothing is confirmed from then on."""
+        """Apply a configuration. If it cannot be parsed, keep the one in force, which then counts as unconfirmed."""
         parsed = parse_configuration(change.body)
         if isinstance(parsed, Failure):
             self._invalid_sequence = change.sequence
@@ -158,7 +161,7 @@
 
 
 def main() -> int:
-    """Run the program; return its exit status: 2 for bad settings or an address that is not available."""
+    """Run an edge process; return its exit status, 2 for bad settings or an address that cannot be bound."""
     logs.configure_logging()
     loaded = load_settings_from_environment()
     if isinstance(loaded, Failure):
@@ -182,7 +185,7 @@
     await EdgeProcess(asyncio.get_running_loop(), settings, path).run()
 
 
-def _entry(server: ListedServer) -> ServerEntry:
+def _server_entry(server: ListedServer) -> ServerEntry:
     return ServerEntry(server.id, server.address, server.zone, server.slots, server.ready, server.cold_until)
 
 
--- a/rosechute/processes/edge_links.py
+++ b/rosechute/processes/edge_links.py
@@ -1,4 +1,4 @@
-"""The links of an edge process: they connect the subscriber and the quota client to the core and to other edges."""
+"""Links of an edge process, which connect its subscriber and its quota client to the core and to other edges."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from rosechute.processes.quota_client import QuotaClient
 from rosechute.routing.counts import Counts
 
-UNUSED_LINKS_INTERVAL_S = 5.0  # between two looks for links whose address is not in use any more
-MIN_SLEEP_S = 0.001  # a tick that is due at once lets other tasks run first
-BYTES_SENT = "bytes_sent"  # the event that is counted, by kind of message
+UNUSED_LINKS_INTERVAL_S = 5.0  # between checks for links to addresses that are no longer in use
+MIN_SLEEP_S = 0.001  # even if the next tick is due already, so that other tasks run first
+BYTES_SENT = "bytes_sent"  # event in `Counts`, by kind of message
 
 Apply = Callable[[Action], None]
 
@@ -39,8 +39,8 @@
         Args:
             loop: The loop that runs them.
             settings: The process settings.
-            incarnation: Number drawn at the start of the process.
-            apply: Called with every change that is to be put in force, in order.
+            incarnation: Random number that identifies this run of the process.
+            apply: Called with each change to apply, in order.
         """
         self._loop = loop
         self._apply = apply
@@ -55,7 +55,7 @@
         self._server = LinkServer(address, self._on_accepted_frame, self._on_accepted_closed)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
-        self._logged_leader: str | None = None  # as of the last log line
+        self._logged_leader: str | None = None  # leader named by the last log line about it
         self._close_unused_at = loop.time() + UNUSED_LINKS_INTERVAL_S
 
     async def start(self) -> None:
@@ -72,11 +72,11 @@
         self._pool.close()
 
     def change_settings(self, settings: ProcessSettings) -> None:
-        """Use the seeds of settings that were read again."""
+        """Use the seed addresses of reloaded settings."""
         self.subscriber.set_seeds(settings.seed_peers)
 
     def leave(self) -> None:
-        """Start the shutdown: this edge is no home any more."""
+        """Announce to the leader that this edge is shutting down."""
         self.subscriber.leave(self._loop.time())
         self._tick()
 
@@ -114,7 +114,7 @@
     def _on_accepted_closed(self, connection: LinkConnection) -> None:
         self._carry_out(self.subscriber.connection_closed(self._loop.time(), connection))
 
-    # --- the subscriber's clock and actions
+    # --- timer and actions of the subscriber
 
     def _tick(self) -> None:
         now = self._loop.time()
--- a/rosechute/processes/logs.py
+++ b/rosechute/processes/logs.py
@@ -1,6 +1,6 @@
 """Logging of a process: one line per event on standard error, with time, level, module and message.
 
-The level is that of the environment, else that of the settings, else INFO.
+The level comes from the environment, else from the settings; the default is INFO.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     from loguru import Record
 
 LEVEL_VARIABLE = "ROSECHUTE_LOG_LEVEL"
-"""Name of the environment variable with the lowest level that is logged."""
+"""Name of the environment variable that sets the lowest level to log."""
 DEFAULT_LEVEL = "INFO"
 LEVELS = ("TRACE", "DEBUG", "INFO", "SUCCESS", "WARNING", "ERROR", "CRITICAL")
 
@@ -24,7 +24,7 @@
 def configure_logging(configured_level: str = "", stream: TextIO | None = None) -> str:
     """Log events of a level and above to a stream, in place of any earlier destination.
 
-    An unknown level counts as absent, so that a typing error in it never prevents a start.
+    An unknown level is ignored, so that a misspelt one never prevents a start.
 
     Args:
         configured_level: The level in the settings, in any case; empty if there is none.
@@ -49,7 +49,7 @@
 
 
 def format_line(record: Record) -> str:
-    """Return one line for an event; an exception adds its type, its text and where it was raised."""
+    """Return one line for an event; an exception adds its type, its text and the line that raised it."""
     time = record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3]
     text = f"{time} {record['level'].name} {record['name']} {record['message']}"
     exception = record["exception"]
@@ -61,6 +61,6 @@
 
 
 def _template(record: Record) -> str:
-    """Return the format string of a record; the line goes through `extra`, so that its braces are not expanded."""
+    """Return the format string of a record; the line is passed in `extra`, so that its braces are not expanded."""
     record["extra"]["line"] = format_line(record)
     return "{extra[line]}\n"
--- a/rosechute/processes/main.py
+++ b/rosechute/processes/main.py
@@ -17,7 +17,7 @@
 from rosechute.processes import state
 
 EXIT_OK = 0
-EXIT_WRONG = 1
+EXIT_FAILURE = 1
 PROGRAM = "rosechute-fleet"
 
 
@@ -28,7 +28,7 @@
         """Run an edge process.
 
         Args:
-            settings: The settings file; left out, the one that ROSECHUTE_NODE_FILE names.
+            settings: The settings file; by default the one that ROSECHUTE_NODE_FILE names.
         """
         _run("edge", str(settings))
 
@@ -36,12 +36,12 @@
         """Run a core process.
 
         Args:
-            settings: The settings file; left out, the one that ROSECHUTE_NODE_FILE names.
+            settings: The settings file; by default the one that ROSECHUTE_NODE_FILE names.
         """
         _run("core", str(settings))
 
     def check_configuration(self, file: str) -> None:
-        """Say whether an operator's configuration is valid; exit code 1 and the place of the problem where it isn't.
+        """Check an operator's configuration; if it is invalid, print where and exit with code 1.
 
         Args:
             file: The configuration, as JSON.
@@ -51,63 +51,65 @@
             body = Path(name).read_bytes()
         except OSError as error:
             _fail(f"{name}: read: {error.strerror}")
-        read = operator.parse_configuration(body)
-        if isinstance(read, Failure):
-            _fail(f"{name}: {read.failure()}")
-        found = read.unwrap()
+        result = operator.parse_configuration(body)
+        if isinstance(result, Failure):
+            _fail(f"{name}: {result.failure()}")
+        checked = result.unwrap()
         print(
-            f"{name}: valid; version {found.config_version}, {len(found.routes)} routes, "
-            f"{len(found.services)} services, {len(found.tenants)} tenants"
+            f"{name}: valid; version {checked.config_version}, {len(checked.routes)} routes, "
+            f"{len(checked.services)} services, {len(checked.tenants)} tenants"
         )
 
     def check_settings(self, file: str) -> None:
-        """Say whether a settings file is usable; exit code 1 and the place of the problem where it isn't.
+        """Check a settings file; if it is unusable, print where and exit with code 1.
 
         Args:
             file: The settings, as JSON.
         """
-        read = process.load_settings(str(file))
-        if isinstance(read, Failure):
-            _fail(str(read.failure()))
-        found = read.unwrap()
-        for side in found.serves:
-            missing = process.find_missing_setting(found, side, str(file))
+        result = process.load_settings(str(file))
+        if isinstance(result, Failure):
+            _fail(str(result.failure()))
+        checked = result.unwrap()
+        for side in checked.serves:
+            missing = process.find_missing_setting(checked, side, str(file))
             if missing is not None:
                 _fail(str(missing))
-        print(f"{file}: usable; {found.node_name} in {found.zone} serves {', '.join(found.serves) or 'nothing'}")
+        print(
+            f"{file}: usable; {checked.node_name} in {checked.zone} serves {', '.join(checked.serves) or 'nothing'}"
+        )
 
     def state(self, address: str) -> None:
         """Print the state of a running process.
 
         Args:
-            address: Its control or readiness address, host:port.
+            address: Control or readiness address of the process, host:port.
         """
-        read = asyncio.run(state.fetch_state(str(address)))
-        if isinstance(read, Failure):
-            _fail(f"state: {read.failure()}")
-        print(msgspec.json.format(msgspec.json.encode(read.unwrap())).decode())
+        result = asyncio.run(state.fetch_state(str(address)))
+        if isinstance(result, Failure):
+            _fail(f"state: {result.failure()}")
+        print(msgspec.json.format(msgspec.json.encode(result.unwrap())).decode())
 
     def demo(self, seconds: float = 20.0) -> None:
         """Run a small fleet on loopback, kill a core process and an edge, and show that requests are still served.
 
         Args:
-            seconds: How long it runs.
+            seconds: Duration of the demo.
         """
         demo = importlib.import_module("rosechute.processes.demo")
         sys.exit(demo.main(float(seconds)))
 
 
 def _run(role: str, settings: str) -> NoReturn:
-    """Run a role's program; its module is loaded only now, since other commands need none of it."""
+    """Run the entry point of a role; its module is imported here, since the other commands do not need it."""
     if settings:
         os.environ[process.SETTINGS_VARIABLE] = settings
     sys.exit(importlib.import_module(f"rosechute.processes.{role}").main())
 
 
 def _fail(reason: str) -> NoReturn:
-    """End with a reason."""
+    """Print the reason on standard error and exit with `EXIT_FAILURE`."""
     print(reason, file=sys.stderr)
-    sys.exit(EXIT_WRONG)
+    sys.exit(EXIT_FAILURE)
 
 
 def main(arguments: list[str] | None = None) -> None:
--- a/rosechute/processes/metrics.py
+++ b/rosechute/processes/metrics.py
@@ -1,6 +1,6 @@
-"""`GET /metrics` at a port of its own: metrics in the text exposition format of Prometheus.
+"""Metrics in the text exposition format of Prometheus, served as `GET /metrics` on a separate port.
 
-Values are read at each request. Counters are kept by the component that counts (`routing.counts`).
+Values are read on each request. Each component keeps its own counters (`routing.counts`).
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from aiohttp import web
 from loguru import logger
 
-EDGE_PORT = 9465  # as deploy/system.toml names it
+EDGE_PORT = 9465  # the deployment file deploy/system.toml names both ports
 CORE_PORT = 9466
 PATH = "/metrics"
 CONTENT_TYPE = "text/plain; version=0.0.4"
 PREFIX = "rosechute_"
 
-Values = Mapping[tuple[str, ...], float]  # by the values of the labels
+Values = Mapping[tuple[str, ...], float]  # keyed by label values
 
 
 @dataclass(frozen=True, slots=True)
 class Family:
-    """One metric with all its label values.
+    """A metric family: one metric with all its label values.
 
     Attributes:
-        name: Without the prefix; counters end in `_total`.
-        help: One line, with the unit.
+        name: Name without `PREFIX`; names of counters end in `_total`.
+        help: Description in one line, with the unit.
         labels: Names of the labels.
-        read: Returns the current values by label values.
+        read: Returns the current values, keyed by label values.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
     @property
     def kind(self) -> str:
-        """The type by the name: counter or gauge."""
+        """The metric type, derived from the name: `counter` or `gauge`."""
         return "counter" if self.name.endswith("_total") else "gauge"
 
 
@@ -49,7 +49,7 @@
 
 
 def single(value: Callable[[], float]) -> Callable[[], Values]:
-    """Return a reader of one value without labels; infinity and NaN mean unknown and are left out."""
+    """Return a reader of one value without labels; infinity and NaN mean unknown and are omitted."""
 
     def read() -> Values:
         current = value()
@@ -59,7 +59,7 @@
 
 
 def render(families: Sequence[Family]) -> str:
-    """Return all families as text. One that can't be read is left out and logged; the others are unaffected."""
+    """Return all families as text. One that cannot be read is omitted and logged; the others are unaffected."""
     lines: list[str] = []
     for family in families:
         try:
@@ -69,32 +69,32 @@
             continue
         name = PREFIX + family.name
         lines += [f"# HELP {name} {family.help}", f"# TYPE {name} {family.kind}"]
-        lines += [f"{name}{_labels(family.labels, key)} {value:.10g}" for key, value in sorted(values.items())]
+        lines += [f"{name}{_format_labels(family.labels, key)} {value:.10g}" for key, value in sorted(values.items())]
     return "\n".join(lines) + "\n"
 
 
-def _labels(names: Sequence[str], values: Sequence[str]) -> str:
+def _format_labels(names: Sequence[str], values: Sequence[str]) -> str:
     if not names:
         return ""
-    pairs = (f'{name}="{_escaped(value)}"' for name, value in zip(names, values, strict=True))
+    pairs = (f'{name}="{_escape(value)}"' for name, value in zip(names, values, strict=True))
     return "{" + ",".join(pairs) + "}"
 
 
-def _escaped(value: str) -> str:
+def _escape(value: str) -> str:
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 class MetricsServer:
-    """Serves `GET /metrics` at one address. A process that can't bind the address runs without metrics."""
+    """Serves `GET /metrics` at one address. If the address cannot be bound, the process runs without metrics."""
 
     def __init__(self, ip: str, port: int, families: Sequence[Family]) -> None:
         self._ip, self._port, self._families = ip, port, families
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen; log a warning where the address is not available."""
+        """Listen; log a warning if the address cannot be bound."""
         application = web.Application()
-        application.router.add_get(PATH, self._answer)
+        application.router.add_get(PATH, self._handle)
         self._runner = web.AppRunner(application, access_log=None, handle_signals=False, shutdown_timeout=0.1)
         await self._runner.setup()
         try:
@@ -107,5 +107,5 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _answer(self, request: web.Request) -> web.Response:
+    async def _handle(self, request: web.Request) -> web.Response:
         return web.Response(text=render(self._families), headers={"Content-Type": CONTENT_TYPE})
--- a/rosechute/processes/plain_http.py
+++ b/rosechute/processes/plain_http.py
@@ -1,9 +1,9 @@
-"""Keeps the TLS library out of a process that only speaks plain HTTP. Import it before everything else.
+"""Prevent the import of `ssl` in a process that uses plain HTTP only. Import this module before everything else.
 
-Loading `ssl`, with its certificates, takes a tenth of a second and 4 MB at every start. The HTTP library and the
+Loading `ssl` and its certificates takes 0.1 s and 4 MB at each start. The HTTP library and the
 event loop work without it if it cannot be imported.
 """
 
 import sys
 
-sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]  # from here on `import ssl` raises ImportError
+sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]  # makes `import ssl` raise ImportError
--- a/rosechute/processes/quota_client.py
+++ b/rosechute/processes/quota_client.py
@@ -1,4 +1,4 @@
-"""Runs the edge's token cache on the event loop: sends its requests to the leader, carries out its decisions."""
+"""Quota client of an edge: runs its token cache on the event loop and exchanges quota messages with the leader."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from rosechute.routing.token_exchange import TokenIssue
 from rosechute.routing.waiting_queue import Decision, OnDecision
 
-# Between two wake-ups at least, so that a due time in the past does not make the loop spin.
+# Minimum time between wake-ups, so that a due time in the past does not make the loop spin.
 MIN_SLEEP_S = 0.001
-# How often to look for a leader while a lease report is due and none is known.
+# Interval of checks for a leader while a lease report is due and no leader is known.
 LEADER_POLL_S = 0.05
 # Event in `Counts`, by decision.
 QUOTA_DECISIONS = "quota_decisions"
 
 
 class QuotaClient:
-    """`rosechute.data_plane.ports.QuotaTokens`, over the link to the leader.
+    """Implements `rosechute.data_plane.ports.QuotaTokens` over the link to the leader.
 
     Args:
         loop: Event loop of the edge process.
         name: Name of this edge.
-        incarnation: Number of this process, another one after each start.
+        incarnation: Random number that identifies this run of the process.
         send: Sends a message to the leader.
-        leaderless_since: Returns the steady time since when no leader is known; None while one is.
+        leaderless_since: Returns the monotonic time from which no leader has been known; None while one is known.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self._is_released = False
 
     def acquire(self, tenant: str, tokens: int, on_decision: OnDecision, priority: int = 0) -> None:
-        """Use tokens of a limited tenant, or wait for them for a moment.
+        """Take tokens from the quota of a limited tenant, or queue until they arrive or the wait times out.
 
         Args:
             tenant: Name of the tenant.
-            tokens: Tokens that the request uses.
+            tokens: Number of tokens that the request uses.
             on_decision: Called exactly once, possibly before this returns.
-            priority: 0 is the highest.
+            priority: Priority of the request; 0 is the highest.
         """
         decisions = self._cache.acquire(self._loop.time(), tenant, tokens, on_decision, priority)
         if decisions:
@@ -88,14 +88,17 @@
             self._wake()
 
     def on_leader_known(self, term: int) -> None:
-        """Report the leases held to the leader of a new term."""
+        """Schedule a report of the leases held if the leader's term is new."""
         if term > self._cache.term and not self._is_released:
             now = self._loop.time()
             self._cache.on_leader_known(now, term)
             self._wake_at(now)
 
     def release(self) -> None:
-        """Give up all tokens and leases, and tell the leader: no request is admitted any more, the process ends."""
+        """Give up all tokens and leases, and notify the leader if one is known.
+
+        To be called at shutdown, when no request is admitted any more.
+        """
         self.close()
         self._is_released = True
         self._cache.release()
@@ -112,7 +115,7 @@
             self._timer = None
 
     def _wake_at(self, when: float) -> None:
-        """Wake up then, unless the timer is due earlier; infinity for never."""
+        """Set the timer to this loop time unless it is due earlier; infinity leaves it as it is."""
         if when == math.inf:
             return
         if self._timer is not None:
@@ -123,9 +126,9 @@
         self._timer = self._loop.call_at(when, self._wake)
 
     def _wake(self) -> None:
-        """Reject requests that have waited for too long, and send to the leader what is due.
+        """Reject requests that have waited too long, and send the token request and lease report that are due.
 
-        All requests that arrived in one turn of the loop share one token request.
+        All requests that arrived in one iteration of the event loop share one token request.
         """
         if self._timer is not None:
             self._timer.cancel()
@@ -139,12 +142,12 @@
         self._wake_at(self._next_wake_at(now, leaderless_s))
 
     def _leaderless_s(self, now: float) -> float | None:
-        """Return for how long no leader has been known; None while one is."""
+        """Return for how long no leader has been known; None while one is known."""
         since = self._leaderless_since()
         return now - since if since is not None else None
 
     def _next_wake_at(self, now: float, leaderless_s: float | None) -> float:
-        """Return when something is due next; infinity for nothing."""
+        """Return the loop time of the next action; infinity if none is due."""
         report_at = max(self._cache.next_report_at(now), now + (0.0 if leaderless_s is None else LEADER_POLL_S))
         return max(min(self._cache.next_action_at(leaderless_s), report_at), now + MIN_SLEEP_S)
 
@@ -158,7 +161,7 @@
         self._send(pb.Distribution(quota_request=message))
 
     def _lease_message(self, request: int) -> pb.QuotaRequest:
-        """Return a message on the rate leases of this process."""
+        """Return an empty lease report with the identity of this process and the known term."""
         return pb.QuotaRequest(request=request, edge=self._name, boot=self._incarnation, term=self._cache.term)
 
     def _send_token_request(self, now: float) -> None:
@@ -172,7 +175,7 @@
         self._send(pb.Distribution(quota_request=pb.QuotaRequest(request=request, edge=self._name, wanted=wanted)))
 
     def _carry_out(self, decisions: Iterable[Decision]) -> None:
-        """Count the decisions, and pass them to the requests."""
+        """Count the decisions and pass them to the callbacks of the requests."""
         for decision in decisions:
             self.counts.add(QUOTA_DECISIONS, "allowed" if decision.allowed else "refused")
             decision.on_decision(decision.allowed, decision.retry_after_s)
--- a/rosechute/processes/settings_watch.py
+++ b/rosechute/processes/settings_watch.py
@@ -16,7 +16,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Identifies the content of a file without reading it."""
+    """Modification time and size, which identify the content of a file without reading it."""
 
     modified_ns: int
     size: int
@@ -26,14 +26,14 @@
 
 
 class SettingsWatch:
-    """The settings in force, and the file that they are loaded from."""
+    """Holds the settings in force, and reloads them from their file."""
 
     def __init__(self, settings: ProcessSettings, path: str, apply: Callable[[ProcessSettings], None]) -> None:
         """Watch a settings file.
 
         Args:
             settings: The settings that the process started with.
-            path: The file.
+            path: Path of the file.
             apply: Called with the new settings whenever they differ from those in force.
         """
         self.settings = settings
--- a/rosechute/processes/state.py
+++ b/rosechute/processes/state.py
@@ -1,4 +1,4 @@
-"""The state of a running process as JSON: serving `GET /state`, and fetching it from another process."""
+"""The state of a running process as JSON: the handler of `GET /state`, and a client that fetches it."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 JSON = "application/json"
 
 Section = Callable[[], Any]
-"""Returns a part of the state without I/O: plain data, a struct or a dataclass."""
+"""Returns one section of the state, as plain data, a struct or a dataclass. It must not do I/O."""
 
 
 class ProcessState:
-    """The state of this process, in named sections that are computed on each request."""
+    """The state of this process, in named sections that are collected on each request."""
 
     def __init__(self, settings: ProcessSettings) -> None:
-        """Create a state that holds only what the settings say.
+        """Create a state that holds only process data and no further sections.
 
         Args:
-            settings: Settings that the process started with.
+            settings: The settings that the process started with.
         """
         self._settings = settings
         self._started_at = time.monotonic()
@@ -42,7 +42,7 @@
         self._sections[name] = section
 
     def add_to(self, application: web.Application) -> None:
-        """Serve `GET /state` in an application."""
+        """Add the handler of `GET /state` to an application."""
         application.router.add_get(STATE_PATH, self._handle)
 
     def collect(self) -> dict[str, Any]:
@@ -58,7 +58,7 @@
         for name, section in self._sections.items():
             try:
                 state[name] = msgspec.to_builtins(section(), str_keys=True)
-            except Exception as error:  # the state is read to find faults: one must not hide the other sections
+            except Exception as error:  # a failing section must not hide the others, which may help to diagnose it
                 state[name] = {"error": f"{type(error).__name__}: {error}"}
         return state
 
@@ -73,9 +73,9 @@
     step: str
     """The step that failed: `connect`, `answer` or `decode`."""
     peer: str
-    """The address that was asked, `host:port`."""
+    """The address of the process, `host:port`."""
     reason: str
-    """One sentence."""
+    """The reason, in one sentence."""
 
     def __str__(self) -> str:
         """Return the error in one line, as the command line shows it."""
@@ -86,7 +86,7 @@
     """Fetch the state of a process.
 
     Args:
-        address: Its control or readiness address, `host:port`.
+        address: Control or readiness address of the process, `host:port`.
 
     Returns:
         The sections by name, or the error of the step that failed, after `FETCH_TIMEOUT_S` at the latest.
--- a/rosechute/proxy/core/__init__.py
+++ b/rosechute/proxy/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: calls and attempts between who asks, who serves and the decision module. Knows no wire."""
+"""The protocol-independent core: calls and attempts between clients, servers and the decision module."""
--- a/rosechute/proxy/core/address.py
+++ b/rosechute/proxy/core/address.py
@@ -1,4 +1,4 @@
-"""Where something listens."""
+"""Network addresses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def parse_address(text: Any) -> Address:
-    """Read "host:port"; raise ValueError on anything else."""
+    """Parse "host:port"; raise ValueError for anything else."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
     host, colon, port = text.rpartition(":")
--- a/rosechute/proxy/core/clock.py
+++ b/rosechute/proxy/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of one sidecar."""
+"""Wall clock of a sidecar."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 
 
 class Clock:
-    """Unix time in nanoseconds, anchored once: servers' starts are told in it, and it must not jump."""
+    """Unix time in nanoseconds that never jumps: the wall clock is read once, and the monotonic clock added to it.
+
+    Discovery gives start times of servers as Unix time.
+    """
 
     def __init__(self) -> None:
         self._anchor = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
+        """Return the time in nanoseconds."""
         return self._anchor + time.monotonic_ns()
--- a/rosechute/proxy/core/flow.py
+++ b/rosechute/proxy/core/flow.py
@@ -1,4 +1,4 @@
-"""Bodies on their way: one memory budget for all of them, and flow control from one end to the other."""
+"""Memory budget and flow control for streamed bodies."""
 
 from __future__ import annotations
 
@@ -6,57 +6,62 @@
 from collections.abc import Callable
 from typing import Protocol
 
-RECEIVE = 128 * 1024  # the kernel's receive buffer of one connection: what one read can bring
-FLOOR = 16 * 1024  # what one body may hold however little is free: with less, each packet costs a turn
-CEILING = 1 << 20  # and at most
-PART = 8  # one body may hold this part of what is free
-PROGRAM_MB = 28  # the program without any bodies: 14 MB were measured, the rest is its allocator's
-SLACK = 2  # of the rest: bytes held twice for a moment, and what lies in the loop's own buffers
+RECEIVE_BUFFER_BYTES = 128 * 1024  # kernel receive buffer of a connection, and so the most that one read returns
+MIN_SHARE_BYTES = (
+    16 * 1024
+)  # share of one body however little is free: with less, every packet costs a turn of the event loop
+MAX_SHARE_BYTES = 1 << 20  # largest share of one body
+SHARE_DIVISOR = 8  # one body may hold this fraction of the free memory
+PROGRAM_MB = 28  # memory of the program without bodies: 14 MB, and allocator overhead
+MEMORY_OVERHEAD = 2  # allowance for bytes that are held twice for a moment, and for the event loop's buffers
 
 
 class Budget:
-    """Bytes that bodies may hold in all. A share is a part of what is free, so that a few long bodies get
-    much and many get little; no queue and no order of who may grow is needed."""
+    """Memory budget of all bodies, in bytes.
+
+    A body's share is a fraction of the free memory, so a few long bodies get much and many get little. This needs no
+    queue and no order among the bodies.
+    """
 
     def __init__(self, memory_mb: int) -> None:
         self.resize(memory_mb, 1)
         self.used = 0
 
     def resize(self, memory_mb: int, processes: int) -> None:
-        """So many processes have this much memory between them."""
-        self.total = max(1, memory_mb // processes - PROGRAM_MB) * (1 << 20) // SLACK
+        """Set the memory limit, and the number of processes that share it."""
+        self.total = max(1, memory_mb // processes - PROGRAM_MB) * (1 << 20) // MEMORY_OVERHEAD
 
     def take(self, size: int) -> None:
-        """Count bytes that are held from now on."""
+        """Record that `size` more bytes are held."""
         self.used += size
 
     def give(self, size: int) -> None:
-        """And bytes that no longer are."""
+        """Record that `size` bytes were released."""
         self.used -= size
 
     @property
     def share(self) -> int:
-        """How much one body may hold now."""
-        return min(CEILING, max(FLOOR, (self.total - self.used) // PART))
+        """Number of bytes that one body may hold now."""
+        return min(MAX_SHARE_BYTES, max(MIN_SHARE_BYTES, (self.total - self.used) // SHARE_DIVISOR))
 
 
 class Body:
-    """A request's body that goes out as it comes in: once, as what has gone is no longer here."""
+    """A request body that is forwarded while it arrives. It can be sent only once: sent data is not kept."""
 
-    __slots__ = ("_budget", "_pieces", "_drained", "held", "length", "complete", "begun", "sink")
+    __slots__ = ("_budget", "_pieces", "_on_drained", "held", "length", "complete", "begun", "sink")
 
-    def __init__(self, budget: Budget, length: int | None, drained: Callable[[], None]) -> None:
+    def __init__(self, budget: Budget, length: int | None, on_drained: Callable[[], None]) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
-        self._drained = drained  # called when it holds less, so that more can be read
+        self._on_drained = on_drained  # called after data was taken, so that more can be read
         self.held = 0
-        self.length = length  # None where it comes in chunks
+        self.length = length  # None with chunked transfer encoding
         self.complete = False
-        self.begun = False  # part of it has gone
-        self.sink: Callable[[], None] | None = None  # called when there is more to take
+        self.begun = False  # some data has been taken
+        self.sink: Callable[[], None] | None = None  # called when more data can be taken
 
     def put(self, data: bytes) -> None:
-        """Add what has come."""
+        """Append received data."""
         self._pieces.append(data)
         self.held += len(data)
         self._budget.take(len(data))
@@ -64,41 +69,47 @@
             self.sink()
 
     def finish(self) -> None:
-        """All has come."""
+        """Mark the body as received completely."""
         self.complete = True
         if self.sink is not None:
             self.sink()
 
     def take(self) -> bytes:
-        """The next piece; empty if there is none now."""
+        """Return the next piece of data; empty if none is available."""
         if not self._pieces:
             return b""
         self.begun = True
         data = self._pieces.popleft()
-        self._less(len(data))
-        self._drained()
+        self._release(len(data))
+        self._on_drained()
         return data
 
     def drop(self) -> None:
-        """Nobody takes the rest."""
+        """Discard the rest of the body."""
         self.sink = None
         self._pieces.clear()
-        self._less(self.held)
+        self._release(self.held)
 
-    def _less(self, size: int) -> None:
+    def _release(self, size: int) -> None:
         self.held -= size
         self._budget.give(size)
 
 
 class Source(Protocol):
-    """Where an answer comes from that is passed on: it can be told to wait."""
+    """Origin of a streamed response, which can be paused."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop reading the response."""
+        ...
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Continue to read the response."""
+        ...
 
 
 class Sink(Protocol):
-    """Where it goes."""
+    """Destination of a streamed response."""
 
-    def pass_on(self, data: bytes) -> None: ...
+    def pass_on(self, data: bytes) -> None:
+        """Forward a piece of the response."""
+        ...
--- a/rosechute/proxy/core/log.py
+++ b/rosechute/proxy/core/log.py
@@ -1,8 +1,8 @@
-"""The log: one event a line on standard error, with stable names, and never in the loop's way.
+"""Structured log on standard error: one event per line, with stable event names.
 
-Built on structlog: `LOG.warning("takeover.cold_start", reason=...)`. Lines are logfmt or JSON. A line that
-repeats is held back beyond so many a second, and counted. Lines are written by a thread of their own, from a
-bounded queue: a standard error that nobody reads costs lines, which are counted, and never a turn of the loop.
+Built on structlog: `LOG.warning("takeover.cold_start", reason=...)`. Lines are logfmt or JSON. Repeated events are
+rate-limited by name, and the suppressed lines counted. A separate thread writes the lines from a bounded queue: if
+standard error is not read, lines are dropped and counted, and the event loop is never blocked.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections.abc import Callable, MutableMapping
 from typing import Any
 
-# structlog's development console loads rich wherever that is installed: 80 ms and 4 MB for nothing, here.
+# structlog's development console imports rich where it is installed: 80 ms and 4 MB, and it is not used here.
 _rich = sys.modules.get("rich")
 sys.modules["rich"] = None  # type: ignore[assignment]
 try:
@@ -28,78 +28,78 @@
         sys.modules["rich"] = _rich
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-MOST_LINES = 1000  # that wait to be written
-MOST_BYTES = 8192  # of one line
-MOST_NAMES = 1000  # events whose repeats are counted
+MAX_QUEUED_LINES = 1000  # lines that may wait to be written
+MAX_LINE_BYTES = 8192  # longer lines are cut
+MAX_EVENT_NAMES = 1000  # event names whose rate is tracked
 REPEATS_PER_S = 5.0
-BURST = 10
-FLUSH_S = 0.5  # how long the end of the process waits for a standard error that is not read
+BURST_LINES = 10
+FLUSH_TIMEOUT_S = 0.5  # wait at the exit of the process for a standard error that is not read
 Event = MutableMapping[str, Any]
 
 
-class Sink:
-    """Lines on their way to a descriptor."""
+class LogWriter:
+    """Writes log lines to a descriptor from a thread."""
 
-    def __init__(self, descriptor: int = 2, most: int = MOST_LINES) -> None:
-        self._descriptor, self._most = descriptor, most
+    def __init__(self, descriptor: int = 2, max_lines: int = MAX_QUEUED_LINES) -> None:
+        self._descriptor, self._max_lines = descriptor, max_lines
         self._queue: queue.SimpleQueue[bytes | threading.Event] = queue.SimpleQueue()
         self._thread: threading.Thread | None = None
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Have a line written; it is dropped where too many wait already."""
-        if self._queue.qsize() >= self._most:
+        """Queue a line; drop it if the queue is full."""
+        if self._queue.qsize() >= self._max_lines:
             self.dropped += 1
             return
         data = line.encode("utf-8", "backslashreplace")
-        self._queue.put((data if len(data) <= MOST_BYTES else data[: MOST_BYTES - 4] + b" ...") + b"\n")
+        self._queue.put((data if len(data) <= MAX_LINE_BYTES else data[: MAX_LINE_BYTES - 4] + b" ...") + b"\n")
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="log", daemon=True)
             self._thread.start()
 
-    def flush(self, timeout_s: float = FLUSH_S) -> bool:
-        """Wait until all that was handed over is written; whether it was."""
+    def flush(self, timeout_s: float = FLUSH_TIMEOUT_S) -> bool:
+        """Wait until all queued lines are written; return False after the timeout."""
         if self._thread is None:
             return True
-        mark = threading.Event()
-        self._queue.put(mark)
-        return mark.wait(timeout_s)
+        flushed = threading.Event()
+        self._queue.put(flushed)
+        return flushed.wait(timeout_s)
 
     def _run(self) -> None:
         while True:
-            told = self._queue.get()
-            if isinstance(told, threading.Event):
-                told.set()
+            item = self._queue.get()
+            if isinstance(item, threading.Event):
+                item.set()
                 continue
-            lost, self.dropped = self.dropped, 0
-            if lost:
-                told += f"level=warning event=log.dropped lines={lost}\n".encode()
-            self._whole(told)
+            dropped, self.dropped = self.dropped, 0
+            if dropped:
+                item += f"level=warning event=log.dropped lines={dropped}\n".encode()
+            self._write_all(item)
 
-    def _whole(self, data: bytes) -> None:
+    def _write_all(self, data: bytes) -> None:
         try:
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            pass  # there is no log: nobody to tell, and no reason to end
+            pass  # standard error is closed: the process goes on without a log
 
 
-class Repeats:
-    """Holds back lines of one event beyond a rate, and tells with the next one how many there were."""
+class RepeatLimiter:
+    """Rate limit for each event name. The next line that passes reports the number of suppressed lines."""
 
     def __init__(self, per_s: float = REPEATS_PER_S, clock: Callable[[], float] = time.monotonic) -> None:
         self.per_s, self._clock = per_s, clock
-        self._known: dict[str, list[float]] = {}  # tokens, as of when, held back
+        self._states: dict[str, list[float]] = {}  # by event name: tokens, time of the last update, suppressed lines
 
     def __call__(self, logger: Any, method: str, event: Event) -> Event:
-        """A structlog processor."""
+        """Pass or drop an event, as a structlog processor."""
         now, name = self._clock(), str(event.get("event"))
-        state = self._known.get(name)
+        state = self._states.get(name)
         if state is None:
-            if len(self._known) >= MOST_NAMES:
-                self._known.clear()
-            state = self._known[name] = [BURST, now, 0]
-        state[0] = min(float(BURST), state[0] + max(0.0, now - state[1]) * self.per_s)
+            if len(self._states) >= MAX_EVENT_NAMES:
+                self._states.clear()
+            state = self._states[name] = [BURST_LINES, now, 0]
+        state[0] = min(float(BURST_LINES), state[0] + max(0.0, now - state[1]) * self.per_s)
         state[1] = now
         if state[0] < 1.0:
             state[2] += 1
@@ -109,37 +109,40 @@
             event["held_back"], state[2] = int(state[2]), 0
         return event
 
-    def settled(self) -> list[tuple[str, int]]:
-        """Events of which lines were held back, once they may be told of again."""
+    def take_held_back(self) -> list[tuple[str, int]]:
+        """Return and reset the counts of suppressed lines for events that may be logged again."""
         now = self._clock()
-        found = []
-        for name, state in self._known.items():
+        held_back = []
+        for name, state in self._states.items():
             if state[2] and state[0] + (now - state[1]) * self.per_s >= 1.0:
-                found.append((name, int(state[2])))
+                held_back.append((name, int(state[2])))
                 state[2] = 0
-        return found
+        return held_back
 
 
-class _Lines:
-    """structlog's end: where rendered lines go."""
+class _LineLogger:
+    """Logger that structlog passes rendered lines to."""
 
     def msg(self, line: str) -> None:
-        SINK.write(line)
+        LOG_WRITER.write(line)
 
     debug = info = warning = error = critical = msg
 
 
-SINK = Sink()
-REPEATS = Repeats()
-atexit.register(SINK.flush)
+LOG_WRITER = LogWriter()
+REPEAT_LIMITER = RepeatLimiter()
+atexit.register(LOG_WRITER.flush)
 
 
 def setup(form: str = "console", level: str = "info", repeats_per_s: float = REPEATS_PER_S) -> None:
-    """Write the log in this form, "console" or "json", from this level on.
+    """Configure the log.
 
-    Raises KeyError for a level that there is none of.
+    Args:
+        form: "console" for logfmt, or "json".
+        level: Lowest level that is logged; KeyError if it is unknown.
+        repeats_per_s: Lines per second and event name before lines are suppressed.
     """
-    REPEATS.per_s = repeats_per_s
+    REPEAT_LIMITER.per_s = repeats_per_s
     renderer: Any = (
         structlog.processors.JSONRenderer(default=str)
         if form == "json"
@@ -147,30 +150,30 @@
     )
     structlog.configure(
         processors=[
-            REPEATS,
+            REPEAT_LIMITER,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            _plain,
+            _shorten_values,
             renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=lambda *_: _Lines(),
+        logger_factory=lambda *_: _LineLogger(),
         cache_logger_on_first_use=False,
     )
 
 
-def _plain(logger: Any, method: str, event: Event) -> Event:
-    """Values as short texts and numbers, and keys that logfmt can write."""
+def _shorten_values(logger: Any, method: str, event: Event) -> Event:
+    """Convert values to numbers and truncated strings."""
     for key, value in event.items():
         if not isinstance(value, int | float):
             event[key] = str(value)[: 4000 if key == "exception" else 500]
     return event
 
 
-def settle() -> None:
-    """Tell of lines that were held back and that no later one told of."""
-    for name, count in REPEATS.settled():
+def log_held_back() -> None:
+    """Log the number of suppressed lines of events that were not logged since."""
+    for name, count in REPEAT_LIMITER.take_held_back():
         LOG.warning("log.held_back", name=name, lines=count)
 
 
--- a/rosechute/proxy/core/ports.py
+++ b/rosechute/proxy/core/ports.py
@@ -1,8 +1,8 @@
-"""What the core needs of its two sides, as typed protocols: `Front`, who asks, and `Backend`, who serves.
+"""Protocols between the core and a wire protocol: `Front` on the client side, `Backend` on the server side.
 
-A wire package brings an implementation of either. `Q` is its request and `R` its reply; the core hands both
-on without looking into them. The core's own ends of the same lines are `Watch`, which a backend tells what
-becomes of an attempt, and `Core.take`, `Core.complete` and `Core.hangup`, which a front calls.
+A wire protocol package implements both. `Q` is its request type and `R` its reply type; the core passes both on
+without inspecting them. In the other direction, a backend reports the progress of an attempt to an
+`AttemptObserver`, and a front calls `Core.take`, `Core.complete` and `Core.hangup`.
 """
 
 from __future__ import annotations
@@ -23,147 +23,158 @@
 
 
 class Ending(enum.Enum):
-    """How a request ends towards whoever asked. A front words it in its own protocol."""
+    """Final result of a request for the client. A front translates it into its own protocol."""
 
-    SERVED = "served"  # with a server's own reply
-    REFUSED = "refused"  # trying again is harmless
-    FAILED = "failed"  # no promise about effects
-    LATE = "late"  # failed, and the last thing known is that a server said nothing
-    BROKEN = "broken"  # failed by an error of this program's
-    REPEATED = "repeated"  # the same request is open or was lately
-    GONE = "gone"  # whoever asked has left; nothing is said
+    SERVED = "served"  # with the server's reply
+    REFUSED = "refused"  # the client may retry safely
+    FAILED = "failed"  # a server may have run the request
+    LATE = "late"  # failed, and the last attempt timed out
+    BROKEN = "broken"  # failed because of an internal error
+    REPEATED = "repeated"  # a request with the same id is open or recent
+    GONE = "gone"  # the client has disconnected; no answer is sent
 
 
-class Asked(NamedTuple):
-    """A request as a front has read it, ready to be taken."""
+class RequestInfo(NamedTuple):
+    """Properties of a request that a front has read and validated."""
 
     rid: bytes
-    cls: int  # its place in the settings, -1 where they no longer name it so
+    cls: int  # index of the class in the settings, -1 if they no longer contain it
     kind: RequestClass
-    wait_ns: int  # for how long the client waits, from when it sent the request
+    wait_ns: int  # client timeout, counted from when the request was sent
     cost_ns: int = 0
-    tenant: int = 0  # its place in the settings, -1 for one they do not name
+    tenant: int = 0  # index in the settings, -1 for an unlisted tenant
     key: str = ""
     retry: bool = False
     write: bool = False
-    rule: Rule | None = None  # of the operators', where one matches
+    rule: Rule | None = None  # the operator's rule of the matching route, if any
 
 
 class Front(Protocol[R_contra]):
-    """One request, and the way back to whoever asked. Its wire calls `Core.hangup` when that one leaves."""
+    """One request and the way to answer it. The front calls `Core.hangup` when the client disconnects."""
 
-    tid: str  # for the core: which call this became
-    complete: bool  # its last byte has come
-    came: float  # when, by the loop's clock
-    stream: Body | None  # a body that goes out as it comes in
+    tid: str  # set by the core: id of the call
+    complete: bool  # the last byte has been read
+    came: float  # loop time at which it arrived
+    stream: Body | None  # a body that is forwarded while it arrives
 
     def left(self) -> bool:
-        """Look whether whoever asked has left, where that may not have shown yet; `Core.hangup` is called if so."""
+        """Check whether the client has disconnected without a notification yet; call `Core.hangup` if so."""
 
     def answer(self, ending: Ending, reply: R_contra | None = None, hold_off_ns: int = 0) -> None:
-        """Give the final answer. A second one is ignored, as is one to a client that has left.
+        """Send the final answer. A second one is ignored, as is one to a client that has disconnected.
 
-        `reply` comes with SERVED alone; `hold_off_ns` above 0 tells when to return after REFUSED.
+        Args:
+            ending: How the request ended.
+            reply: The server's reply, with SERVED only.
+            hold_off_ns: After REFUSED, the time after which the client may retry; 0 for none.
         """
 
     def begin(self, reply: R_contra, length: int | None, source: Source) -> bool:
-        """Begin an answer that is passed on as it comes; whether there is somebody for it."""
+        """Start an answer that is streamed from `source`; return whether the client is still connected."""
 
     def pass_on(self, data: bytes) -> None:
-        """Some more of it."""
+        """Send more data of a streamed answer."""
 
-    def end(self, whole: bool) -> None:
-        """No more of it; if it is not whole, the client gets to see that."""
+    def end(self, is_complete: bool) -> None:
+        """End a streamed answer; the client can detect that it is incomplete."""
 
 
 class Attempt(Source, Protocol):
-    """One attempt that is under way. Its outcome is told once, whatever ends it."""
+    """One attempt in progress. Its outcome is reported exactly once."""
 
     def start(self) -> None:
-        """Begin; the outcome may be told before this returns."""
+        """Start the attempt; the outcome may be reported before this returns."""
 
     def cancel(self) -> None:
-        """Stop waiting; the outcome says whether it may have run."""
+        """Stop waiting; the outcome shows whether the server may have run the request."""
 
     def withdraw(self) -> None:
-        """Stop, unless the last byte is written: nobody wants the answer of one that was not sent yet."""
+        """Stop unless the request was sent completely: the answer is no longer needed."""
 
 
-class Watch(Protocol[R_contra]):
-    """The core's end of one attempt."""
+class AttemptObserver(Protocol[R_contra]):
+    """Receiver of the progress of one attempt."""
 
     def wanted(self) -> bool:
-        """Whether somebody still waits for this; to be asked right before the first byte is written."""
+        """Return whether the client still waits; called right before the first byte is written."""
 
     def wrote(self) -> None:
-        """The last byte of the request is written."""
+        """Record that the last byte of the request was written."""
 
     def rested(self) -> None:
-        """The request has waited for its connection, for no cause of the server's: its time counts from here."""
+        """Restart the latency measurement after a wait for a connection that the server did not cause."""
 
     def left_s(self) -> float:
-        """Seconds until the attempt is given up, once all is written."""
+        """Return the seconds until the attempt is abandoned, once the request is sent completely."""
 
     def wait_s(self) -> float:
-        """Seconds that the server may be told: how long its answer is waited for."""
+        """Return the timeout in seconds that is sent to the server."""
 
     def begin(self, reply: R_contra, length: int | None, load: Load) -> Sink | None:
-        """A long answer has begun; where it goes, or None where nobody wants it."""
+        """Start to stream a response; return its destination, or None if the client no longer wants it."""
 
     def outcome(self, how: How, reply: R_contra | None, load: Load) -> None:
-        """The one outcome."""
+        """Record the outcome of the attempt. Called exactly once."""
 
 
-class Echoed(Protocol):
-    """What a probe's result is told to."""
+class ProbeCallback(Protocol):
+    """Callback for the result of a probe."""
 
-    def __call__(self, how: How, load: Load, /) -> None: ...
+    def __call__(self, how: How, load: Load, /) -> None:
+        """Report the result of a probe."""
+        ...
 
 
 class Backend(Protocol[Q_contra, R_co]):
-    """All servers of one wire, and the connections to them."""
-
-    def attempt(self, server: str, request: Q_contra, limit_s: float, watch: Watch[R_co]) -> Attempt | None:
-        """An attempt, to be started by the caller; None if the list never named the server as up.
-
-        `limit_s` is the time until it is given up; for a body apart, until it has a connection.
+    """All servers of one wire protocol and the connections to them."""
+
+    def attempt(
+        self, server: str, request: Q_contra, limit_s: float, observer: AttemptObserver[R_co]
+    ) -> Attempt | None:
+        """Return an attempt for the caller to start; None if the server was never listed as up.
+
+        Args:
+            server: Name of the server.
+            request: The request to send.
+            limit_s: Seconds until the attempt is abandoned; with a streamed body, until it has a connection.
+            observer: Receiver of the attempt's progress.
         """
 
-    def probe(self, server: str, limit_s: float, echoed: Echoed) -> Attempt | None:
-        """A check of one server, to be started by the caller."""
+    def probe(self, server: str, limit_s: float, report_result: ProbeCallback) -> Attempt | None:
+        """Return a health check of a server for the caller to start."""
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to a server."""
 
 
 class Rule(Protocol):
-    """What operators have set for the requests that one route matches."""
+    """The operator's settings for the requests that match one route."""
 
     @property
     def cls(self) -> str:
-        """The name of its requests' class."""
+        """Name of the request class."""
 
     @property
     def bounds(self) -> Bounds | None:
-        """What the module has to keep within."""
+        """Limits that the decision module applies; None for none."""
 
     @property
     def timeout_ns(self) -> int:
-        """The longest that one may take; 0 for no limit but its class's."""
+        """Longest duration of a request; 0 if only the limit of its class applies."""
 
 
 class Routes(Protocol):
-    """Which rule a request is under."""
+    """Look-up of the rule for a request."""
 
     def find(self, method: bytes, target: bytes, tenant: bytes | None, headers: Mapping[bytes, bytes]) -> Rule | None:
-        """The rule of the most specific route that matches; None where none does."""
+        """Return the rule of the most specific matching route; None if no route matches."""
 
 
-class Verdict(NamedTuple):
-    """What a limiter says of one request."""
+class LimitDecision(NamedTuple):
+    """A limiter's decision on one request."""
 
     state: str  # "go", "wait" or "refuse"
-    hold_off_ns: int = 0  # with "refuse": when the next one could pass
+    hold_off_ns: int = 0  # with "refuse": the time until a request could be admitted
     bounds: Bounds | None = None  # with "go"
 
 
@@ -171,14 +182,19 @@
 
 
 class Limiter(Protocol):
-    """Limits of routes and tenants: clock and calls in, verdicts out. See `rosechute.sidecar.request_limits`."""
+    """Limits of routes and tenants, implemented in `rosechute.sidecar.request_limits`."""
 
-    def asks(self, now: int, tid: str, asked: Asked) -> Verdict:
-        """A request has come."""
+    def asks(self, now: int, tid: str, info: RequestInfo) -> LimitDecision:
+        """Decide on a new request."""
 
     def ended(self, now: int, tid: str, ending: str) -> list[tuple[str, Bounds | None]]:
-        """A request has ended, whether it went or waited, "served", "refused", "failed" or "gone"; which of
-        those that wait may go now."""
+        """Record the end of an admitted or queued request; return the queued requests that are now admitted.
+
+        Args:
+            now: Time in nanoseconds.
+            tid: Id of the call.
+            ending: "served", "refused", "failed" or "gone".
+        """
 
     def released(self, now: int) -> list[tuple[str, Bounds | None]]:
-        """Which of those that wait may go for another reason, such as limits that were raised."""
+        """Return queued requests that are admitted for another reason, such as raised limits."""
--- a/rosechute/proxy/core/shares.py
+++ b/rosechute/proxy/core/shares.py
@@ -1,24 +1,29 @@
-"""How a process deals out what it may hold. Pure: the process goes by it, and so does whoever checks limits."""
+"""Division of a process's descriptors. Shared by the process and by the check of an operator's limits."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MARGIN_NS = 10_000_000  # the module's deadline comes this much before the client's: answers take their way
-RESERVE = 32  # descriptors for the program itself: loop, signals, log, discovery, files, operators
+MARGIN_NS = 10_000_000  # time for the response to reach the client: the module's deadline is this much earlier
+RESERVED_DESCRIPTORS = (
+    32  # descriptors of the program itself: event loop, signals, log, discovery, files, control connections
+)
 
 
 class Descriptors(NamedTuple):
-    """How many connections either side may hold."""
+    """Maximum numbers of client and server connections."""
 
     clients: int
     servers: int
 
 
 def descriptors(sockets: int) -> Descriptors:
-    """Deal out a process's descriptors: neither a flood of clients nor slow servers may take the other side's.
+    """Divide a process's descriptors so that neither many clients nor slow servers can exhaust the other side's.
 
-    Clients may hold a third of all for requests; as many again are left to those that send none.
+    Clients get two thirds: one third for connections with a request, one third for idle connections.
+
+    Args:
+        sockets: Descriptors that the process may open in all.
     """
-    clients = max(1, (sockets - RESERVE) * 2 // 3)
-    return Descriptors(clients, max(1, sockets - clients - RESERVE))
+    clients = max(1, (sockets - RESERVED_DESCRIPTORS) * 2 // 3)
+    return Descriptors(clients, max(1, sockets - clients - RESERVED_DESCRIPTORS))
--- a/rosechute/proxy/http1/__init__.py
+++ b/rosechute/proxy/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on both sides: the application's connections, and the pools of connections to servers."""
+"""HTTP/1.1 on both sides: connections from clients, and pools of connections to servers."""
--- a/rosechute/proxy/http1/admission.py
+++ b/rosechute/proxy/http1/admission.py
@@ -1,4 +1,4 @@
-"""What a request asks for, read from its head; or the status with which it is turned away."""
+"""Validation of requests: reads a request's class, deadline and attributes from its head, or rejects it."""
 
 from __future__ import annotations
 
@@ -6,99 +6,111 @@
 import re
 
 from rosechute.load_balancing.interface import RequestClass, Settings
-from rosechute.proxy.core.ports import Asked, Routes
+from rosechute.proxy.core.ports import RequestInfo, Routes
 from rosechute.proxy.http1.message import Message
 
-ID = re.compile(rb"[!-~]{1,256}")
-OLD_FORM_S = 2.0  # how long the form that held before new settings is still taken: clients follow 1.2 s later
-SECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,12})?")
-ONCE = (b"x-request-id", b"x-timeout", b"idempotency-key", b"x-tenant-id")
+REQUEST_ID = re.compile(rb"[!-~]{1,256}")
+# Time in which requests in the form of the previous settings are still accepted: clients switch up to 1.2 s later.
+PREVIOUS_FORM_S = 2.0
+SECONDS_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,12})?")
+SINGLE_VALUED_HEADERS = (b"x-request-id", b"x-timeout", b"idempotency-key", b"x-tenant-id")
 
 
-class Gate:
-    """Reads requests by the settings. Protects the servers, which turn away what they can't use and close
-    the connection on what they can't read: nothing of that kind may reach them."""
+class RequestValidator:
+    """Validates requests against the settings.
+
+    Servers reject requests that they can't use and close the connection on requests that they can't parse.
+    Neither kind may reach them.
+
+    Args:
+        settings: The current settings.
+        previous: The validator of the previous settings, if there was one.
+        now: Time of the change of settings, in seconds.
+        client_settings: The settings that clients know, where operators have made `settings` stricter.
+        routes: Routes of the operators' configuration.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        before: Gate | None = None,
+        previous: RequestValidator | None = None,
         now: float = 0.0,
-        forms: Settings | None = None,
+        client_settings: Settings | None = None,
         routes: Routes | None = None,
     ) -> None:
-        """`forms` are the settings that clients know, where operators have made `settings` stricter."""
         self._classes = {c.name.encode(): (i, c) for i, c in enumerate(settings.classes)}
-        self._forms = {c.name.encode(): c for c in (forms or settings).classes}
+        self._client_classes = {c.name.encode(): c for c in (client_settings or settings).classes}
         self._routes = routes
-        self._before: dict[bytes, tuple[int, RequestClass]] = {}
-        self._before_until = now + OLD_FORM_S
-        if before is not None:
-            self._before = dict(before._before) if now < before._before_until else {}
-            self._before.update({name: (-1, c) for name, (_, c) in before._classes.items()})
+        self._previous_classes: dict[bytes, tuple[int, RequestClass]] = {}
+        self._previous_until = now + PREVIOUS_FORM_S
+        if previous is not None:
+            self._previous_classes = dict(previous._previous_classes) if now < previous._previous_until else {}
+            self._previous_classes.update({name: (-1, c) for name, (_, c) in previous._classes.items()})
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
-    def admit(self, message: Message, now: float) -> Asked | int:
-        """Read a request; the status for one that can't be used.
+    def validate(self, message: Message, now: float) -> RequestInfo | int:
+        """Return the attributes of a request, or the status with which to reject it.
 
-        Method and key tell how a request may be repeated, so one that was sent by the settings before is
-        known by its form, and taken by them.
+        The method and the idempotency key determine how a request may be repeated. A request in the form of the
+        previous settings is recognized by these two and accepted under the previous settings.
         """
-        told = message.told
-        if told is None:
-            told = {}
+        headers_by_name = message.headers_by_name
+        if headers_by_name is None:
+            headers_by_name = {}
             for name, value in message.headers:
-                if name in told and name in ONCE:
-                    return 400  # two readers could take one each
-                told.setdefault(name, value)
-        rid = told.get(b"x-request-id", b"")
-        if ID.fullmatch(rid) is None or message.target[:1] != b"/":
+                if name in headers_by_name and name in SINGLE_VALUED_HEADERS:
+                    return 400  # ambiguous: two readers could each use a different value
+                headers_by_name.setdefault(name, value)
+        request_id = headers_by_name.get(b"x-request-id", b"")
+        if REQUEST_ID.fullmatch(request_id) is None or message.target[:1] != b"/":
             return 400
         rule = None
         if self._routes is not None:
-            rule = self._routes.find(message.method, message.target, told.get(b"x-tenant-id"), told)
+            rule = self._routes.find(
+                message.method, message.target, headers_by_name.get(b"x-tenant-id"), headers_by_name
+            )
         name = message.target[1:].partition(b"?")[0].partition(b"/")[0] if rule is None else rule.cls.encode()
-        keyed = b"idempotency-key" in told
-        found = self._classes.get(name)
-        wrong = 404 if found is None else _misfit(self._forms[name], message, keyed)
-        if wrong and name in self._before and now < self._before_until:
-            found = self._before[name]
-            wrong = _misfit(found[1], message, keyed)
-        if wrong or found is None:
-            return wrong
-        number, cls = found
-        wait = cls.deadline_ns
-        timeout = told.get(b"x-timeout")
+        has_key = b"idempotency-key" in headers_by_name
+        entry = self._classes.get(name)
+        error_status = 404 if entry is None else _form_error(self._client_classes[name], message, has_key)
+        if error_status and name in self._previous_classes and now < self._previous_until:
+            entry = self._previous_classes[name]
+            error_status = _form_error(entry[1], message, has_key)
+        if error_status or entry is None:
+            return error_status
+        class_index, cls = entry
+        wait_ns = cls.deadline_ns
+        timeout = headers_by_name.get(b"x-timeout")
         if timeout is not None:
-            if SECONDS.fullmatch(timeout) is None or not (seconds := float(timeout)):
+            if SECONDS_PATTERN.fullmatch(timeout) is None or not (seconds := float(timeout)):
                 return 400
-            wait = min(wait, int(seconds * 1e9))
-        cost = _number(told.get(b"x-cost"))
-        return Asked(
-            rid,
-            number,
+            wait_ns = min(wait_ns, int(seconds * 1e9))
+        cost = _parse_number(headers_by_name.get(b"x-cost"))
+        return RequestInfo(
+            request_id,
+            class_index,
             cls,
-            wait,
+            wait_ns,
             int(min(max(cost, 0.0), 1e9) * 1e3),
-            self._tenants.get(told.get(b"x-tenant-id", b""), -1 if self._tenants else 0),
-            _cookie(told.get(b"cookie"), b"key"),
-            told.get(b"x-retried") == b"1",
-            b"x-attrs" in told and _attrs(told[b"x-attrs"]).get("write") == "1",
+            self._tenants.get(headers_by_name.get(b"x-tenant-id", b""), -1 if self._tenants else 0),
+            _find_cookie(headers_by_name.get(b"cookie"), b"key"),
+            headers_by_name.get(b"x-retried") == b"1",
+            b"x-attrs" in headers_by_name and _parse_attributes(headers_by_name[b"x-attrs"]).get("write") == "1",
             rule,
         )
 
 
-def _misfit(cls: RequestClass, message: Message, keyed: bool) -> int:
-    """The status for a request whose form contradicts its class, which is a mistake; 0 if it fits."""
+def _form_error(cls: RequestClass, message: Message, has_key: bool) -> int:
+    """Return the status for a request whose method, body or key contradicts its class; 0 if it is valid."""
     if message.method != (b"GET" if cls.repeat == "free" else b"POST"):
         return 405
     if message.method == b"GET" and message.body:
         return 400
-    return 400 if (cls.repeat == "guarded") != keyed else 0
+    return 400 if (cls.repeat == "guarded") != has_key else 0
 
 
-def _number(text: bytes | None) -> float:
-    """A finite number; 0 for anything else."""
+def _parse_number(text: bytes | None) -> float:
+    """Parse a finite number; return 0 for anything else."""
     if text is None:
         return 0.0
     try:
@@ -108,7 +120,8 @@
     return value if math.isfinite(value) else 0.0
 
 
-def _cookie(header: bytes | None, name: bytes) -> str:
+def _find_cookie(header: bytes | None, name: bytes) -> str:
+    """Return the value of a cookie; empty if the header does not contain it."""
     if not header:
         return ""
     for part in header.split(b";"):
@@ -118,6 +131,7 @@
     return ""
 
 
-def _attrs(header: bytes) -> dict[str, str]:
+def _parse_attributes(header: bytes) -> dict[str, str]:
+    """Parse `name=value` pairs that are separated by commas."""
     pairs = (part.partition("=") for part in header.decode("latin-1").split(","))
     return {name.strip(): value.strip() for name, _, value in pairs}
--- a/rosechute/proxy/http1/client.py
+++ b/rosechute/proxy/http1/client.py
@@ -1,4 +1,4 @@
-"""One connection of the application: bytes in, requests out, one answer each, and bounds on all of it."""
+"""Server side of HTTP/1.1: a connection from a client, its requests and responses, and limits on both."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 from rosechute.proxy.http1 import quick
 from rosechute.proxy.http1.message import Headers, Message, head
 
-MAX_BODY = 33 << 20  # of a request; 32 MB are promised
-PASS_PIECE = 64 * 1024  # and in a body that goes out as it comes in, which begins nothing
-MAX_HEAD = 32 * 1024
-MAX_DRAIN = 96 * 1024 * 1024  # what is read on after an error, so that the client gets to read it
-PIECE = 4096  # bytes parsed at a time: bounds what one read can begin
-WHOLE_S = 2.4  # from connecting, or the first byte of a later request, to the end of its head
-PAUSE_S = 1.2  # how long a body may pause after that
-BODY_S = 4.0  # how long a body may take besides its time at the slowest rate
-SLOWEST = 32 * 1024  # bytes a second
-PROBE_S = 1  # between the kernel's probes of a client whose body pauses
-PROBES = 2  # unanswered ones end its connection
-AHEAD = 8  # requests read ahead of the answer before; the rest waits unparsed or in the kernel
-CLOSING = frozenset({400, 404, 405, 408, 409, 413, 417, 431})  # answered and closed: what follows is as bad
+MAX_BODY = 33 << 20  # bytes of a request's body; 32 MB are guaranteed
+STREAM_PARSE_BYTES = 64 * 1024  # bytes parsed at a time within a streamed body, where no request can begin
+MAX_HEAD = 32 * 1024  # bytes
+MAX_DRAIN = 96 * 1024 * 1024  # bytes discarded after an error, so that the client can read the response
+PARSE_BYTES = 4096  # bytes parsed at a time: limits how many requests one read can begin
+HEAD_TIMEOUT_S = 2.4  # time for a request's head, from the connect or, for a later request, from its first byte
+BODY_PAUSE_S = 1.2  # how long a body may pause after that time
+BODY_BASE_S = 4.0  # time for a body in addition to its time at the lowest rate
+MIN_BODY_RATE = 32 * 1024  # lowest accepted rate of a body, in bytes per second
+KEEPALIVE_INTERVAL_S = 1  # interval of TCP keepalive probes to a client whose body pauses
+KEEPALIVE_PROBES = 2  # unanswered TCP keepalive probes after which the connection is lost
+MAX_PIPELINED = 8  # pipelined requests that are parsed ahead; further ones stay unparsed or in the kernel
+# Statuses after which the connection closes: what follows such a request is likely to be invalid, too.
+CLOSING_STATUSES = frozenset({400, 404, 405, 408, 409, 413, 417, 431})
 METHODS = frozenset({b"GET", b"POST"})
-NO_LINGER = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: a close resets the connection
 DIGITS = re.compile(rb"[0-9]{1,18}")
 
 
@@ -40,245 +41,305 @@
 
 
 @dataclass(slots=True)
-class ClientTerms:
-    """What a listener's clients may send and how long they may take. The defaults are those of the sidecar in
-    service; other fronts name their own, and may change them while they listen."""
+class ConnectionLimits:
+    """Limits on the requests of a listener's clients.
+
+    The defaults are the sidecar's. Other users of the listener set their own and may change them at any time.
+
+    Attributes:
+        max_head: Limit of a request's head, in bytes.
+        max_body: Limit of a request's body, in bytes.
+        head_timeout_s: Seconds from the connect, or the first byte of a later request, to the end of its head.
+        body_pause_s: Seconds for which a body may pause. Where this is above the default, the kernel probes a client
+            whose body pauses for longer than the default.
+        body_base_s: Seconds for a body in addition to its time at the lowest rate.
+        methods: Accepted methods.
+        has_reserved_paths: Whether paths below `/-/` are reserved: `/-/ready` reports readiness, others do not
+            exist.
+        closing_statuses: Statuses after which the connection closes.
+    """
 
     max_head: int = field(default_factory=lambda: MAX_HEAD)
     max_body: int = field(default_factory=lambda: MAX_BODY)
-    whole_s: float = field(default_factory=lambda: WHOLE_S)
-    pause_s: float = field(default_factory=lambda: PAUSE_S)  # beyond the default: the kernel probes who pauses
-    body_s: float = field(default_factory=lambda: BODY_S)
+    head_timeout_s: float = field(default_factory=lambda: HEAD_TIMEOUT_S)
+    body_pause_s: float = field(default_factory=lambda: BODY_PAUSE_S)
+    body_base_s: float = field(default_factory=lambda: BODY_BASE_S)
     methods: frozenset[bytes] = METHODS
-    own_paths: bool = True  # whether the paths below /-/ are the listener's own
-    closing: frozenset[int] = CLOSING
+    has_reserved_paths: bool = True
+    closing_statuses: frozenset[int] = CLOSING_STATUSES
 
 
 class Service(Protocol):
-    """What the connections need of the sidecar."""
+    """Handler of the requests of all connections."""
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Return whether the process is ready for requests."""
+        ...
 
-    def request(self, message: Message) -> None: ...
+    def request(self, message: Message) -> None:
+        """Handle a request. Its body is complete or, if it is streamed, still arriving."""
+        ...
 
-    def complete(self, message: Message) -> None: ...
+    def complete(self, message: Message) -> None:
+        """Handle the end of a streamed request body."""
+        ...
 
-    def hangup(self, message: Message) -> None: ...
+    def hangup(self, message: Message) -> None:
+        """Handle a client's disconnect before the end of the response."""
+        ...
 
 
-class Desk(Protocol):
-    """What a connection needs of the listener that let it in. It stands in at most one queue there."""
+class ConnectionOwner(Protocol):
+    """The part of the listener that its connections use. A connection is in at most one of the queues."""
 
     service: Service
     budget: Budget
-    terms: ClientTerms
-    partial: Queue  # part of a request has come
-    kept: Queue  # between requests
-    visitors: Queue  # have asked for readiness and nothing else
-    leaving: Queue  # had its last answer
-    paused: set[ClientConnection]  # nothing is read from them, so their end has to be looked for
+    limits: ConnectionLimits
+    receiving: Queue  # receiving a request
+    idle: Queue  # idle between requests
+    readiness_only: Queue  # idle, and only readiness has been requested
+    lingering: Queue  # closing after the last response
+    paused: set[ClientConnection]  # reading is paused, so that a disconnect has to be polled for
 
-    def made(self, connection: ClientConnection) -> None: ...
+    def on_connected(self, connection: ClientConnection) -> None:
+        """Register a new connection."""
+        ...
 
-    def lost(self, connection: ClientConnection) -> None: ...
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Remove a closed connection."""
+        ...
 
-    def move(self, connection: ClientConnection, queue: Queue | None) -> None: ...
+    def move(self, connection: ClientConnection, queue: Queue | None) -> None:
+        """Move a connection to a queue, or to none."""
+        ...
 
-    def unread(self, connection: ClientConnection) -> None: ...
+    def watch_paused(self, connection: ClientConnection) -> None:
+        """Poll a connection for a disconnect while reading from it is paused."""
+        ...
 
-    def crowded(self) -> bool: ...
+    def exceeds_keep_alive_limit(self) -> bool:
+        """Return whether connections should close after a response."""
+        ...
 
-    def last_answers(self) -> bool: ...
+    def is_keep_alive_disabled(self) -> bool:
+        """Return whether each response is the last one on its connection."""
+        ...
 
 
-class Refused(Exception):
-    """What the client sends can't be a request; raised through the parser to stop it."""
+class InvalidRequestError(Exception):
+    """The received data is not a valid request; raised in a parser callback to stop the parser."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of the application."""
+    """One connection from a client.
 
-    def __init__(self, listener: Desk, loop: asyncio.AbstractEventLoop) -> None:
+    Requests may be pipelined. They are handled one after another, and each gets one response.
+
+    Attributes:
+        current_queue: The listener's queue that holds the connection.
+        accepted: When the connection was accepted.
+        last_read_at: When data was last read, or when reading was last resumed.
+    """
+
+    def __init__(self, listener: ConnectionOwner, loop: asyncio.AbstractEventLoop) -> None:
         self._listener, self._loop = listener, loop
-        self.place: dict[ClientConnection, float] | None = None  # the listener's queue that it stands in
+        self.current_queue: dict[ClientConnection, float] | None = None
         self.accepted = loop.time()
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self._message: Message | None = None  # being read
-        self._raw = 0  # bytes since the message began, while its head is not whole
+        self._message: Message | None = None  # the request being received
+        self._message_bytes = 0  # bytes received since the request began, for the limit of its head
         self._in_head = True
         self._body: list[bytes] = []
         self._size = 0
-        self._rest = b""  # read, and not parsed yet: enough requests wait already, or enough of a body
+        self._unparsed = b""  # data read but not parsed: enough requests are pending, or enough of a body
         self._paused = False
         self._budget = listener.budget
-        self._terms = listener.terms
-        self._active: Message | None = None  # owed an answer
-        self._waiting: deque[Message] = deque()  # sent ahead of the answer before
+        self._limits = listener.limits
+        self._active: Message | None = None  # the request whose response is due
+        self._pipelined: deque[Message] = deque()  # requests received ahead of the response before them
         self._length: int | None = None
-        self._stream: Body | None = None  # of the message that is being read
-        self._held = 0  # bytes of bodies that are held whole
-        self._overfull = False  # the message being read has to wait for those before it
+        self._stream: Body | None = None  # streamed body of the request being received
+        self._buffered_bytes = 0  # bytes of buffered bodies
+        self._waits_to_stream = False  # the request being received has to wait until the ones before it are answered
         self._owes_continue = False
-        self._source: Source | None = None  # of the answer that is being passed on
-        self._chunked = self._keep = False  # how it is
-        self.heard = self.accepted  # when something came last
-        self._spoke = False  # a whole request has come
-        self._asked = False  # one that was more than a look at readiness
-        self._error = 0
-        self._deaf = False  # nothing more is read from here
-        self._drained = 0
-        self._full = False  # the client does not read its answers
-        self._left = 0  # bytes of its last answer that it had not taken at the last look
-        self._left_at = 0.0  # when that changed last
-        self._probed = False  # the kernel probes whether the client lives
+        self._source: Source | None = None  # source of the streamed response
+        # Whether the response is chunked, and whether the connection stays open after it.
+        self._chunked = self._keep_alive = False
+        self.last_read_at = self.accepted
+        self._has_request = False  # a complete request has arrived
+        self._has_service_request = False  # a request other than for readiness has arrived
+        self._error_status = 0  # status with which to reject the received data
+        self._discards_input = False  # received data is discarded
+        self._discarded_bytes = 0  # bytes of it
+        self._is_write_paused = False  # writing is paused: the client does not read its responses
+        self._unsent_before = 0  # unsent bytes of the last response at the last check
+        self._unsent_changed_at = 0.0  # when their number last changed
+        self._is_keepalive_enabled = False  # the kernel sends TCP keepalive probes
 
     # --- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with the listener."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
-        self._listener.made(self)
+        self._listener.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = self._loop.time()
-        if self._deaf:
-            # Read on for a while, or the close would reset the connection and take the error with it.
-            self._drained += len(data)
-            if self._drained > MAX_DRAIN:
+        """Parse received data, keep it for later, or discard it after an error."""
+        self.last_read_at = self._loop.time()
+        if self._discards_input:
+            # A close with unread data would reset the connection, and the client could lose the error response.
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_DRAIN:
                 self.abort()
             return
-        if self._rest:
-            self._rest = b"".join((self._rest, data))
+        if self._unparsed:
+            self._unparsed = b"".join((self._unparsed, data))
             return
-        if self._raw or self._message is not None or self._active is not None or not self._quick(data):
-            self._feed(data)
+        if (
+            self._message_bytes
+            or self._message is not None
+            or self._active is not None
+            or not self._parse_simple(data)
+        ):
+            self._parse_pieces(data)
 
-    def _quick(self, data: bytes) -> bool:
-        """Take a request that came whole and by itself; whether it was one. Between messages alone, where the
-        parser has nothing of it yet."""
-        if self._waiting or self._full or self._overfull or self._error:
+    def _parse_simple(self, data: bytes) -> bool:
+        """Handle `data` without the parser if it is exactly one ordinary request; return whether it was.
+
+        Only called between requests, when the parser holds no part of one.
+        """
+        if self._pipelined or self._is_write_paused or self._waits_to_stream or self._error_status:
             return False
-        found = quick.request(data, self._terms.max_head, self._budget.share)
-        if found is None or len(found[4]) > self._terms.max_body:
+        found = quick.request(data, self._limits.max_head, self._budget.share)
+        if found is None or len(found[4]) > self._limits.max_body:
             return False
         message = Message(self)
-        message.method, message.target, message.headers, message.told, message.body = found
-        message.began = message.came = self.heard
+        message.method, message.target, message.headers, message.headers_by_name, message.body = found
+        message.began = message.came = self.last_read_at
         message.complete = True
-        self._spoke = True
+        self._has_request = True
         if message.body:
-            self._hold(len(message.body))
-        self._begin(message)
+            self._charge(len(message.body))
+        self._start_request(message)
         return True
 
-    def _feed(self, data: bytes) -> None:
-        """Parse piece by piece, for as long as more requests may wait."""
+    def _parse_pieces(self, data: bytes) -> None:
+        """Parse data in pieces until enough requests are pending; keep the rest."""
         at = 0
-        while at < len(data) and not self._deaf:
-            if self._enough():
-                self._rest = data[at:]
+        while at < len(data) and not self._discards_input:
+            if self._should_pause():
+                self._unparsed = data[at:]
                 self._pause()
                 return
-            size = PASS_PIECE if self._stream is not None else PIECE
+            size = STREAM_PARSE_BYTES if self._stream is not None else PARSE_BYTES
             piece = data[at : at + size]
             at += size
-            self._parse(piece)
+            self._feed_parser(piece)
             if not self._in_head and self._stream is None and self._size > self._budget.share:
-                self._pass_body()
-        if self._enough():
+                self._start_streaming()
+        if self._should_pause():
             self._pause()
-        if (self._active is None or self._stream is not None) and not self._deaf:
-            self._listener.move(self, self._place())
+        if (self._active is None or self._stream is not None) and not self._discards_input:
+            self._listener.move(self, self._idle_queue())
 
-    def _enough(self) -> bool:
-        """Whether nothing more should be read for now."""
+    def _should_pause(self) -> bool:
+        """Return whether reading should pause."""
         if self._stream is not None:
             return self._stream.held > self._budget.share
-        return len(self._waiting) >= AHEAD or self._full or self._overfull
+        return len(self._pipelined) >= MAX_PIPELINED or self._is_write_paused or self._waits_to_stream
 
     def _pause(self) -> None:
+        """Pause reading."""
         self._paused = True
-        self._listener.unread(self)
+        self._listener.watch_paused(self)
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
-    def _more_room(self) -> None:
-        """Some of the body has gone on: there may be room for more of it."""
+    def _on_body_drained(self) -> None:
+        """Resume reading once enough of the streamed body has been forwarded."""
         if self._paused and self._stream is not None and self._stream.held <= self._budget.share // 2:
             self._paused = False
-            self._loop.call_soon(self._read_on)
-
-    def _read_on(self) -> None:
-        self.heard = self._loop.time()  # until now it was not the client that was slow
-        if self._transport is None or self.look():
-            return  # what was read ahead would pass for news
-        rest, self._rest = self._rest, b""
+            self._loop.call_soon(self._resume_reading)
+
+    def _resume_reading(self) -> None:
+        """Parse the data that was kept, then resume reading."""
+        self.last_read_at = self._loop.time()  # the pause was not caused by the client
+        if self._transport is None or self.check_disconnected():
+            return  # a request that was read ahead would be sent although its client has disconnected
+        rest, self._unparsed = self._unparsed, b""
         self._paused = False
         if rest:
-            self._feed(rest)
-        if not self._paused and not self._rest and not self._transport.is_closing():
+            self._parse_pieces(rest)
+        if not self._paused and not self._unparsed and not self._transport.is_closing():
             self._listener.paused.discard(self)
             self._transport.resume_reading()
 
-    def _pass_body(self) -> None:
-        """The body is more than may be held: its request goes out now, and the rest follows as it comes."""
+    def _start_streaming(self) -> None:
+        """Start to stream a body that is too large to buffer; wait if earlier requests are not answered yet."""
         message = self._message
-        if message is None or self._deaf:
+        if message is None or self._discards_input:
             return
-        if self._active is not None or self._waiting:
-            self._overfull = True
+        if self._active is not None or self._pipelined:
+            self._waits_to_stream = True
             return
-        self._overfull = False
-        self._stream = message.stream = Body(self._budget, self._length, self._more_room)
+        self._waits_to_stream = False
+        self._stream = message.stream = Body(self._budget, self._length, self._on_body_drained)
         body, self._body = self._body, []
         for data in body:
             self._stream.put(data)
-        self._hold(-sum(map(len, body)))
+        self._charge(-sum(map(len, body)))
         message.came = self._loop.time()
-        self._begin(message)
+        self._start_request(message)
 
-    def _hold(self, size: int) -> None:
-        self._held += size
+    def _charge(self, size: int) -> None:
+        """Charge the budget for buffered bytes; a negative size releases them."""
+        self._buffered_bytes += size
         self._budget.take(size)
 
-    def _parse(self, piece: bytes) -> None:
+    def _feed_parser(self, piece: bytes) -> None:
+        """Feed the parser; reject invalid data."""
         assert self._parser is not None
-        self._raw += len(piece)
+        self._message_bytes += len(piece)
         try:
             self._parser.feed_data(piece)
-        except httptools.HttpParserError:  # also what a callback refused, CONNECT and upgrades
-            self._error = self._error or 400
-        # Counted raw: a header that never ends would only grow inside the parser.
-        if self._in_head and self._raw > self._terms.max_head:
-            self._error = self._error or 431
-        # Where a request in this piece was answered with an error, what follows it gets no second one.
-        if self._error and not self._deaf:
+        except httptools.HttpParserError:  # also raised for exceptions in callbacks, CONNECT and upgrades
+            self._error_status = self._error_status or 400
+        # Received bytes are counted, as the parser reports a header only at its end and buffers it until then.
+        if self._in_head and self._message_bytes > self._limits.max_head:
+            self._error_status = self._error_status or 431
+        # If a request in this piece got an error response, the data behind it gets no second one.
+        if self._error_status and not self._discards_input:
             if self._stream is not None:
-                self._break_off()  # the body that is going out can't be read any further
+                self._abort_streamed_request()  # the rest of the streamed body can't be parsed
                 return
-            self._deaf = True
+            self._discards_input = True
             self._parser = None
             if self._active is None:
-                self._reject()
+                self._reject_input()
 
     def eof_received(self) -> None:
-        """A client that closes has gone away. The transport closes once all is written, which may never be."""
-        self._gone()
-        self._listener.move(self, self._listener.leaving)
+        """Treat the end of the input as a disconnect.
+
+        The transport closes once all is written. That may never happen, so the listener watches the connection.
+        """
+        self._on_client_disconnected()
+        self._listener.move(self, self._listener.lingering)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._listener.lost(self)
-        self._gone()
+        """Remove the connection from the listener and cancel its requests."""
+        self._listener.on_disconnected(self)
+        self._on_client_disconnected()
 
-    def _gone(self) -> None:
-        """The client has left: nothing that it sent is wanted any more."""
+    def _on_client_disconnected(self) -> None:
+        """Cancel all requests: the client has disconnected."""
         self._listener.paused.discard(self)
-        self._deaf = True
-        self._parser = None  # it holds this connection: without the cycle both go at once
+        self._discards_input = True
+        self._parser = None  # breaks a reference cycle, so that both are freed without the garbage collector
         self._message = None
-        self._rest = b""
-        self._waiting.clear()
-        self._hold(-self._held)
+        self._unparsed = b""
+        self._pipelined.clear()
+        self._charge(-self._buffered_bytes)
         self._source = None
         active, self._active = self._active, None
         if active is not None:
@@ -288,36 +349,47 @@
             self._stream = None
 
     def pause_writing(self) -> None:
-        self._full = True  # nothing further is begun for a client that does not read
+        """Start no further request and pause the streamed response: the client does not read."""
+        self._is_write_paused = True
         if self._source is not None:
             self._source.pause()
 
     def resume_writing(self) -> None:
-        self._full = False
+        """Resume the streamed response or start the next request."""
+        self._is_write_paused = False
         if self._source is not None:
             self._source.resume()
         if self._active is None:
-            self._next()
+            self._start_next()
 
     # --- httptools
 
     def on_message_begin(self) -> None:
+        """Start a request."""
         self._message = Message(self)
-        self._message.began = self.heard
+        self._message.began = self.last_read_at
         self._in_head = True
         self._body, self._size, self._stream = [], 0, None
 
     def on_url(self, url: bytes) -> None:
+        """Append a part of the request target."""
         if self._message is not None:
             self._message.target = b"".join((self._message.target, url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; ignore trailers, which must not alter the meaning of a request."""
         assert self._message is not None
-        if self._in_head:  # else a trailer, which is no place for what a request asks
-            self._message.headers.append((name.lower(), value.strip(b" \t")))  # the parser leaves some
+        if self._in_head:
+            self._message.headers.append((name.lower(), value.strip(b" \t")))  # the parser leaves trailing spaces
 
     def on_headers_complete(self) -> None:
-        """Framing that two readers could read in two ways is refused: it may hide another request."""
+        """Check the head.
+
+        Ambiguous framing is rejected: two parsers could read it differently, which enables request smuggling.
+
+        Raises:
+            InvalidRequestError: The request is invalid or too long; `_error_status` holds the status.
+        """
         message, parser = self._message, self._parser
         assert message is not None and parser is not None
         self._in_head = False
@@ -331,48 +403,54 @@
             or (not hosts and version == "1.1")
             or version not in ("1.0", "1.1")
         ):
-            self._error = 400
-        elif lengths and int(lengths[0]) > self._terms.max_body:
-            self._error = 413
+            self._error_status = 400
+        elif lengths and int(lengths[0]) > self._limits.max_body:
+            self._error_status = 413
         else:
             expect = message.header(b"expect")
             if expect is not None and expect.lower() != b"100-continue":
-                self._error = 417
+                self._error_status = 417
             elif expect is not None:
                 self._owes_continue = True
                 self._continue()
-        if self._error:
-            raise Refused
+        if self._error_status:
+            raise InvalidRequestError
         message.method = parser.get_method()
         message.target = origin_form(message.target)
         message.chunks = version == "1.1"
         self._length = int(lengths[0]) if lengths else None
 
     def _continue(self) -> None:
-        """Tell the client to go on with its body, unless answers are due before."""
-        owes = self._owes_continue and self._message is not None and not self._waiting
-        if owes and self._transport is not None and self._active is None and not self._deaf:
+        """Send `100 Continue` if the client waits for it and no earlier response is due."""
+        owes = self._owes_continue and self._message is not None and not self._pipelined
+        if owes and self._transport is not None and self._active is None and not self._discards_input:
             self._owes_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
+        """Buffer or forward a part of the body.
+
+        Raises:
+            InvalidRequestError: The body is too long.
+        """
         self._size += len(body)
-        if self._size > self._terms.max_body:
-            self._error = 413
-            raise Refused
+        if self._size > self._limits.max_body:
+            self._error_status = 413
+            raise InvalidRequestError
         if self._stream is not None:
             self._stream.put(body)
         else:
             self._body.append(body)
-            self._hold(len(body))
+            self._charge(len(body))
 
     def on_message_complete(self) -> None:
+        """Complete the request; handle it now or once the ones before it are answered."""
         message, parser = self._message, self._parser
         assert message is not None and parser is not None
         self._message = None
-        self._raw, self._in_head, self._spoke = 0, True, True
+        self._message_bytes, self._in_head, self._has_request = 0, True, True
         self._owes_continue = False
-        if self._deaf:
+        if self._discards_input:
             return
         message.keep_alive = parser.should_keep_alive()
         message.came = self._loop.time()
@@ -385,145 +463,166 @@
             return
         message.body = b"".join(self._body)
         self._body = []
-        if self._active is None and not self._waiting and not self._full:
-            self._begin(message)
+        if self._active is None and not self._pipelined and not self._is_write_paused:
+            self._start_request(message)
         else:
-            self._waiting.append(message)
+            self._pipelined.append(message)
 
-    # --- answers
+    # --- responses
 
-    def _begin(self, message: Message) -> None:
+    def _start_request(self, message: Message) -> None:
+        """Handle a request: respond directly or pass it to the service."""
         self._active = message
-        self._listener.move(self, None if message.complete else self._listener.partial)
-        terms = self._terms
-        if terms.own_paths and message.target.startswith(b"/-/"):
+        self._listener.move(self, None if message.complete else self._listener.receiving)
+        limits = self._limits
+        if limits.has_reserved_paths and message.target.startswith(b"/-/"):
             path = message.target.partition(b"?")[0]
             message.reply((200 if self._listener.service.ready() else 503) if path == b"/-/ready" else 404)
-        elif message.method not in terms.methods:
-            message.reply(405, headers=[(b"Allow", b", ".join(sorted(terms.methods)))])
-        elif self._asked or not self.look():  # else it had left before it was let in, or read from
-            self._asked = True
+        elif message.method not in limits.methods:
+            message.reply(405, headers=[(b"Allow", b", ".join(sorted(limits.methods)))])
+        # The client may have disconnected before its first request was read.
+        elif self._has_service_request or not self.check_disconnected():
+            self._has_service_request = True
             try:
                 self._listener.service.request(message)
             except Exception:
-                # Raised through the parser it would pass for bad HTTP, and leave no trace.
+                # The parser would turn an exception in its callback into a parser error and hide the cause.
                 LOG.error("clients.broken", exc_info=True)
                 message.reply(500)
 
     def answer(self, message: Message, status: int, body: bytes, headers: Headers) -> None:
-        """See Message.reply."""
+        """Send a response with a complete body."""
         transport = self._transport
         if message is not self._active or transport is None:
             return
-        self._keep = self._keeps(message) and status not in self._terms.closing
-        # Joined, here and above: compiled (mypyc 1.19.1), a sum of bytes leaves one of them in memory for good.
-        transport.write(b"".join((head(status, len(body), headers, self._keep), body)))
-        self._settle(message, status in self._terms.closing)
-
-    def _keeps(self, message: Message) -> bool:
-        """Whether the connection stays open after this answer."""
-        # Clients have only so many connections: where many ask once and stay, kept ones would use them up.
-        last = self._listener.last_answers() or self._listener.crowded()
-        ahead = bool(self._waiting or self._rest)
+        self._keep_alive = self._stays_open(message) and status not in self._limits.closing_statuses
+        # Bytes are joined, here and above, because mypyc 1.19.1 leaks memory when it compiles `bytes + bytes`.
+        transport.write(b"".join((head(status, len(body), headers, self._keep_alive), body)))
+        self._finish_response(message, status in self._limits.closing_statuses)
+
+    def _stays_open(self, message: Message) -> bool:
+        """Return whether the connection stays open after the response to `message`."""
+        # The number of connections is limited: many clients that each send one request would use up all of them.
+        last = self._listener.is_keep_alive_disabled() or self._listener.exceeds_keep_alive_limit()
+        ahead = bool(self._pipelined or self._unparsed)
         return message.keep_alive and message.complete and (ahead or not last)
 
-    def begin_answer(
+    def begin_response(
         self, message: Message, status: int, headers: Headers, length: int | None, source: Source
     ) -> bool:
-        """See Message.begin."""
+        """Start a streamed response; return whether the client can still receive it."""
         transport = self._transport
         if message is not self._active or transport is None or transport.is_closing():
             return False
         self._chunked = length is None and message.chunks
-        self._keep = self._keeps(message) and (length is not None or self._chunked)
+        self._keep_alive = self._stays_open(message) and (length is not None or self._chunked)
         self._source = source
-        # What is written and not taken counts as held by this body.
-        transport.set_write_buffer_limits(high=min(PASS_PIECE, self._budget.share))
-        transport.write(head(status, length, headers, self._keep, self._chunked))
-        if self._full:
+        # The transport's write buffer is limited like any other buffer for a body.
+        transport.set_write_buffer_limits(high=min(STREAM_PARSE_BYTES, self._budget.share))
+        transport.write(head(status, length, headers, self._keep_alive, self._chunked))
+        if self._is_write_paused:
             source.pause()
         return True
 
     def pass_on(self, message: Message, data: bytes) -> None:
-        """See Message.pass_on."""
+        """Send a part of a streamed response."""
         if message is self._active and self._transport is not None and not self._transport.is_closing():
             self._transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self._chunked else data)
 
-    def end_answer(self, message: Message, whole: bool) -> None:
-        """See Message.end. A broken answer lacks its last chunk, or bytes of its length."""
+    def end_response(self, message: Message, is_complete: bool) -> None:
+        """End a streamed response.
+
+        An incomplete response ends without its last chunk or short of its length, so that the client detects it.
+        """
         transport = self._transport
         if message is not self._active or transport is None:
             return
         self._source = None
-        if whole:
+        if is_complete:
             if self._chunked:
                 transport.write(b"0\r\n\r\n")
-            self._settle(message, False)
+            self._finish_response(message, False)
             return
-        self._keep = False
+        self._keep_alive = False
         if not message.chunks:
-            # A mere close would pass for the end: this one resets.
-            transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+            # A regular close would look like the end of the response, so the connection is reset.
+            transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             transport.abort()
         else:
-            self._settle(message, False)
+            self._finish_response(message, False)
 
-    def _settle(self, message: Message, closing: bool) -> None:
-        """An answer is written: on to the next request, or to the end."""
+    def _finish_response(self, message: Message, closing: bool) -> None:
+        """Continue after a response: start the next request or close the connection.
+
+        Args:
+            message: The request that was answered.
+            closing: Whether the status requires that the connection closes.
+        """
         transport = self._transport
         assert transport is not None
         self._active = None
-        self._hold(-min(self._held, len(message.body)))
+        self._charge(-min(self._buffered_bytes, len(message.body)))
         self._continue()
         if not message.complete:
-            self._leave()  # what is left of its body is read and dropped
-        elif not (self._keep or closing or self._error or self.unsent()) and self.quiet():
-            # All is out and nothing is unread, which would turn the close into a reset and take the answer along.
-            self._deaf = True
-            self._listener.move(self, self._listener.leaving)
+            self._close_lingering()  # the rest of its body is read and discarded
+        elif (
+            not (self._keep_alive or closing or self._error_status or self.unsent_bytes())
+            and self.has_no_unread_data()
+        ):
+            # All is sent and nothing is unread. A close with unread data would reset the connection, and the
+            # client could lose the response.
+            self._discards_input = True
+            self._listener.move(self, self._listener.lingering)
             transport.close()
-        elif not self._keep:
-            self._leave()
-        elif self._error:
-            self._reject()
+        elif not self._keep_alive:
+            self._close_lingering()
+        elif self._error_status:
+            self._reject_input()
         else:
-            self._listener.move(self, self._place())
-            if self._waiting or self._rest or self._overfull:
-                self._loop.call_soon(self._next)
-
-    def _place(self) -> dict[ClientConnection, float]:
-        """The queue to stand in while no answer is owed."""
-        if self.reading():
-            return self._listener.partial
-        return self._listener.kept if self._asked else self._listener.visitors
-
-    def _next(self) -> None:
-        """Begin what was sent ahead, and parse on what was read ahead."""
-        if self._active is not None or self._full or self._transport is None or self._transport.is_closing():
+            self._listener.move(self, self._idle_queue())
+            if self._pipelined or self._unparsed or self._waits_to_stream:
+                self._loop.call_soon(self._start_next)
+
+    def _idle_queue(self) -> dict[ClientConnection, float]:
+        """Return the listener's queue for this connection while no response is due."""
+        if self.is_receiving():
+            return self._listener.receiving
+        return self._listener.idle if self._has_service_request else self._listener.readiness_only
+
+    def _start_next(self) -> None:
+        """Start the next pipelined request, or continue to parse data that was read ahead."""
+        if (
+            self._active is not None
+            or self._is_write_paused
+            or self._transport is None
+            or self._transport.is_closing()
+        ):
             return
-        if self._waiting:
-            self._begin(self._waiting.popleft())
-        elif self._overfull:
-            self._pass_body()
-            self._read_on()
-        elif self._rest or self._paused:
-            self._read_on()
-
-    def _reject(self) -> None:
-        """Answer what can't be served."""
+        if self._pipelined:
+            self._start_request(self._pipelined.popleft())
+        elif self._waits_to_stream:
+            self._start_streaming()
+            self._resume_reading()
+        elif self._unparsed or self._paused:
+            self._resume_reading()
+
+    def _reject_input(self) -> None:
+        """Respond with an error to data that can't be handled as a request."""
         transport = self._transport
         if transport is not None and not transport.is_closing():
-            transport.write(head(self._error, 0, [], False))
-            self._leave()
-
-    def _leave(self) -> None:
-        """Close once all is written and the client has had time to read it. The listener ends it in the end,
-        also where the client neither reads nor closes."""
-        self._deaf = True
-        self._waiting.clear()
-        self._rest = b""
+            transport.write(head(self._error_status, 0, [], False))
+            self._close_lingering()
+
+    def _close_lingering(self) -> None:
+        """Start a lingering close: send all that is written, and discard input until the client closes.
+
+        The listener ends the connection of a client that neither reads nor closes.
+        """
+        self._discards_input = True
+        self._pipelined.clear()
+        self._unparsed = b""
         self._body = []
-        self._hold(-self._held)
+        self._charge(-self._buffered_bytes)
         if self._stream is not None:
             self._stream.drop()
             self._stream = None
@@ -533,30 +632,30 @@
         if transport is not None and not transport.is_closing():
             transport.resume_reading()
             transport.write_eof()
-            self._listener.move(self, self._listener.leaving)
+            self._listener.move(self, self._listener.lingering)
 
     # --- for the listener
 
-    def reading(self) -> bool:
-        """Whether part of a request has come."""
-        return self._message is not None or self._raw > 0
+    def is_receiving(self) -> bool:
+        """Return whether a part of a request has been received."""
+        return self._message is not None or self._message_bytes > 0
 
-    def fresh(self) -> bool:
-        """Whether no whole request has ever come."""
-        return not self._spoke
+    def has_no_request(self) -> bool:
+        """Return whether no complete request has been received yet."""
+        return not self._has_request
 
     def busy(self) -> bool:
-        """Whether an answer is owed."""
-        return self._active is not None or bool(self._waiting)
+        """Return whether a response is due."""
+        return self._active is not None or bool(self._pipelined)
 
-    def owing(self) -> bool:
-        """Whether the request that is coming in is already on its way to a server, or we are slow to read."""
+    def is_forwarding_or_paused(self) -> bool:
+        """Return whether the request being received is already forwarded, or reading is paused."""
         return self._stream is not None or self._paused
 
-    def quiet(self) -> bool:
-        """Whether nothing that was sent here is left unread.
+    def has_no_unread_data(self) -> bool:
+        """Return whether the kernel holds no unread data.
 
-        Protects a request that has come and was not read yet: closing would cut it off.
+        A close would cut off a request that has arrived but was not read yet.
         """
         descriptor = self.descriptor()
         if descriptor < 0:
@@ -566,83 +665,89 @@
         return not poll.poll(0)
 
     def descriptor(self) -> int:
-        """What to ask the kernel by; -1 where it is closed, or is about to be."""
+        """Return the socket's file descriptor; -1 if it is closed or closing."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return -1
         return int(transport.get_extra_info("socket").fileno())
 
-    def look(self) -> bool:
-        """See whether the client has left, by a close or a reset behind what it sent; what it asked for ends then."""
+    def check_disconnected(self) -> bool:
+        """Return whether the client has disconnected, by a close or a reset; if so, cancel its requests."""
         descriptor = self.descriptor()
         if descriptor < 0:
             return True
         poll = select.poll()
-        poll.register(descriptor, select.POLLRDHUP)  # the others always count
+        poll.register(descriptor, select.POLLRDHUP)  # POLLHUP and POLLERR are always reported
         if not poll.poll(0):
             return False
-        self._gone()
+        self._on_client_disconnected()
         self.abort()
         return True
 
-    def unsent(self) -> int:
-        """Bytes of answers that the kernel has not taken yet."""
+    def unsent_bytes(self) -> int:
+        """Return the number of response bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def sending(self) -> bool:
-        """Whether an answer that has begun is not all with the kernel."""
-        return self._source is not None or self.unsent() > 0
-
-    def stuck(self, now: float, most: float) -> bool:
-        """Whether a client that had its last answer reads no more of it, for so long as these looks have seen."""
-        left = self.unsent()
-        if left != self._left:
-            self._left, self._left_at = left, now
-        return now - self._left_at >= most
-
-    def overdue(self, now: float, since: float) -> bool:
-        """Whether a request that has been coming in since then takes too long. A head has a time limit; a
-        body must go on coming, and at a rate that no working client falls below."""
-        if self._paused or now - since < self._terms.whole_s:
-            return False  # it is we who don't read, or it has time left
+        """Return whether a response has begun and the kernel has not accepted all of it."""
+        return self._source is not None or self.unsent_bytes() > 0
+
+    def has_stalled(self, now: float, timeout_s: float) -> bool:
+        """Return whether a client has read none of its last response for `timeout_s`, as seen by these calls."""
+        unsent = self.unsent_bytes()
+        if unsent != self._unsent_before:
+            self._unsent_before, self._unsent_changed_at = unsent, now
+        return now - self._unsent_changed_at >= timeout_s
+
+    def is_overdue(self, now: float, started_at: float) -> bool:
+        """Return whether a request that began at `started_at` takes too long.
+
+        The head has a time limit. A body must not pause for too long, nor fall below a minimum rate that every
+        working client reaches.
+        """
+        if self._paused or now - started_at < self._limits.head_timeout_s:
+            return False  # the client is not to blame for a pause of ours, or has time left
         if self._in_head:
             return True
-        pause_s = now - self.heard
-        if pause_s >= PAUSE_S and self._terms.pause_s > PAUSE_S:
-            self._probe()
-        return pause_s >= self._terms.pause_s or now - since >= self._terms.body_s + self._size / SLOWEST
-
-    def _probe(self) -> None:
-        """Have the kernel probe a client whose body pauses: a dead one's connection ends, the others go on."""
-        if self._probed or self._transport is None:
+        pause_s = now - self.last_read_at
+        if pause_s >= BODY_PAUSE_S and self._limits.body_pause_s > BODY_PAUSE_S:
+            self._enable_keepalive()
+        return (
+            pause_s >= self._limits.body_pause_s
+            or now - started_at >= self._limits.body_base_s + self._size / MIN_BODY_RATE
+        )
+
+    def _enable_keepalive(self) -> None:
+        """Enable TCP keepalive for a client whose body pauses: only the connection of a dead client is lost."""
+        if self._is_keepalive_enabled or self._transport is None:
             return
-        self._probed = True
+        self._is_keepalive_enabled = True
         client = self._transport.get_extra_info("socket")
-        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_S)
-        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_S)
-        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+        client.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
         client.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
     def time_out(self) -> None:
-        """The request has been coming in for too long."""
-        if self._deaf:
+        """Reject a request that takes too long to arrive, with status 408."""
+        if self._discards_input:
             return
         if self._active is None:
-            self._error = 408
-            self._reject()
+            self._error_status = 408
+            self._reject_input()
         elif self._stream is not None:
-            self._error = 408
-            self._break_off()
+            self._error_status = 408
+            self._abort_streamed_request()
 
-    def _break_off(self) -> None:
-        """The rest of a body that is going out will not come: its request was never whole."""
+    def _abort_streamed_request(self) -> None:
+        """Cancel a request whose streamed body will not be completed, and respond with the error."""
         message = self._active
         if message is not None:
             self._listener.service.hangup(message)
-            message.reply(self._error)
+            message.reply(self._error_status)
 
     def close(self) -> None:
-        """Close; with an answer that the client does not read, a mere close would never come to its end."""
+        """Close the connection; abort it if the client does not read, as a regular close would never finish."""
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
             transport.abort()
@@ -650,13 +755,13 @@
             transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
 
 def origin_form(target: bytes) -> bytes:
-    """Path and query of a target; a client may send the whole URL, as it would to a proxy."""
+    """Return the path and query of a request target, which may be in absolute form, as for a proxy."""
     if target[:7].lower() != b"http://":
         return target
     at = target.find(b"/", 7)
