--- a/rosechute/proxy/http1/connection.py
+++ b/rosechute/proxy/http1/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server or to discovery: requests out, answers in, and what makes an answer useless."""
+"""Client side of HTTP/1.1: a connection to a server or to discovery, and the validation of its responses."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 
 import httptools
 
-from rosechute.proxy.core.flow import RECEIVE, Body, Budget, Sink
+from rosechute.proxy.core.flow import RECEIVE_BUFFER_BYTES, Body, Budget, Sink
 from rosechute.proxy.http1 import quick
 
-MAX_BODY = 33 << 20  # of an answer that is passed on; 32 MB are promised
-MAX_KEPT = 1 << 20  # of one that is not
-WHOLE = 64 * 1024  # an answer up to this size is checked whole before any of it is passed on
-HOLD_S = 0.15  # how long one of unknown size is held back for that
-MAX_HEAD = 16 * 1024  # of one answer, the 1xx ahead of it included
+MAX_BODY = 33 << 20  # bytes of a streamed response; 32 MB are guaranteed
+MAX_BUFFERED_BODY = 1 << 20  # bytes of a response that is buffered
+HOLD_BYTES = 64 * 1024  # a response up to this size is checked to its end before any of it is forwarded
+HOLD_S = 0.15  # how long a response of unknown size is held back for this check
+MAX_HEAD = 16 * 1024  # bytes of the heads of one response, including preceding 1xx responses
 DIGITS = re.compile(rb"[0-9]{1,18}")
-SPLITS = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # what may end a header, or the answer, for some reader
-NO_BODY = (204, 304)
-PLAIN = range(200, 201)
+# Some parsers take one of these for the end of a header or of the head.
+CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+BODILESS_STATUSES = (204, 304)  # of responses that never have a body
+STREAMED_STATUSES = range(200, 201)  # of responses that may be streamed, by default
 
 
 class Reply:
-    """One whole answer."""
+    """A response: its body is complete, or empty where it is streamed."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -34,62 +35,79 @@
         self.status, self.headers, self.body = status, headers, body
 
     def header(self, name: bytes) -> bytes | None:
-        """The first header of this lower-case name."""
+        """Return the value of the first header with this lower-case name."""
         for key, value in self.headers:
             if key == name:
                 return value
         return None
 
 
-Done = Callable[["Reply | None"], None]
-Begin = Callable[["Reply", "int | None"], "Sink | None"]
-Wrote = Callable[[], None]
-Echo = tuple[bytes, bytes]  # a header, in lower case, and the value with which answers to a request carry it
+Done = Callable[["Reply | None"], None]  # called with the response, or with `None` for a failed exchange
+Begin = Callable[["Reply", "int | None"], "Sink | None"]  # called with a response's head and length; returns its sink
+Wrote = Callable[[], None]  # called once the request is fully written
+Echo = tuple[bytes, bytes]  # a lower-case header name and the value that identifies responses to a request
 
 
-class Spoilt(Exception):
-    """What comes can't be an answer; raised through the parser to stop it."""
+class InvalidResponseError(Exception):
+    """The received data is not a valid response; raised in a parser callback to stop the parser."""
 
 
 class Connection(asyncio.Protocol):
-    """One HTTP/1.1 connection as a client: one exchange at a time, and nothing is ever sent again.
-
-    Answers are not trusted. One that can't be read, has no or an ambiguous length, is too long or stops half
-    way is spoilt, and known to be as early as it can be: the request has run, and its client is waiting.
+    """One HTTP/1.1 client connection, with one exchange at a time and no retries.
+
+    Responses are not trusted. A response that can't be parsed, has an ambiguous length, is too long or stalls is
+    invalid, and is reported as early as possible: the request has been executed, and its client is waiting.
+
+    Args:
+        on_lost: Called when the connection is lost.
+        max_body: Limit of a buffered response's body, in bytes.
+        stall_s: Seconds for which a response may pause once it has begun; 0 for no limit.
+        budget: Memory budget to which buffered bodies are charged.
+        trust_end: Whether a close by the server ends a response that has no length.
+        successes: Statuses of responses that may be streamed.
+
+    Attributes:
+        touched: Whether any byte of the last request was written.
+        progress: Bytes transferred in both directions, for checks whether an exchange stalls.
+        lost: Whether the connection is lost.
+        reusable: Whether another request may be sent.
+        idle_since: When the connection became idle, for its owner.
+        answered: Whether a request has been answered on it.
+        owner: The object that holds the connection; for that object alone.
     """
 
     def __init__(
         self,
         on_lost: Callable[[Connection], None],
-        max_body: int = MAX_KEPT,
+        max_body: int = MAX_BUFFERED_BODY,
         stall_s: float = 0.0,
         budget: Budget | None = None,
         trust_end: bool = True,
-        successes: range = PLAIN,
+        successes: range = STREAMED_STATUSES,
     ) -> None:
         self._on_lost = on_lost
-        self._successes = successes  # statuses of answers that may be passed on as they come
-        self._trust_end = trust_end  # whether a close ends an answer that has no length
+        self._successes = successes
+        self._trust_end = trust_end
         self._max_body = self._limit = max_body
-        self._plain = min(max_body, WHOLE)
-        self._stall_s = stall_s  # how long an answer that has begun may pause; 0 for any time
-        self._stall: asyncio.TimerHandle | None = None
+        self._max_simple_body = min(max_body, HOLD_BYTES)
+        self._stall_s = stall_s
+        self._stall_timer: asyncio.TimerHandle | None = None
         self._budget = budget
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self._done: Done | None = None
-        self._wrote: Wrote | None = None  # called once the last byte is written
+        self._on_done: Done | None = None
+        self._on_written: Wrote | None = None  # called once the last byte is written
         self._blocked = False
         self._written = True
-        self.touched = False  # whether any byte of the last request was written
-        self._eager = False  # whether a successful answer is passed on from its head on
+        self.touched = False
+        self._is_eager = False  # whether a successful response is streamed from its head on
         self._echo: Echo | None = None
-        self._surplus = False  # what comes answers an earlier request
-        self._request: Body | None = None  # what is still to be written
-        self._begin: Begin | None = None  # asked where a long answer goes
+        self._is_stale = False  # the response being received belongs to an earlier request
+        self._request: Body | None = None  # body that is not fully written
+        self._on_begin: Begin | None = None  # returns the sink for a streamed response
         self._sink: Sink | None = None
-        self._hold: asyncio.TimerHandle | None = None
-        self.progress = 0  # bytes moved either way, for whoever looks whether any are
+        self._hold_timer: asyncio.TimerHandle | None = None
+        self.progress = 0
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._size = self._raw = 0
@@ -97,148 +115,170 @@
         self._complete = False
         self._status = 0
         self._length: int | None = None
-        self._until_end = False  # the answer has no length: it goes on until the server closes
+        self._ends_at_close = False  # the response has no length: it ends when the server closes
         self.lost = False
-        self.spoilt = False  # the last answer was no answer
+        self.is_response_invalid = False  # the last response was invalid
         self.reusable = True
         self.idle_since = 0.0
-        self.answered = False  # whether a request has been answered on it
-        self.owner: object = None  # whom it belongs to, for its owner alone
+        self.answered = False
+        self.owner: object = None
 
     # --- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Configure the buffers of a new connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
-        # Without a buffer to hide in, a write that the kernel did not take whole shows in pause_writing.
+        # With a high-water mark of 0, pause_writing is called whenever the kernel accepts only part of a write.
         self._transport.set_write_buffer_limits(high=0)
-        made = transport.get_extra_info("socket")
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+        sock = transport.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._poll = select.poll()
-        self._poll.register(made.fileno(), select.POLLIN)
+        self._poll.register(sock.fileno(), select.POLLIN)
 
     def pause_writing(self) -> None:
+        """Stop writing: the kernel's send buffer is full."""
         self._blocked = True
 
     def resume_writing(self) -> None:
+        """Continue writing: the kernel has accepted all that was written."""
         self._blocked = False
         if self._request is not None:
-            self._pump()
+            self._write_body()
         else:
-            self._whole()
+            self._finish_write()
 
     def data_received(self, data: bytes) -> None:
-        if self._done is None or self._parser is None:
-            self.abort()  # nobody asked: the two sides disagree about where an answer ends
+        """Parse received data; forward or buffer the response."""
+        if self._on_done is None or self._parser is None:
+            self.abort()  # unsolicited data: the two sides disagree about where a response ends
             return
         self.progress += len(data)
-        if not self._raw and self._request is None and not self._eager:
-            # Nothing of this answer has been parsed: what is whole and plain needs no parser.
-            found = quick.reply(data, MAX_HEAD, self._plain)
+        if not self._raw and self._request is None and not self._is_eager:
+            # Nothing of this response has been parsed: a complete ordinary response needs no parser.
+            found = quick.reply(data, MAX_HEAD, self._max_simple_body)
             if found is not None and (self._echo is None or self._echo in found[0]):
                 self._finish(Reply(200, found[0], found[1]))
                 return
         self._raw += len(data)
-        spoilt = False
+        is_invalid = False
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserError:  # also what a callback found spoilt, and switched protocols
-            spoilt = True
+        except httptools.HttpParserError:  # also raised for exceptions in callbacks and for protocol switches
+            is_invalid = True
         if self._complete:
-            # What may follow belongs to nobody. It does not make the answer worse, but ends the connection.
-            self.reusable = self.reusable and not spoilt
+            # Data that follows belongs to no request. The response stays valid, but the connection is closed.
+            self.reusable = self.reusable and not is_invalid
             self._end()
-        elif spoilt or (self._in_head and self._raw > MAX_HEAD):
-            self._spoil()
+        elif is_invalid or (self._in_head and self._raw > MAX_HEAD):
+            self._fail_invalid()
         elif self._sink is not None:
             self._pass_on()
-        elif self._long():
-            self._start()
+        elif self._should_stream():
+            self._start_streaming()
         elif self._stall_s:
-            if self._stall is not None:
-                self._stall.cancel()
-            self._stall = asyncio.get_running_loop().call_later(self._stall_s, self._spoil)
+            if self._stall_timer is not None:
+                self._stall_timer.cancel()
+            self._stall_timer = asyncio.get_running_loop().call_later(self._stall_s, self._fail_invalid)
 
     def eof_received(self) -> None:
-        # An answer without a length ends here; a server that dies resets, so this is no break.
+        """Complete a response that ends with the connection.
+
+        The server of a response without a length has closed regularly: a server that dies resets the connection.
+        """
         self.reusable = False
-        if self._until_end and self._done is not None:
+        if self._ends_at_close and self._on_done is not None:
             self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the exchange that is under way and inform the owner."""
         self.lost = True
         self.reusable = False
-        self._parser = None  # it holds this connection: without the cycle both go at once
+        self._parser = None  # breaks a reference cycle, so that both are freed without the garbage collector
         self._finish(None)
         self._on_lost(self)
 
-    def _spoil(self) -> None:
-        self.spoilt = True
+    def _fail_invalid(self) -> None:
+        """Fail the exchange because its response is invalid or stalls."""
+        self.is_response_invalid = True
         self.abort()
         self._finish(None)
 
     # --- httptools
 
     def on_message_begin(self) -> None:
+        """Start a response, or an informational one ahead of it."""
         if self._complete:
-            self.reusable = False  # a second answer to one request
-            raise Spoilt
+            self.reusable = False  # a second response to one request
+            raise InvalidResponseError
         self._headers, self._body, self._size = [], [], 0
         self._in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._in_head:  # else a trailer
+        """Add a header; ignore trailers."""
+        if self._in_head:
             self._headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
+        """Check the head.
+
+        Raises:
+            InvalidResponseError: The framing is ambiguous, or the response is too long or belongs to no request.
+        """
         parser = self._parser
         assert parser is not None
         self._status = status = parser.get_status_code()
         if status == 101:
-            raise Spoilt  # nobody asked for another protocol
+            raise InvalidResponseError  # no request asks for another protocol
         if status < 200:
             return
         self._in_head = False
         if self._echo is not None:
             echoed = [value for name, value in self._headers if name == self._echo[0]]
             if len(echoed) != 1:
-                raise Spoilt  # nobody can tell whose answer it is
-            self._surplus = echoed[0] != self._echo[1]
+                raise InvalidResponseError  # the request that it answers can't be determined
+            self._is_stale = echoed[0] != self._echo[1]
         lengths = [value for name, value in self._headers if name == b"content-length"]
         codings = [value.lower() for name, value in self._headers if name == b"transfer-encoding"]
         if (codings and (lengths or codings != [b"chunked"])) or len(lengths) > 1:
-            raise Spoilt
-        self._limit = MAX_BODY if self._begin is not None and status in self._successes else self._max_body
+            raise InvalidResponseError
+        self._limit = MAX_BODY if self._on_begin is not None and status in self._successes else self._max_body
         if lengths and (DIGITS.fullmatch(lengths[0]) is None or int(lengths[0]) > self._limit):
-            raise Spoilt
+            raise InvalidResponseError
         self._length = int(lengths[0]) if lengths else None
-        self._until_end = not codings and not lengths and status not in NO_BODY
-        if self._until_end and (self._surplus or not self._trust_end):
-            raise Spoilt  # its end can't be told from a break
-        if any(SPLITS.search(value) for _, value in self._headers):
-            raise Spoilt
+        self._ends_at_close = not codings and not lengths and status not in BODILESS_STATUSES
+        if self._ends_at_close and (self._is_stale or not self._trust_end):
+            raise InvalidResponseError  # its end can't be distinguished from a failure
+        if any(CONTROL_CHARACTERS.search(value) for _, value in self._headers):
+            raise InvalidResponseError
 
     def on_body(self, body: bytes) -> None:
+        """Buffer a part of the body, or discard it if it belongs to an earlier request.
+
+        Raises:
+            InvalidResponseError: The body is too long.
+        """
         self._size += len(body)
         if self._size > self._limit:
-            raise Spoilt
-        if self._surplus:
+            raise InvalidResponseError
+        if self._is_stale:
             return
         self._body.append(body)
         if self._budget is not None:
             self._budget.take(len(body))
 
     def on_message_complete(self) -> None:
+        """Mark the response as complete, unless it is informational or belongs to an earlier request."""
         parser = self._parser
         assert parser is not None
         status = parser.get_status_code()
         if status < 200:
-            return  # 1xx: the answer is still to come
-        if self._surplus:
-            # The answer to an earlier request: ours is still to come, and the connection serves no other one.
-            self._surplus, self._in_head, self._raw, self.reusable = False, True, 1, False
+            return  # 1xx: the final response follows
+        if self._is_stale:
+            # The response to an earlier request. The current one follows; then the connection is not used again.
+            self._is_stale, self._in_head, self._raw, self.reusable = False, True, 1, False
             return
-        # Asked here and not after feed_data: the parser forgets the message's framing when it ends, and then
-        # says that no connection can be kept.
+        # Read here and not after feed_data: the parser resets the message's framing at its end and then reports
+        # that no connection can be kept alive.
         self.reusable = self.reusable and parser.should_keep_alive()
         self._complete = True
 
@@ -246,7 +286,7 @@
 
     @property
     def written(self) -> bool:
-        """Whether the kernel has taken the last byte of the request."""
+        """Whether the kernel has accepted the last byte of the request."""
         return self._written
 
     def send(
@@ -259,31 +299,39 @@
         eager: bool = False,
         echo: Echo | None = None,
     ) -> None:
-        """Write a request, its body as it comes where there is one apart; `done` gets the answer, or None if
-        the connection ends before its last byte. A long answer goes where `begin` says, as it comes; with
-        `eager`, so does every successful one, from its head on. With `echo`, answers that carry
-        another value are those to earlier requests and are dropped; one that carries none is spoilt."""
-        assert self._done is None and self._transport is not None
-        self._wrote, self._begin, self._until_end = wrote, begin, False
-        self._done, self._complete, self._raw, self._in_head = done, False, 0, True
+        """Send a request.
+
+        Args:
+            data: The encoded request, without a streamed body.
+            done: Called with the complete response, or with `None` if the exchange fails.
+            wrote: Called once the kernel has accepted the last byte of the request.
+            request: A body that is streamed: written as it arrives.
+            begin: Called with the head of a long response; returns the sink to which its body is streamed.
+            eager: Whether every successful response is streamed, from its head on.
+            echo: A header that identifies responses to this request. Responses with another value belong to
+                earlier requests and are discarded; a response without the header is invalid.
+        """
+        assert self._on_done is None and self._transport is not None
+        self._on_written, self._on_begin, self._ends_at_close = wrote, begin, False
+        self._on_done, self._complete, self._raw, self._in_head = done, False, 0, True
         self._written = self.touched = False
-        self._eager, self._echo, self._surplus = eager, echo, False
+        self._is_eager, self._echo, self._is_stale = eager, echo, False
         if self._transport.is_closing():
-            # A server at its limit accepts and closes: the end may be known before the first send, and a
-            # write would then raise and leave the attempt without an outcome.
+            # A server at its connection limit accepts and closes: the transport may be closing before the first
+            # send, and a write would then raise and leave the attempt without an outcome.
             self._finish(None)
             return
         self.touched = True
         self._transport.write(data)
         if request is not None:
             self._request = request
-            request.sink = self._pump
-            self._pump()
+            request.sink = self._write_body
+            self._write_body()
         elif not self._blocked and not self._transport.is_closing():
-            self._whole()
+            self._finish_write()
 
-    def _pump(self) -> None:
-        """Write what there is of the body, for as long as the kernel takes it."""
+    def _write_body(self) -> None:
+        """Write the available part of the body until the kernel's send buffer is full."""
         request, transport = self._request, self._transport
         if request is None or transport is None:
             return
@@ -299,20 +347,20 @@
             if chunked and not transport.is_closing():
                 transport.write(b"0\r\n\r\n")
             if not self._blocked and not transport.is_closing():
-                self._whole()
+                self._finish_write()
 
-    def _whole(self) -> None:
-        """The kernel has taken the last byte."""
+    def _finish_write(self) -> None:
+        """Record that the kernel has accepted the last byte of the request."""
         self._written = True
-        wrote, self._wrote = self._wrote, None
+        wrote, self._on_written = self._on_written, None
         if wrote is not None:
             wrote()
 
     def silent(self) -> bool:
-        """Whether an idle connection has nothing to read, neither an end nor a stray byte.
+        """Return whether an idle connection has nothing to read, neither data nor an end of the stream.
 
-        Protects against sending on a connection whose end has arrived but was not read yet: that send would
-        count as run. Nor may a second copy of the last answer pass for the answer to the next request.
+        A request that is sent on a connection whose end has arrived but was not read yet would count as possibly
+        executed. A second copy of the last response could be taken for the response to the next request.
         """
         transport = self._transport
         if transport is None or transport.is_closing() or not self.reusable:
@@ -320,43 +368,45 @@
         return not self._poll.poll(0)
 
     def pause(self) -> None:
-        """Read no more for now: what is passed on is not taken."""
+        """Pause reading: the receiver of a streamed response is slow."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _long(self) -> bool:
-        """Whether the answer is not held back any longer."""
-        if self._in_head or self._begin is None or self._surplus or self._status not in self._successes:
+    def _should_stream(self) -> bool:
+        """Return whether to start streaming the response; hold back a short or unknown one for a while."""
+        if self._in_head or self._on_begin is None or self._is_stale or self._status not in self._successes:
             return False
-        if self._eager or (self._length or self._size) > WHOLE:
+        if self._is_eager or (self._length or self._size) > HOLD_BYTES:
             return True
-        if self._length is None and self._size and self._hold is None:
-            self._hold = asyncio.get_running_loop().call_later(HOLD_S, self._start)
+        if self._length is None and self._size and self._hold_timer is None:
+            self._hold_timer = asyncio.get_running_loop().call_later(HOLD_S, self._start_streaming)
         return False
 
-    def _start(self) -> None:
-        """Pass on from here, and no longer look at how long it pauses: that is for whoever takes it."""
-        begin, self._begin = self._begin, None
-        self._calm()
-        if begin is None or self._done is None:
+    def _start_streaming(self) -> None:
+        """Start streaming the response. From here on its receiver watches for stalls."""
+        begin, self._on_begin = self._on_begin, None
+        self._cancel_timers()
+        if begin is None or self._on_done is None:
             return
         self._sink = begin(Reply(self._status, self._headers, b""), self._length)
         if self._sink is None:
-            self._spoil()
+            self._fail_invalid()
         else:
             self._pass_on()
 
     def _pass_on(self) -> None:
-        sink, data = self._sink, self._taken()
+        """Forward the buffered part of a streamed response."""
+        sink, data = self._sink, self._take_buffered()
         if sink is not None and data:
             sink.pass_on(data)
 
-    def _taken(self) -> bytes:
+    def _take_buffered(self) -> bytes:
+        """Remove and return the buffered part of the body."""
         data = b"".join(self._body)
         self._body = []
         if self._budget is not None:
@@ -364,19 +414,19 @@
         return data
 
     def _end(self) -> None:
-        """The answer is whole."""
+        """Complete the exchange with a complete response."""
         if self._sink is not None:
             self._pass_on()
-        self._finish(Reply(self._status, self._headers, self._taken()))
+        self._finish(Reply(self._status, self._headers, self._take_buffered()))
 
     def forget(self) -> None:
-        """Nobody waits for the answer any more."""
-        self._done = None
-        self._release()
-        self._calm()
+        """Drop the exchange: its response is not wanted any more."""
+        self._on_done = None
+        self._release_exchange()
+        self._cancel_timers()
 
     def close(self) -> None:
-        """Close; with bytes that the peer does not take, a mere close would never come to its end."""
+        """Close the connection; abort it if the peer does not read, as a regular close would never finish."""
         self.reusable = False
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
@@ -385,29 +435,31 @@
             transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self.reusable = False
-        self._calm()
+        self._cancel_timers()
         if self._transport is not None:
             self._transport.abort()
 
-    def _calm(self) -> None:
-        for timer in (self._stall, self._hold):
+    def _cancel_timers(self) -> None:
+        """Cancel the timers."""
+        for timer in (self._stall_timer, self._hold_timer):
             if timer is not None:
                 timer.cancel()
-        self._stall = self._hold = None
+        self._stall_timer = self._hold_timer = None
 
-    def _release(self) -> None:
-        """Let go of what belongs to this exchange."""
-        self._taken()
+    def _release_exchange(self) -> None:
+        """Release the buffers and references of the exchange."""
+        self._take_buffered()
         if self._request is not None:
             self._request.sink = None
-        self._request = self._sink = self._begin = None
+        self._request = self._sink = self._on_begin = None
 
     def _finish(self, reply: Reply | None) -> None:
-        self._calm()
+        """End the exchange and report its response, or `None` for a failure."""
+        self._cancel_timers()
         self._headers = []
-        self._release()
-        done, self._done = self._done, None
+        self._release_exchange()
+        done, self._on_done = self._on_done, None
         if done is not None:
             done(reply)
--- a/rosechute/proxy/http1/listener.py
+++ b/rosechute/proxy/http1/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: who is let in, who has to go, and when."""
+"""The listening socket: acceptance of connections, and rules for closing them."""
 
 from __future__ import annotations
 
@@ -9,82 +9,106 @@
 from dataclasses import dataclass, field
 
 from rosechute.proxy.core.address import Address
-from rosechute.proxy.core.flow import RECEIVE, Budget
+from rosechute.proxy.core.flow import RECEIVE_BUFFER_BYTES, Budget
 from rosechute.proxy.core.log import LOG
-from rosechute.proxy.http1.client import ClientConnection, ClientTerms, Queue, Service
-
-BACKLOG = 1024
-BATCH = 64  # connections taken in one go, so that a flood does not keep the loop from its other work
-SWEEP_S = 0.2
-PAUSE_S = 0.02  # between looks at the listen queue while there is no room
-OVERDRAFT = 4  # connections that were ended to make room, and whose descriptors are yet to be free
-SPARE = 8  # descriptors that are left to others once there was none for a connection that came
-RELAX_S = 1.0  # and for how long; a descriptor that is asked for in vain is asked for again by then
-SILENT_S = 2.1  # how long a connection may say nothing; 2 s are the promise
-KEEP_S = 30.0  # how long one is kept between requests
-LINGER_S = 2.0  # how long what a client still sends is read after its connection's last answer
-LOOK_S = 0.05  # how often those that are not read from are looked at: have they left?
-DRAIN_S = 0.4  # from the drain to the first close of what is idle; new connections stop after about 0.3 s
-EMPTY_S = 0.05  # how often idle connections are looked for then
-SPARE_S = 2.0  # a connection between requests may be closed from here on
-# Where there is no room, a connection that has said nothing is closed much sooner: the usual client
-# sends as soon as it is connected, and its bytes would be in the kernel by now.
-HUSH_S = 0.1
-HURRY_S = 0.5  # so is one between requests, when it is the last resort
-HALT_S = 0.3  # and so is one that has stopped in the middle of a request
+from rosechute.proxy.http1.client import ClientConnection, ConnectionLimits, Queue, Service
+
+BACKLOG = 1024  # connections in the kernel's listen queue
+ACCEPT_BATCH = 64  # connections accepted per turn of the event loop, so that a flood does not block other work
+SWEEP_INTERVAL_S = 0.2  # interval of the checks for expired connections
+ACCEPT_PAUSE_S = 0.02  # pause before the next accept when the connection limit is reached
+MAX_CLOSING = 4  # connections that may be closing at a time to make room; their descriptors are not free yet
+RESERVED_DESCRIPTORS = 8  # descriptors left to others after an accept failed because none was free
+REDUCED_LIMIT_S = 1.0  # for how long they are left to others, who retry within this time
+FIRST_BYTE_TIMEOUT_S = 2.1  # how long a new connection may send nothing; 2 s are guaranteed
+KEEP_ALIVE_TIMEOUT_S = 30.0  # keep-alive timeout between requests
+LINGER_TIMEOUT_S = 2.0  # how long input is still read after the last response on a connection
+DISCONNECT_POLL_S = 0.05  # interval of the polls for disconnects of clients from which reading is paused
+# From the start of a drain to the first close of idle connections; new connections stop after about 0.3 s.
+DRAIN_DELAY_S = 0.4
+DRAIN_INTERVAL_S = 0.05  # interval at which idle connections are closed after that
+EVICT_IDLE_S = 2.0  # idle time after which a connection may be closed to make room
+# When the connection limit is reached, a connection that has sent nothing may be closed after a much shorter time:
+# an ordinary client sends as soon as it is connected, so that its data would have arrived by then.
+EVICT_SILENT_S = 0.1
+EVICT_IDLE_LAST_RESORT_S = 0.5  # the same for an idle connection, if no other connection can be closed
+EVICT_STALLED_S = 0.3  # the same for a connection that has stopped in the middle of a request
 
 
 @dataclass(slots=True)
-class ListenerTimes:
-    """How long connections are kept that owe nothing. The defaults are those of the sidecar in service."""
+class ListenerTimeouts:
+    """Timeouts of connections on which no response is due. The defaults are the sidecar's.
+
+    Attributes:
+        first_byte_s: Seconds for which a new connection may send nothing.
+        keep_alive_s: Seconds for which a connection is kept open between requests.
+        drain_delay_s: Seconds from the start of a drain to the first close of idle connections.
+        head_timeout_from_connect: Whether the time limit of the first request's head starts at the connect instead of
+            the first byte.
+    """
 
-    silent_s: float = field(default_factory=lambda: SILENT_S)
-    keep_s: float = field(default_factory=lambda: KEEP_S)
-    drain_s: float = field(default_factory=lambda: DRAIN_S)
-    whole_from_connect: bool = True  # whether a first request's time begins with its connection, else its first byte
+    first_byte_s: float = field(default_factory=lambda: FIRST_BYTE_TIMEOUT_S)
+    keep_alive_s: float = field(default_factory=lambda: KEEP_ALIVE_TIMEOUT_S)
+    drain_delay_s: float = field(default_factory=lambda: DRAIN_DELAY_S)
+    head_timeout_from_connect: bool = True
 
 
 class Listener:
-    """The listening socket and all connections that came in by it.
-
-    A connection stands in at most one queue, the longest there first; in none while an answer is owed.
+    """The listening socket and all connections accepted from it.
+
+    A connection is in at most one of the queues, which are ordered by time of entry, and in none while a response
+    is due.
+
+    Args:
+        service: Handler of the requests.
+        max_connections: Limit of the number of connections.
+        keep_alive_limit: Number of connections above which connections close after a response.
+        budget: Memory budget for bodies.
+        limits: Limits on requests; the sidecar's by default.
+        times: Timeouts of idle connections; the sidecar's by default.
     """
 
     def __init__(
         self,
         service: Service,
-        most: int,
-        crowd: int,
+        max_connections: int,
+        keep_alive_limit: int,
         budget: Budget,
-        terms: ClientTerms | None = None,
-        times: ListenerTimes | None = None,
+        limits: ConnectionLimits | None = None,
+        times: ListenerTimeouts | None = None,
     ) -> None:
         self.service = service
-        self.terms = terms or ClientTerms()
-        self.times = times or ListenerTimes()
+        self.limits = limits or ConnectionLimits()
+        self.times = times or ListenerTimeouts()
         self.budget = budget
-        self.most = self._share = most
-        self._crowd = crowd
-        self._ending: set[ClientConnection] = set()  # to make room
-        self._pausing = False
-        self._relaxing: asyncio.TimerHandle | None = None
+        self.max_connections = self._configured_limit = max_connections
+        self._keep_alive_limit = keep_alive_limit
+        self._evicted: set[ClientConnection] = set()  # closing to make room
+        self._is_accept_paused = False
+        self._restore_timer: asyncio.TimerHandle | None = None
         self.stopping = False
         self.draining = False
         self.accepting = False
         self.connections: set[ClientConnection] = set()
-        self.silent: Queue = {}  # nothing has come yet
-        self.partial: Queue = {}  # part of a request has come
-        self.kept: Queue = {}  # between requests
-        self.visitors: Queue = {}  # have asked for readiness and nothing else
-        self.leaving: Queue = {}  # had its last answer
-        self.paused: set[ClientConnection] = set()  # nothing is read from them
-        self._looking = False  # for the end of those
+        self.new: Queue = {}  # nothing received yet
+        self.receiving: Queue = {}  # receiving a request
+        self.idle: Queue = {}  # idle between requests
+        self.readiness_only: Queue = {}  # idle, and only readiness has been requested
+        self.lingering: Queue = {}  # closing after the last response
+        self.paused: set[ClientConnection] = set()  # reading is paused
+        self._is_polling = False  # the poll for disconnects of these is scheduled
         self._opening: set[asyncio.Task[None]] = set()
         self._socket: socket.socket | None = None
         self._loop: asyncio.AbstractEventLoop | None = None
 
     def listen(self, loop: asyncio.AbstractEventLoop, address: Address, inherited: int | None) -> int:
-        """Take the socket that the platform holds, or else bind one; return the port. Nobody is let in."""
+        """Use the inherited listening socket, or else bind one; return the port. Does not accept connections yet.
+
+        Args:
+            loop: The event loop.
+            address: Host and port to bind.
+            inherited: File descriptor of a listening socket that the platform has passed to the process.
+        """
         self._loop = loop
         if inherited is not None:
             self._socket = socket.socket(fileno=inherited)
@@ -92,232 +116,268 @@
             family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
             self._socket = socket.create_server(tuple(address), family=family, backlog=BACKLOG)
         self._socket.setblocking(False)
-        loop.call_later(SWEEP_S, self._sweep)
+        loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         return int(self._socket.getsockname()[1])
 
-    def let_in(self) -> None:
-        """Accept connections from now on."""
+    def start_accepting(self) -> None:
+        """Start to accept connections."""
         if self._socket is not None and self._loop is not None and not self.accepting:
             self.accepting = True
             self._loop.add_reader(self._socket.fileno(), self._accept)
 
-    def leave(self) -> None:
-        """Accept no more, and leave what stands in the queue to the socket's other holders: it is closed here
-        and never shut down, which would end it for all of them."""
+    def stop_accepting(self) -> None:
+        """Stop accepting connections and close this process's descriptor of the socket.
+
+        Queued connections are left to other processes that hold the socket. It is not shut down, as that would
+        affect all of them.
+        """
         if self._socket is not None and self._loop is not None:
             self.accepting = False
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
-    def resize(self, most: int, crowd: int) -> None:
-        """Another share of the descriptors: connections beyond it go, as far as they may."""
-        self.most, self._share, self._crowd = most, most, crowd
-        while self._loop is not None and len(self.connections) > most and self._make_room():
+    def resize(self, max_connections: int, keep_alive_limit: int) -> None:
+        """Change the limits on connections; close surplus connections, as far as that is possible.
+
+        Args:
+            max_connections: Limit of the number of connections.
+            keep_alive_limit: Number of connections above which connections close after a response.
+        """
+        self.max_connections, self._configured_limit, self._keep_alive_limit = (
+            max_connections,
+            max_connections,
+            keep_alive_limit,
+        )
+        while self._loop is not None and len(self.connections) > max_connections and self._evict():
             pass
 
-    def last_requests(self) -> None:
-        """From now on each answer closes its connection."""
+    def disable_keep_alive(self) -> None:
+        """Close each connection after its next response."""
         self.stopping = True
 
-    def drain(self, on: bool) -> None:
-        """From now on each answer closes its connection, and what is idle goes; or no longer. Told twice, the
-        drain that is on goes on."""
+    def drain(self, enabled: bool) -> None:
+        """Start or end a drain: close connections after their next response, and close idle connections.
+
+        Has no effect if the drain is already in the requested state.
+        """
         assert self._loop is not None
-        if on and not self.draining:
-            self._loop.call_later(self.times.drain_s, self._empty)
-        self.draining = on
+        if enabled and not self.draining:
+            self._loop.call_later(self.times.drain_delay_s, self._close_idle)
+        self.draining = enabled
 
-    def _empty(self) -> None:
-        """Close what is idle, again and again: a client may open a connection until it has heard the no."""
+    def _close_idle(self) -> None:
+        """Close idle connections repeatedly: clients open new ones until they learn that this process drains."""
         if not self.draining or self._loop is None:
             return
         now = self._loop.time()
-        for queue in (self.silent, self.visitors, self.kept):
-            for connection in _older(queue, now - HUSH_S):
-                if connection.quiet():
+        for queue in (self.new, self.readiness_only, self.idle):
+            for connection in _entered_before(queue, now - EVICT_SILENT_S):
+                if connection.has_no_unread_data():
                     connection.close()
-        self._loop.call_later(EMPTY_S, self._empty)
+        self._loop.call_later(DRAIN_INTERVAL_S, self._close_idle)
 
-    def last_answers(self) -> bool:
-        """Whether an answer is the last on its connection."""
+    def is_keep_alive_disabled(self) -> bool:
+        """Return whether each response is the last one on its connection."""
         return self.stopping or self.draining
 
     def close(self) -> None:
-        """Listen no more, and close what is between requests. What the machine has accepted is taken: where
-        there is no room for all of it yet, this is to be called again."""
-        while self.accepting and self._has_room():
-            taken = self._take()
+        """Stop listening and close idle connections.
+
+        Connections in the kernel's listen queue are accepted first. If the limit does not allow that for all of
+        them, this has to be called again.
+        """
+        while self.accepting and self._ensure_room():
+            taken = self._accept_one()
             if taken is False:
-                self.leave()  # only now: what stands in the queue of a closed socket is reset
+                self.stop_accepting()  # only with an empty queue: a close of the socket resets queued connections
             if not taken:
                 break
         assert self._loop is not None
-        # One that has just come up is about to say something: a close with no answer would fail its request.
-        for connection in [*_older(self.silent, self._loop.time() - HUSH_S), *self.visitors, *self.kept]:
-            if connection.quiet():
+        # A new connection is about to send a request, which would fail if the connection closed without a response.
+        for connection in [
+            *_entered_before(self.new, self._loop.time() - EVICT_SILENT_S),
+            *self.readiness_only,
+            *self.idle,
+        ]:
+            if connection.has_no_unread_data():
                 connection.close()
 
     def busy(self) -> bool:
-        """Whether a connection is left that owes an answer, or a part of one, or may hold an unread request."""
-        if self.accepting or self._opening or len(self.connections) > len(self.leaving):
+        """Return whether a response is due or not fully sent, or a request may be unread."""
+        if self.accepting or self._opening or len(self.connections) > len(self.lingering):
             return True
         return self.sending()
 
     def sending(self) -> bool:
-        """Whether an answer has begun that the kernel has not taken whole: its client is slow to read."""
+        """Return whether a response is not fully sent because its client reads slowly."""
         return any(connection.sending() for connection in self.connections)
 
-    # --- letting in
+    # --- accepting
 
     def _accept(self) -> None:
-        for _ in range(BATCH):
-            if not self._has_room():
-                if len(self._ending) < OVERDRAFT:  # else there is some with the next turn, and this is called again
-                    self._pause()
+        """Accept queued connections, up to the limit and at most one batch."""
+        for _ in range(ACCEPT_BATCH):
+            if not self._ensure_room():
+                # Otherwise descriptors become free with the loop's next turn, in which this is called again.
+                if len(self._evicted) < MAX_CLOSING:
+                    self._pause_accepting()
                 return
-            if not self._take():
+            if not self._accept_one():
                 return
 
-    def _room(self) -> bool:
-        return len(self.connections) + len(self._opening) < self.most
+    def _is_below_limit(self) -> bool:
+        """Return whether the number of connections is below the limit."""
+        return len(self.connections) + len(self._opening) < self.max_connections
 
-    def _has_room(self) -> bool:
-        """Make sure of a place for one more; False where nobody can be ended for it in this turn.
+    def _ensure_room(self) -> bool:
+        """Make room for one more connection; return `False` if none can be closed for it in this turn.
 
-        Protects everything else that needs descriptors: that of a connection that was ended is free with the loop's
-        next turn, and until then both count.
+        A closed connection's descriptor becomes free only in the loop's next turn. Until then both count, so that
+        enough descriptors are left for everything else.
         """
-        while not self._room():
-            if len(self._ending) >= OVERDRAFT or not self._make_room():
+        while not self._is_below_limit():
+            if len(self._evicted) >= MAX_CLOSING or not self._evict():
                 return False
         return True
 
-    def _take(self) -> bool | None:
-        """Accept one connection; False if there is none, None if there is no descriptor for it."""
+    def _accept_one(self) -> bool | None:
+        """Accept one connection; return `False` if there is none, `None` if no descriptor is available for it."""
         assert self._socket is not None and self._loop is not None
         try:
-            made, _ = self._socket.accept()
+            client_socket, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                # The queue stays readable: without a pause this would be called again and again.
-                self._give_way()
-                self._pause()
+                # The listening socket stays readable, so that without a pause this would be called in a busy loop.
+                self._reduce_limit()
+                self._pause_accepting()
                 return None
-            return True  # that one client is gone already
-        made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
-        task = self._loop.create_task(self._open(made))
+            return True  # this client has already disconnected
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        task = self._loop.create_task(self._create_connection(client_socket))
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
         return True
 
-    async def _open(self, made: socket.socket) -> None:
+    async def _create_connection(self, client_socket: socket.socket) -> None:
+        """Create the transport and protocol of an accepted socket."""
         assert self._loop is not None
         loop = self._loop
         try:
-            made.setblocking(False)
-            await loop.connect_accepted_socket(lambda: ClientConnection(self, loop), made)
+            client_socket.setblocking(False)
+            await loop.connect_accepted_socket(lambda: ClientConnection(self, loop), client_socket)
         except OSError:
-            made.close()  # the client is gone, or descriptors are
+            client_socket.close()  # the client has disconnected, or no descriptor is available
 
-    def _give_way(self) -> None:
-        """There is no descriptor left, for whatever reason: clients keep to fewer for a while.
+    def _reduce_limit(self) -> None:
+        """Lower the connection limit for a while: no descriptor was available for a new connection.
 
-        Protects discovery, operators, servers and the next process, which ask for a descriptor now and then, while
-        clients come all the time and would take each that is free.
+        Discovery, the control interface, connections to servers and a successor process need descriptors only now
+        and then. Clients connect all the time and would take each one that becomes free.
         """
         assert self._loop is not None
-        # No less than half: fewer places are taken by a crowd faster than it can be sent away.
-        self.most = max(1, self._share // 2, min(self.most, len(self.connections)) - SPARE)
-        for _ in range(SPARE):
-            if self._room() or not self._make_room():
+        # At least half of the limit is kept: with less, new clients fill it faster than connections can be closed.
+        self.max_connections = max(
+            1, self._configured_limit // 2, min(self.max_connections, len(self.connections)) - RESERVED_DESCRIPTORS
+        )
+        for _ in range(RESERVED_DESCRIPTORS):
+            if self._is_below_limit() or not self._evict():
                 break
-        if self._relaxing is not None:
-            self._relaxing.cancel()
+        if self._restore_timer is not None:
+            self._restore_timer.cancel()
         else:
-            LOG.warning("clients.no_descriptor", connections=len(self.connections), most=self.most)
-        self._relaxing = self._loop.call_later(RELAX_S, self._relax)
-
-    def _relax(self) -> None:
-        self._relaxing = None
-        self.most = self._share
-
-    def _pause(self) -> None:
-        if self.accepting and not self._pausing and self._socket is not None and self._loop is not None:
-            self._pausing = True
+            LOG.warning("clients.no_descriptor", connections=len(self.connections), most=self.max_connections)
+        self._restore_timer = self._loop.call_later(REDUCED_LIMIT_S, self._restore_limit)
+
+    def _restore_limit(self) -> None:
+        """Restore the connection limit."""
+        self._restore_timer = None
+        self.max_connections = self._configured_limit
+
+    def _pause_accepting(self) -> None:
+        """Pause accepting for a short time."""
+        if self.accepting and not self._is_accept_paused and self._socket is not None and self._loop is not None:
+            self._is_accept_paused = True
             self._loop.remove_reader(self._socket.fileno())
-            self._loop.call_later(PAUSE_S, self._go_on)
+            self._loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
 
-    def _go_on(self) -> None:
-        self._pausing = False
+    def _resume_accepting(self) -> None:
+        """Resume accepting."""
+        self._is_accept_paused = False
         if self.accepting and self._socket is not None and self._loop is not None:
             self._loop.add_reader(self._socket.fileno(), self._accept)
             self._accept()
 
-    def _make_room(self) -> bool:
-        """End the connection that is missed least. Protects the usual client, which else waits in the listen
-        queue behind hundreds that look in once, or say nothing, and stay: those go first. Idle clients go
-        from 2 s on, and sooner only where nothing else is left to end."""
+    def _evict(self) -> bool:
+        """Close the least useful connection; return `False` if none may be closed.
+
+        Otherwise an ordinary client would wait in the listen queue behind hundreds of connections that only check
+        readiness, or send nothing, and stay open. Those are closed first. Idle connections are closed after 2 s,
+        and sooner only if nothing else can be closed.
+        """
         assert self._loop is not None
         now = self._loop.time()
         for queue, age in (
-            (self.leaving, HUSH_S),
-            (self.visitors, HUSH_S),
-            (self.silent, HUSH_S),
-            (self.kept, SPARE_S),
-            (self.kept, HURRY_S),
+            (self.lingering, EVICT_SILENT_S),
+            (self.readiness_only, EVICT_SILENT_S),
+            (self.new, EVICT_SILENT_S),
+            (self.idle, EVICT_IDLE_S),
+            (self.idle, EVICT_IDLE_LAST_RESORT_S),
         ):
             for connection, since in list(queue.items()) if queue else ():
                 if now - since < age:
                     break
-                # One that still reads its last answer is no spare one.
-                if not connection.unsent() if queue is self.leaving else connection.quiet():
-                    self._end(connection)
+                # A client that is still receiving its last response is spared.
+                if not connection.unsent_bytes() if queue is self.lingering else connection.has_no_unread_data():
+                    self._close_evicted(connection)
                     return True
-        # Those that are still writing are the usual client's, however slow; a crowd sends half and stops.
-        halted = [c for c in self.partial if now - c.heard >= HALT_S and not c.owing()]
-        for connection in sorted(halted, key=lambda c: c.heard):
-            if connection.quiet():
+        # A client that is still sending is an ordinary one, however slow. A flood of clients sends parts and stops.
+        stalled = [
+            c for c in self.receiving if now - c.last_read_at >= EVICT_STALLED_S and not c.is_forwarding_or_paused()
+        ]
+        for connection in sorted(stalled, key=lambda c: c.last_read_at):
+            if connection.has_no_unread_data():
                 connection.time_out()
-                self._end(connection)
+                self._close_evicted(connection)
                 return True
-        for connection in _older(self.leaving, now - HALT_S):
-            self._end(connection)
+        for connection in _entered_before(self.lingering, now - EVICT_STALLED_S):
+            self._close_evicted(connection)
             return True
         return False
 
-    def _end(self, connection: ClientConnection) -> None:
-        self.lost(connection)
-        self._ending.add(connection)
+    def _close_evicted(self, connection: ClientConnection) -> None:
+        """Close a connection to make room."""
+        self.on_disconnected(connection)
+        self._evicted.add(connection)
         connection.close()
 
     # --- for the connections
 
-    def crowded(self) -> bool:
-        """Whether connections are better closed after their answer than kept."""
-        return len(self.connections) > self._crowd
+    def exceeds_keep_alive_limit(self) -> bool:
+        """Return whether connections should close after a response."""
+        return len(self.connections) > self._keep_alive_limit
 
-    def made(self, connection: ClientConnection) -> None:
-        """A connection is up."""
+    def on_connected(self, connection: ClientConnection) -> None:
+        """Register a new connection."""
         self.connections.add(connection)
-        self.move(connection, self.silent)
+        self.move(connection, self.new)
 
-    def unread(self, connection: ClientConnection) -> None:
-        """Nothing is read from this connection for now.
+    def watch_paused(self, connection: ClientConnection) -> None:
+        """Poll a connection for a disconnect while reading from it is paused.
 
-        Protects servers, and whoever waits behind it: the end of a client that is not read from shows nowhere,
-        and what it asked for would be sent on when its turn comes.
+        Without reading, a disconnect goes unnoticed. Requests of a client that has disconnected would still be sent
+        to servers and delay those of other clients.
         """
         self.paused.add(connection)
-        if not self._looking and self._loop is not None:
-            self._looking = True
-            self._loop.call_later(LOOK_S, self._look)
+        if not self._is_polling and self._loop is not None:
+            self._is_polling = True
+            self._loop.call_later(DISCONNECT_POLL_S, self._poll_disconnects)
 
-    def look(self) -> None:
-        """End what those asked for that are not read from and have left: one call to the kernel for all of them."""
+    def check_paused(self) -> None:
+        """Cancel the requests of clients that have disconnected while reading was paused, with a single poll."""
         poll, watched = select.poll(), {}
         for connection in self.paused:
             descriptor = connection.descriptor()
@@ -325,56 +385,64 @@
                 poll.register(descriptor, select.POLLRDHUP)
                 watched[descriptor] = connection
         for descriptor, _ in poll.poll(0):
-            watched[descriptor].look()
+            watched[descriptor].check_disconnected()
 
-    def _look(self) -> None:
+    def _poll_disconnects(self) -> None:
+        """Poll for disconnects periodically while reading from any connection is paused."""
         assert self._loop is not None
-        self.look()
-        self._looking = bool(self.paused)
-        if self._looking:
-            self._loop.call_later(LOOK_S, self._look)
+        self.check_paused()
+        self._is_polling = bool(self.paused)
+        if self._is_polling:
+            self._loop.call_later(DISCONNECT_POLL_S, self._poll_disconnects)
 
-    def lost(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+    def on_disconnected(self, connection: ClientConnection) -> None:
+        """Remove a closed connection."""
         self.connections.discard(connection)
-        self._ending.discard(connection)
+        self._evicted.discard(connection)
         self.move(connection, None)
 
     def move(self, connection: ClientConnection, queue: Queue | None) -> None:
-        """Put a connection at the end of a queue, or in none. A request that is coming in keeps its time."""
+        """Move a connection to the end of a queue, or to none. A request being received keeps its time of entry."""
         assert self._loop is not None
-        place = connection.place
-        if place is queue and queue is self.partial:
+        current = connection.current_queue
+        if current is queue and queue is self.receiving:
             return
-        if place is not None:
-            place.pop(connection, None)
-        connection.place = queue
+        if current is not None:
+            current.pop(connection, None)
+        connection.current_queue = queue
         if queue is not None:
-            fresh = queue is self.partial and connection.fresh() and self.times.whole_from_connect
-            queue[connection] = connection.accepted if fresh else self._loop.time()
+            has_no_request = (
+                queue is self.receiving and connection.has_no_request() and self.times.head_timeout_from_connect
+            )
+            queue[connection] = connection.accepted if has_no_request else self._loop.time()
 
     # --- time limits
 
     def _sweep(self) -> None:
+        """Close connections whose timeouts have expired."""
         assert self._loop is not None
         now = self._loop.time()
         times = self.times
-        limits = ((self.silent, times.silent_s), (self.kept, times.keep_s), (self.visitors, times.keep_s))
-        for queue, age in limits:
-            for connection in _older(queue, now - age):
-                if connection.quiet():
+        queue_timeouts = (
+            (self.new, times.first_byte_s),
+            (self.idle, times.keep_alive_s),
+            (self.readiness_only, times.keep_alive_s),
+        )
+        for queue, age in queue_timeouts:
+            for connection in _entered_before(queue, now - age):
+                if connection.has_no_unread_data():
                     connection.close()
-        for connection in _older(self.leaving, now - LINGER_S):
-            if connection.stuck(now, LINGER_S):
+        for connection in _entered_before(self.lingering, now - LINGER_TIMEOUT_S):
+            if connection.has_stalled(now, LINGER_TIMEOUT_S):
                 connection.abort()
-        for connection, since in list(self.partial.items()):
-            if connection.overdue(now, since) and connection.quiet():
+        for connection, since in list(self.receiving.items()):
+            if connection.is_overdue(now, since) and connection.has_no_unread_data():
                 connection.time_out()
-        self._loop.call_later(SWEEP_S, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
-def _older(queue: Queue, than: float) -> list[ClientConnection]:
-    """Those at the front of a queue that have stood there since before `than`."""
+def _entered_before(queue: Queue, than: float) -> list[ClientConnection]:
+    """Return the connections that entered a queue at `than` or before."""
     found = []
     for connection, since in queue.items():
         if since > than:
--- a/rosechute/proxy/http1/message.py
+++ b/rosechute/proxy/http1/message.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request as it came, and the words for its answers."""
+"""An HTTP/1.1 request from a client, and the encoding of its response."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-FIRST_LINES = {status: b"HTTP/1.1 %d %s\r\n" % (status, reason.encode()) for status, reason in REASONS.items()}
+STATUS_LINES = {status: b"HTTP/1.1 %d %s\r\n" % (status, reason.encode()) for status, reason in REASONS.items()}
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -39,7 +39,7 @@
         b"upgrade",
     }
 )
-NOT_RETURNED = HOP_BY_HOP | {b"content-length", b"x-server-load", b"date", b"server"}
+NOT_FORWARDED_HEADERS = HOP_BY_HOP | {b"content-length", b"x-server-load", b"date", b"server"}
 Headers = list[tuple[bytes, bytes]]
 STATUS = {
     Ending.SERVED: 200,
@@ -49,7 +49,7 @@
     Ending.BROKEN: 500,
     Ending.REPEATED: 409,
 }
-WORDS = {
+ENDING_BODIES = {
     Ending.REFUSED: b"refused\n",
     Ending.FAILED: b"failed\n",
     Ending.LATE: b"failed\n",
@@ -57,24 +57,51 @@
 }
 
 
-class Way(Protocol):
-    """The connection that a request came by."""
+class ResponseWriter(Protocol):
+    """The connection on which a request arrived and its response is sent."""
 
-    def look(self) -> bool: ...
+    def check_disconnected(self) -> bool:
+        """Return whether the client has disconnected; if so, cancel its requests."""
+        ...
 
-    def answer(self, message: Message, status: int, body: bytes, headers: Headers) -> None: ...
+    def answer(self, message: Message, status: int, body: bytes, headers: Headers) -> None:
+        """Send a response with a complete body."""
+        ...
 
-    def begin_answer(
+    def begin_response(
         self, message: Message, status: int, headers: Headers, length: int | None, source: Source
-    ) -> bool: ...
+    ) -> bool:
+        """Start a streamed response; return whether the client can still receive it."""
+        ...
 
-    def pass_on(self, message: Message, data: bytes) -> None: ...
+    def pass_on(self, message: Message, data: bytes) -> None:
+        """Send a part of a streamed response."""
+        ...
 
-    def end_answer(self, message: Message, whole: bool) -> None: ...
+    def end_response(self, message: Message, is_complete: bool) -> None:
+        """End a streamed response; if it is incomplete, so that the client detects it."""
+        ...
 
 
 class Message:
-    """One request as it came, and where its one answer goes. The core's `Front`."""
+    """A client's request and its response. Implements the core's `Front`.
+
+    Attributes:
+        connection: The connection that sends the response.
+        method: Request method.
+        target: Request target, in origin form once the head is complete.
+        headers: Headers with lower-case names, in order.
+        body: The complete body; empty if it is streamed.
+        stream: A streamed body.
+        complete: Whether the last byte has been received.
+        chunks: Whether the client supports the chunked transfer coding.
+        keep_alive: Whether the client allows further requests on the connection.
+        came: When the last byte was read, by the loop's clock; for a streamed body, when streaming started.
+        began: When the first byte was read.
+        tid: The core's identifier of the call.
+        head: Cached head for servers, without the headers that differ by attempt.
+        headers_by_name: Headers by name, if no name is repeated; `None` if that was not determined.
+    """
 
     __slots__ = (
         "method",
@@ -90,73 +117,87 @@
         "began",
         "tid",
         "head",
-        "told",
+        "headers_by_name",
     )
 
-    def __init__(self, connection: Way) -> None:
+    def __init__(self, connection: ResponseWriter) -> None:
         self.connection = connection
         self.method = self.target = self.body = b""
         self.headers: Headers = []
-        self.stream: Body | None = None  # a body that goes out as it comes in
-        self.complete = False  # its last byte has come
-        self.chunks = True  # whether the client can read chunks
+        self.stream: Body | None = None
+        self.complete = False
+        self.chunks = True
         self.keep_alive = True
-        self.came = 0.0  # when its last byte was read, by the loop's clock
-        self.began = 0.0  # when its first byte was read
-        self.tid = ""  # for the core: which call this became
-        self.head = b""  # as servers get it, but for what differs by attempt
-        self.told: dict[bytes, bytes] | None = None  # the headers by name, where none stands there twice
+        self.came = 0.0
+        self.began = 0.0
+        self.tid = ""
+        self.head = b""
+        self.headers_by_name: dict[bytes, bytes] | None = None
 
     def header(self, name: bytes) -> bytes | None:
-        """The first header of this lower-case name."""
+        """Return the value of the first header with this lower-case name."""
         for key, value in self.headers:
             if key == name:
                 return value
         return None
 
     def all(self, name: bytes) -> list[bytes]:
-        """All headers of this lower-case name."""
+        """Return the values of all headers with this lower-case name."""
         return [value for key, value in self.headers if key == name]
 
     def reply(self, status: int, body: bytes = b"", headers: Headers | None = None) -> None:
-        """Send an answer. A second one is ignored, as is one to a client that has left."""
+        """Send a response. Ignored if one was sent already or the client has disconnected."""
         self.connection.answer(self, status, body, headers or [])
 
     # --- the core's Front
 
     def left(self) -> bool:
-        """Look whether the client has left."""
-        return self.connection.look()
+        """Return whether the client has disconnected."""
+        return self.connection.check_disconnected()
 
     def answer(self, ending: Ending, reply: Reply | None = None, hold_off_ns: int = 0) -> None:
-        """Send the final answer. A second one is ignored, as is one to a client that has left."""
+        """Send the final response. Ignored if one was sent already or the client has disconnected.
+
+        Args:
+            ending: The outcome of the request, which determines the status unless there is a server's response.
+            reply: The server's response, if the request was served.
+            hold_off_ns: Nanoseconds for the `Retry-After` header; 0 for none.
+        """
         if reply is not None:
-            self.connection.answer(self, 200, reply.body, returned(reply))
+            self.connection.answer(self, 200, reply.body, forwarded_headers(reply))
         else:
             headers = [(b"Retry-After", b"%.3f" % (hold_off_ns / 1e9))] if hold_off_ns > 0 else []
-            self.reply(STATUS[ending], WORDS.get(ending, b""), headers)
+            self.reply(STATUS[ending], ENDING_BODIES.get(ending, b""), headers)
 
     def begin(self, reply: Reply, length: int | None, source: Source) -> bool:
-        """Begin an answer that is passed on as it comes; whether there is a client for it."""
-        return self.connection.begin_answer(self, 200, returned(reply), length, source)
+        """Start a streamed response; return whether the client can still receive it."""
+        return self.connection.begin_response(self, 200, forwarded_headers(reply), length, source)
 
     def pass_on(self, data: bytes) -> None:
-        """Some more of it."""
+        """Send a part of a streamed response."""
         self.connection.pass_on(self, data)
 
     def end(self, whole: bool) -> None:
-        """No more of it; if it is not whole, the client gets to see that."""
-        self.connection.end_answer(self, whole)
+        """End a streamed response; if it is incomplete, so that the client detects it."""
+        self.connection.end_response(self, whole)
 
 
-def returned(reply: Reply) -> Headers:
-    """A server's headers, but for those that speak of its connection or of itself."""
-    return [pair for pair in reply.headers if pair[0] not in NOT_RETURNED]
+def forwarded_headers(reply: Reply) -> Headers:
+    """Return the headers of a server's response that are forwarded: not those about its connection or itself."""
+    return [pair for pair in reply.headers if pair[0] not in NOT_FORWARDED_HEADERS]
 
 
 def head(status: int, length: int | None, headers: Headers, keep_alive: bool, chunked: bool = False) -> bytes:
-    """The head of an answer."""
-    lines = [FIRST_LINES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status]
+    """Encode the head of a response.
+
+    Args:
+        status: Status code.
+        length: Length of the body; `None` if it is unknown.
+        headers: Further headers.
+        keep_alive: Whether the connection stays open.
+        chunked: Whether the body is sent in chunks.
+    """
+    lines = [STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status]
     if chunked:
         lines.append(b"Transfer-Encoding: chunked\r\n")
     elif length is not None:
--- a/rosechute/proxy/http1/pool.py
+++ b/rosechute/proxy/http1/pool.py
@@ -1,10 +1,11 @@
-"""How many connections one sidecar keeps to one server: in step with its calls, and never more than it must. Pure.
-
-A call keeps its connection for as long as the server takes, and for the time after the answer in which nothing else
-may use it. By Little's law their rate times that is how many are not free in the mean; by Erlang's loss formula, how
-often a call finds none that is free among so many. One more is opened ahead where that would spare calls a wait often
-enough to be worth a connection at the server: thin traffic opens none, and neither does a burst, as the rate is a
-mean over seconds. What is no longer needed ages, as the connection used last is taken first.
+"""Number of connections that one sidecar keeps to one server. Pure: no I/O, no clock.
+
+A call occupies its connection while the server handles it, and for a quiet time after the response. By Little's law,
+the rate of calls times this duration is the mean number of occupied connections. Erlang's loss formula (Erlang B)
+then gives the share of calls that find none of `n` connections free. One more connection is opened ahead of calls if
+it would save enough of them from waiting to be worth a connection at the server. Low traffic opens none, and neither
+does a burst, because the rate is a mean over seconds. Connections that are no longer needed become idle and are
+closed, as the most recently used one is taken first.
 """
 
 from __future__ import annotations
@@ -13,82 +14,105 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-MEMORY_S = 1.0  # over how long the rate of calls is a mean
-LEAST_S = 0.5  # and at least, where there has been less: a burst at the start is no rate
-BUSY_GAIN = 1.0 / 16.0  # weight of one call's time against what was known
-FEW = 3.0
-LAPSE = 4.0  # after so many times that without a call the mean begins anew
-PAUSE_S = 4.0  # for how long none is opened ahead after one that failed: its table may be full
+RATE_TIME_CONSTANT_S = 1.0  # time constant of the exponential mean of the call rate
+MIN_RATE_PERIOD_S = 0.5  # shortest period over which the rate is computed: a burst at the start is no rate
+BUSY_GAIN = 1.0 / 16.0  # weight of one call's duration in its moving average
+NEGLIGIBLE_CALLS = 3.0  # weighted number of recent calls up to which the rate counts as 0
+LAPSE_FACTOR = 4.0  # the mean starts afresh after this multiple of RATE_TIME_CONSTANT_S without a call
+FAILURE_PAUSE_S = 4.0  # no connection is opened ahead for this time after one failed: the server may be at its limit
 
 
-class Terms(NamedTuple):
-    """When one connection more is worth it."""
+class PreconnectTerms(NamedTuple):
+    """Conditions for opening a connection ahead of calls."""
 
-    most: int  # connections to one server that are opened ahead; those that calls can't do without are not bounded
-    first_s: float  # waits a second that the first one ahead must spare: most servers are called seldom
-    waits_s: float  # and each further one
-    share: float  # share of the calls that would wait without it
+    max_ahead: int  # connections to one server up to which some are opened ahead; calls that need one may exceed this
+    first_saves_per_s: float  # waits per second that the first one must save; most servers are called rarely
+    further_saves_per_s: float  # waits per second that each further one must save
+    waiting_share: float  # share of calls that must otherwise wait
 
     @classmethod
-    def of(cls, prices: Mapping[str, float]) -> Terms:
-        """By the deployment's prices: where connections or handshakes cost, a wait of milliseconds is the cheaper."""
+    def of(cls, prices: Mapping[str, float]) -> PreconnectTerms:
+        """Return the conditions for a deployment's prices.
+
+        Where connections or handshakes have a price, a wait of milliseconds is cheaper than a connection.
+        """
         if prices.get("connection", 0.0) > 0.0 or prices.get("handshake", 0.0) > 0.0:
             return cls(8, 2.0, 2.0, 0.2)
         return cls(32, 0.2, 0.01, 0.0001)
 
 
 class Demand:
-    """What one process of a server is asked of late, and how many connections that needs."""
+    """Recent calls to one process of a server, and the number of connections that they need."""
 
-    __slots__ = ("_sum", "_at", "_begun", "_busy_s", "_shut_until")
+    __slots__ = ("_decayed_calls", "_last_at", "_first_at", "_mean_duration_s", "_blocked_until")
 
     def __init__(self) -> None:
-        self._sum = 0.0  # calls, each counting for less as it gets old, as of `_at`
-        self._at = -math.inf
-        self._begun = 0.0  # when calls began to come
-        self._busy_s = 0.0  # how long a call keeps its connection until the answer, in the mean
-        self._shut_until = 0.0
-
-    def called(self, now: float) -> None:
-        """A call takes a connection, at `now` seconds."""
-        gap = now - self._at
-        if gap > LAPSE * MEMORY_S:
-            self._sum, self._begun = 0.0, now
+        self._decayed_calls = 0.0  # number of calls, weighted by an exponential decay, at `_last_at`
+        self._last_at = -math.inf  # time of the last call
+        self._first_at = 0.0  # time of the first call since the last lapse
+        self._mean_duration_s = 0.0  # moving average of the time from a request to its response
+        self._blocked_until = 0.0  # no connection is opened ahead before this time
+
+    def record_call(self, now: float) -> None:
+        """Record that a call takes a connection, at `now` in seconds."""
+        gap = now - self._last_at
+        if gap > LAPSE_FACTOR * RATE_TIME_CONSTANT_S:
+            self._decayed_calls, self._first_at = 0.0, now
         elif gap > 0.0:
-            self._sum *= math.exp(-gap / MEMORY_S)
-        self._sum += 1.0
-        self._at = now
+            self._decayed_calls *= math.exp(-gap / RATE_TIME_CONSTANT_S)
+        self._decayed_calls += 1.0
+        self._last_at = now
 
-    def answered(self, busy_s: float) -> None:
-        """A call has kept its connection for so long."""
-        self._busy_s += (busy_s - self._busy_s) * BUSY_GAIN
+    def record_duration(self, duration_s: float) -> None:
+        """Record how long a call occupied its connection until the response."""
+        self._mean_duration_s += (duration_s - self._mean_duration_s) * BUSY_GAIN
 
-    def failed(self, now: float) -> None:
-        """A new connection did not come up, or ended or was turned away before its first answer: the server may
-        hold as many as it may."""
-        self._shut_until = now + PAUSE_S
+    def record_failure(self, now: float) -> None:
+        """Record that a new connection failed.
+
+        It could not be opened, or was closed or rejected before its first response: the server may be at its
+        connection limit.
+        """
+        self._blocked_until = now + FAILURE_PAUSE_S
 
     def rate(self, now: float) -> float:
-        """Calls a second; 0 for a few, as two or three in a row are no rate."""
-        late = self._sum * math.exp(min(0.0, self._at - now) / MEMORY_S) if self._sum else 0.0
-        if late <= FEW:
+        """Return the rate in calls per second; 0 for few calls, as two or three in a row are no rate."""
+        calls = (
+            self._decayed_calls * math.exp(min(0.0, self._last_at - now) / RATE_TIME_CONSTANT_S)
+            if self._decayed_calls
+            else 0.0
+        )
+        if calls <= NEGLIGIBLE_CALLS:
             return 0.0
-        return late / (MEMORY_S * (1.0 - math.exp(-max(now - self._begun, LEAST_S) / MEMORY_S)))
-
-    def wanted(self, now: float, rest_s: float, terms: Terms) -> int:
-        """Connections that this rate of calls is worth, where each is left alone for `rest_s` after an answer;
-        at least 1, and `terms.most` at most."""
+        return calls / (
+            RATE_TIME_CONSTANT_S
+            * (1.0 - math.exp(-max(now - self._first_at, MIN_RATE_PERIOD_S) / RATE_TIME_CONSTANT_S))
+        )
+
+    def wanted_connections(self, now: float, quiet_s: float, terms: PreconnectTerms) -> int:
+        """Return the number of connections that the rate of calls justifies, from 1 to `terms.max_ahead`.
+
+        Args:
+            now: Current time in seconds.
+            quiet_s: Quiet time of a connection after a response, in seconds.
+            terms: Conditions for opening a connection ahead.
+        """
         rate = self.rate(now)
-        load = rate * (self._busy_s + rest_s)
-        lost, count = 1.0, 0  # part of the calls that find none free among `count`
-        while count < terms.most:
-            spares = terms.first_s if count == 1 else terms.waits_s
-            if count and (lost * rate <= spares or lost <= terms.share):
+        load = rate * (self._mean_duration_s + quiet_s)
+        blocked_share, count = 1.0, 0  # share of calls that find none of `count` connections free
+        while count < terms.max_ahead:
+            needed_saves = terms.first_saves_per_s if count == 1 else terms.further_saves_per_s
+            if count and (blocked_share * rate <= needed_saves or blocked_share <= terms.waiting_share):
                 break
             count += 1
-            lost = load * lost / (count + load * lost)
+            blocked_share = load * blocked_share / (count + load * blocked_share)
         return max(1, count)
 
-    def opens(self, now: float, up: bool, held: int, rest_s: float, terms: Terms) -> bool:
-        """Whether one more is opened ahead, with `held` that are open or coming up."""
-        return up and now >= self._shut_until and held < terms.most and held < self.wanted(now, rest_s, terms)
+    def should_open(self, now: float, up: bool, open_count: int, quiet_s: float, terms: PreconnectTerms) -> bool:
+        """Return whether to open one more connection ahead, given `open_count` that are open or being opened."""
+        return (
+            up
+            and now >= self._blocked_until
+            and open_count < terms.max_ahead
+            and open_count < self.wanted_connections(now, quiet_s, terms)
+        )
--- a/rosechute/routing/__init__.py
+++ b/rosechute/routing/__init__.py
@@ -1,5 +1,4 @@
-"""Decisions of an edge on requests: which server, how long they wait, and whether the quota allows them.
+"""Routing and quota decisions of an edge, without I/O: callers pass the time and carry out the decisions.
 
-Pure. Routing: pools, picks, prefixes, waiting requests and retry budgets (`router`). Quotas: `token_cache` and the
-modules that it imports.
+`router` selects servers, queues requests and limits retries. `token_cache` applies the quotas of tenants.
 """
--- a/rosechute/routing/counts.py
+++ b/rosechute/routing/counts.py
@@ -1,4 +1,4 @@
-"""Counters of one component, by event and kind, since the start of the process. Metrics read them."""
+"""Counters of one component by event and kind, from the start of the process. They are the source of metrics."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Counts:
-    """Counters by event and kind."""
+    """A set of counters, addressed by event and kind."""
 
     def __init__(self) -> None:
         self._sums: defaultdict[str, defaultdict[str, float]] = defaultdict(lambda: defaultdict(float))
--- a/rosechute/routing/draw_set.py
+++ b/rosechute/routing/draw_set.py
@@ -1,4 +1,4 @@
-"""A set from which a random member is drawn in constant time."""
+"""Set with random selection of a member in constant time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DrawSet(Generic[Member]):
-    """Members in a list, and the index of each. The last member takes the index of a removed one."""
+    """A list of members and the index of each; on removal, the last member moves to the free index."""
 
     __slots__ = ("_members", "_indices")
 
@@ -26,21 +26,21 @@
     def __iter__(self) -> Iterator[Member]:
         return iter(self._members)
 
-    def set(self, member: Member, inside: bool) -> None:
-        """Add or remove a member."""
-        if inside:
+    def set(self, member: Member, is_member: bool) -> None:
+        """Add a member if `is_member` is true, else remove it."""
+        if is_member:
             self.add(member)
         else:
             self.discard(member)
 
     def add(self, member: Member) -> None:
-        """Add a member, if it is missing."""
+        """Add a member; do nothing if it is present."""
         if member not in self._indices:
             self._indices[member] = len(self._members)
             self._members.append(member)
 
     def discard(self, member: Member) -> None:
-        """Remove a member, if it is there."""
+        """Remove a member; do nothing if it is absent."""
         index = self._indices.pop(member, None)
         if index is None:
             return
@@ -52,7 +52,10 @@
     def draw(self, draw: Callable[[], float]) -> Member:
         """Return a random member.
 
+        Args:
+            draw: Source of random numbers in [0, 1).
+
         Raises:
-            IndexError: the set is empty.
+            IndexError: The set is empty.
         """
         return self._members[int(draw() * len(self._members))]
--- a/rosechute/routing/leader_requests.py
+++ b/rosechute/routing/leader_requests.py
@@ -1,6 +1,6 @@
-"""What an edge has sent to the leader and waits for: token requests in flight, and the schedule of lease reports.
+"""Requests of an edge to the leader: token requests in flight, and the schedule of lease reports.
 
-Pure: callers give the time, number the messages and send them.
+Does no I/O: callers pass the time, number the messages and send them.
 """
 
 from __future__ import annotations
@@ -18,61 +18,60 @@
 
 
 class TokenRequestsInFlight:
-    """Token requests without an answer, by number, and the round trip time that they measure."""
+    """Unanswered token requests by number, and the round-trip time that is measured from their answers."""
 
     def __init__(self) -> None:
         self.round_trip_s = 0.0  # moving average
         self._sent_at: dict[int, float] = {}
 
     def on_sent(self, now: float, request: int) -> None:
-        """Record a request that is sent now."""
+        """Record that a request is sent now."""
         self._sent_at[request] = now
 
     def on_answer(self, now: float, request: int) -> float | None:
-        """Return when the answered request was sent; None where it is not in flight: an answer counts once."""
+        """Return when the answered request was sent; None for an unknown request or a second answer."""
         sent_at = self._sent_at.pop(request, None)
         if sent_at is not None:
             self.round_trip_s += ROUND_TRIP_WEIGHT * (now - sent_at - self.round_trip_s)
         return sent_at
 
     def forget_expired(self, now: float) -> None:
-        """Forget requests whose answers are lost."""
+        """Drop requests whose answers are presumed lost."""
         expired = [request for request, sent_at in self._sent_at.items() if now - sent_at > REQUEST_EXPIRY_S]
         for request in expired:
             del self._sent_at[request]
 
     def timeout_s(self, minimum_s: float) -> float:
-        """Return how long to wait for an answer: the minimum, or longer over a slow link."""
+        """Return how long to wait for an answer in seconds: `minimum_s`, or longer over a slow link."""
         return min(max(minimum_s, ROUND_TRIPS_WAITED * self.round_trip_s), MAX_SLOW_LINK_WAIT_S)
 
 
 class LeaseReportSchedule:
-    """When to report leases to the leader, and which answer counts: the one to the newest report only.
+    """Schedule of the lease reports to the leader. Only the answer to the newest report is accepted.
 
-    A new leader may wait for a report of every edge, so the first report to it is due even if there is nothing to
-    tell.
+    A new leader may wait for a report of every edge, so the first report to it is sent even if it is empty.
     """
 
     def __init__(self) -> None:
-        self.term = 0  # of the leader that answered last, or that is followed since
-        self.is_known_to_leader = True  # the leader of this term has answered a report
+        self.term = 0  # of the leader that answered last, or of a newer leader
+        self.is_known_to_leader = True  # whether the leader of this term has answered a report
         self.newest_request = 0  # number of the report in flight; 0 for none
         self.sent_at = -math.inf
         self.due_at = -math.inf
 
     def on_leader_known(self, now: float, term: int) -> None:
-        """Make a report due where the term is a new one."""
+        """Make a report due at once if the term is newer than the known one."""
         if term > self.term:
             self.term = term
             self.is_known_to_leader = False
             self.due_at = now
 
     def on_sent(self, now: float, request: int) -> None:
-        """Record a report that is sent now."""
+        """Record that a report is sent now."""
         self.newest_request, self.sent_at, self.due_at = request, now, now + REPORT_TIMEOUT_S
 
     def on_answer(self, now: float, request: int, term: int) -> bool:
-        """Return whether an answer counts. One of another term than the report's makes a report due at once."""
+        """Return whether to accept an answer. An answer of another term makes a new report due at once."""
         if request != self.newest_request:
             return False
         self.newest_request = 0
--- a/rosechute/routing/lease_exchange.py
+++ b/rosechute/routing/lease_exchange.py
@@ -1,7 +1,8 @@
-"""What an edge and the leader exchange about a rate lease: the edge's report, the leader's grant.
+"""Messages about rate leases: the report of an edge and the grant of the leader.
 
-Rates are tokens a second, depths and levels tokens, times seconds. On the wire times are whole milliseconds, rounded
-so that neither side relies on more than the other: what an edge still holds up, everything that is granted down.
+Rates are in tokens per second, depths and levels in tokens, times in seconds. On the wire, times are whole
+milliseconds, rounded so that neither side assumes a longer lease than the other: reported remaining times are rounded
+up, granted times down.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReport:
-    """What an edge holds for a tenant as it sends this, and what its requests demand.
+    """The lease of a tenant at an edge when the report is sent, and the demand of its requests.
 
     Args:
         tenant: Name of the tenant.
-        rate: Full rate of the lease; 0 where none is held.
+        rate: Full rate of the lease; 0 without a lease.
         depth: Depth of the lease's token bucket.
-        remaining_s: Until the lease expires.
+        remaining_s: Time until the lease expires.
         level: Tokens in the bucket.
-        demand: Tokens a second of all requests, rejected ones too.
-        mean_request_tokens: Mean request size.
-        no_lease_s: For this time nothing is leased to any edge, as a leader promised.
+        demand: Tokens per second of all requests, including rejected ones.
+        mean_request_tokens: Mean request size in tokens.
+        no_lease_s: Time for which a leader has promised to grant no lease to any edge.
     """
 
     tenant: str
@@ -39,7 +40,7 @@
     no_lease_s: float = 0.0
 
     def to_message(self) -> pb.RateLease:
-        """Return the message that carries this report."""
+        """Return this report as a protobuf message."""
         return pb.RateLease(
             tenant=self.tenant,
             rate=self.rate,
@@ -53,7 +54,7 @@
 
     @staticmethod
     def from_message(message: pb.RateLease) -> LeaseReport:
-        """Return the report that a message carries."""
+        """Return the report in a protobuf message."""
         return LeaseReport(
             message.tenant,
             rate=message.rate,
@@ -68,18 +69,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The leader's answer for one tenant: what the edge holds from now on. Times count from when the report was sent.
+    """The lease that the leader grants for one tenant. Times count from when the report was sent.
 
     Args:
         tenant: Name of the tenant.
         rate: Full rate of the lease; 0 for none.
         depth: Depth of the lease's token bucket.
-        full_rate_s: The full rate holds for this time.
-        late_rate_share: Share of the rate that holds from then on.
-        lifetime_s: Until the lease expires.
-        deposit: Tokens that go from the leader's bucket to the lease's.
-        deposit_lifetime_s: A deposit that arrives later than this is void.
-        no_lease_s: For this time nothing is leased to any edge.
+        full_rate_s: Time for which the full rate applies.
+        late_rate_share: Share of the rate that applies after that time.
+        lifetime_s: Time until the lease expires.
+        deposit: Tokens that are moved from the leader's bucket to that of the lease.
+        deposit_lifetime_s: Time after which a deposit that arrives is ignored.
+        no_lease_s: Time for which the leader grants no lease to any edge.
     """
 
     tenant: str
@@ -93,7 +94,7 @@
     no_lease_s: float = 0.0
 
     def to_message(self) -> pb.RateLease:
-        """Return the message that carries this grant."""
+        """Return this grant as a protobuf message."""
         return pb.RateLease(
             tenant=self.tenant,
             rate=self.rate,
@@ -108,7 +109,7 @@
 
     @staticmethod
     def from_message(message: pb.RateLease) -> LeaseGrant:
-        """Return the grant that a message carries."""
+        """Return the grant in a protobuf message."""
         return LeaseGrant(
             message.tenant,
             rate=message.rate,
@@ -123,5 +124,5 @@
 
 
 def to_milliseconds(seconds: float) -> int:
-    """Return whole milliseconds, rounded down."""
+    """Return a duration in whole milliseconds, rounded down."""
     return int(seconds * MS_PER_S)
--- a/rosechute/routing/pending_request.py
+++ b/rosechute/routing/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that the router has not finished with, and its attempt at a server."""
+"""State of an unfinished request, and of its current attempt at a server."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Attempt:
-    """A request at a server.
+    """An attempt of a request at a server.
 
     Attributes:
         server: The server.
-        sent_at: Steady time in seconds.
-        trial: Whether its success raises the server's concurrency limit.
+        sent_at: Steady time in seconds at which the request was sent.
+        trial: Whether a successful response raises the concurrency limit of the server.
         is_responding: Whether the head of a response has arrived.
-        tokens: Prompt tokens that the server has to prefill.
-        tokens_before: The same, together with those of earlier requests of this edge.
+        tokens: Prompt tokens that the server has to prefill for the request.
+        tokens_before: Those tokens plus the pending ones of earlier requests of this edge.
         target_s: Latency target of the request.
     """
 
@@ -35,15 +35,15 @@
     """A request that is queued or has an attempt at a server.
 
     Attributes:
-        request: As it was routed.
-        prefixes: Of its prompt; empty where the route is not sticky or the prompt shares nothing.
-        tried_servers: Servers that it was sent to.
+        request: The request.
+        prefixes: Prefixes of its prompt; empty if the route is not sticky or the prompt has no shared part.
+        tried_servers: Servers that the request was sent to.
         executed_attempts: Finished attempts that a server may have executed.
         received_attempts: Finished attempts that may have reached a server.
-        started_attempts: All attempts.
-        attempt: The current one; None while it is queued.
-        queue_deadline: Steady time in seconds at which it is rejected if it is still queued.
-        is_deadline_extended: Whether that time is final.
+        started_attempts: All attempts, including the current one.
+        attempt: The current attempt; None while the request is queued.
+        queue_deadline: Steady time in seconds at which the request is rejected if it is still queued.
+        is_deadline_extended: Whether `queue_deadline` is final.
     """
 
     __slots__ = (
--- a/rosechute/routing/pool.py
+++ b/rosechute/routing/pool.py
@@ -1,6 +1,6 @@
 """The servers of one service, in the sets that server selection draws from.
 
-Every change of a server ends with `refresh`, so that the sets are right without a search.
+Every change of a server must be followed by `refresh`, which keeps the sets consistent without a scan.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from rosechute.routing.tuning import RouterTuning
 
 MIN_RETRY_AFTER_S = 0.05
-RETRY_AFTER_JITTER = 0.5  # relative, so that clients do not return together
+RETRY_AFTER_JITTER = 0.5  # relative jitter, so that clients do not retry at the same time
 
 
 class BackoffEnd(NamedTuple):
-    """The end of a server's backoff: steady time in seconds, and a number that orders equal times."""
+    """End of the backoff of a server, in steady seconds; `number` orders equal times."""
 
     at: float
     number: int
@@ -33,20 +33,20 @@
     """Servers of one service.
 
     Args:
-        draw: Random numbers from 0 up to 1.
+        draw: Source of random numbers in [0, 1).
         tuning: Constants of the router.
 
     Attributes:
-        servers: By id.
-        connection_share: Connections to each server that this edge may hold.
-        edges: Live edges.
+        servers: The servers by id.
+        connection_share: Connections that this edge may open to each server.
+        edges: The number of live edges.
         has_limits: Whether the connection limit of the service is known.
         with_capacity: Servers below their concurrency limit.
-        accepting_trials: Servers at a full concurrency limit that may be sent a trial now.
-        recovering: Servers with a concurrency limit of 0 that may be sent a trial now.
+        accepting_trials: Servers at a concurrency limit above 0 that accept a trial now.
+        recovering: Servers with a concurrency limit of 0 that accept a trial now.
         rendezvous: All servers that take new requests.
         available_count: The number of servers that take new requests.
-        active_count: The number of those with a concurrency limit above 0.
+        active_count: The number of these with a concurrency limit above 0.
     """
 
     def __init__(self, draw: Callable[[], float], tuning: RouterTuning) -> None:
@@ -65,7 +65,7 @@
         self.active_count = 0
 
     def apply(self, now: float, entries: Sequence[ServerEntry]) -> list[RoutingAction]:
-        """Take over the complete endpoint list of the service."""
+        """Replace the endpoint list of the service, and return the actions that follow."""
         actions: list[RoutingAction] = []
         listed = {entry.id for entry in entries}
         for server in [server for server in self.servers.values() if server.id not in listed]:
@@ -81,7 +81,7 @@
             if known.entry == entry:
                 continue
             was_ready = known.ready
-            known.adopt(entry)
+            known.update_entry(entry)
             self.refresh(now, known)
             if was_ready and not known.ready:
                 actions.append(CloseIdle(known.id))
@@ -90,12 +90,12 @@
 
     def _add(self, now: float, entry: ServerEntry) -> None:
         server = Server(entry, self._tuning, self._draw, xxhash.xxh64_intdigest(entry.id.encode()))
-        server.start(self.connection_share, self.edges, self._tuning)
+        server.set_initial_limit(self.connection_share, self.edges, self._tuning)
         self.servers[server.id] = server
         self.refresh(now, server)
 
     def set_limits(self, now: float, max_connections: int, edges: int) -> None:
-        """Take over the connection limit of the service, and the number of live edges that share it."""
+        """Set the connection limit of the service, and the number of live edges that share it."""
         edges = max(1, edges)
         share = max(1, max_connections // edges)
         if self.has_limits and (share, edges) == (self.connection_share, self.edges):
@@ -104,7 +104,7 @@
         self.connection_share, self.edges, self.has_limits = share, edges, True
         for server in self.servers.values():
             if is_first and not server.in_flight:
-                server.start(share, edges, self._tuning)
+                server.set_initial_limit(share, edges, self._tuning)
             elif not server.set_limits(share, edges):
                 continue
             self.refresh(now, server)
@@ -118,13 +118,13 @@
 
     @property
     def has_open_server(self) -> bool:
-        """Whether any server may be sent a request."""
+        """Whether any server accepts a request now."""
         return bool(self.with_capacity or self.accepting_trials or self.recovering)
 
-    # --- the sets
+    # --- sets and backoffs
 
     def refresh(self, now: float, server: Server) -> None:
-        """Put a server into the sets that it belongs to after a change."""
+        """Update the sets after a change of a server, and schedule the end of its backoff."""
         accepts_trial = server.accepts_trial(now)
         self.rendezvous.set(server, server.is_available)
         self.with_capacity.set(server, server.has_capacity())
@@ -136,7 +136,7 @@
             heapq.heappush(self._backoff_ends, BackoffEnd(server.retry_at, self._backoff_count, server))
 
     def on_limit_changed(self, now: float, server: Server, limit_before: int) -> None:
-        """Count a server whose concurrency limit may have changed, and refresh it."""
+        """Update `active_count` after a possible change of a concurrency limit, and refresh the server."""
         if server.is_available:
             self.active_count += (server.concurrency_limit > 0) - (limit_before > 0)
         self.refresh(now, server)
@@ -147,18 +147,18 @@
             self.refresh(now, heapq.heappop(self._backoff_ends).server)
 
     def next_backoff_end(self) -> float | None:
-        """Return when the next backoff ends; None where none runs."""
+        """Return the steady time at which the next backoff ends, or None."""
         while self._backoff_ends and not self._is_current(self._backoff_ends[0]):
             heapq.heappop(self._backoff_ends)
         return self._backoff_ends[0].at if self._backoff_ends else None
 
     @staticmethod
     def _is_current(end: BackoffEnd) -> bool:
-        """Return whether a server still backs off up to this time."""
+        """Return whether the server still has this backoff, and not a later one or none."""
         return end.server.is_available and end.at == end.server.retry_at
 
     def retry_after_s(self, now: float) -> float:
-        """Return the `Retry-After` in seconds for clients while every concurrency limit is 0."""
+        """Return the `Retry-After` for clients while every concurrency limit is 0, in seconds."""
         end = self.next_backoff_end()
-        left_s = end - now if end is not None else 0.0
-        return max(MIN_RETRY_AFTER_S, left_s) * (1.0 + RETRY_AFTER_JITTER * self._draw())
+        remaining_s = end - now if end is not None else 0.0
+        return max(MIN_RETRY_AFTER_S, remaining_s) * (1.0 + RETRY_AFTER_JITTER * self._draw())
--- a/rosechute/routing/prefixes.py
+++ b/rosechute/routing/prefixes.py
@@ -1,7 +1,7 @@
-"""An estimate of the prefix caches of servers, in bounded memory.
+"""Estimate of the contents of the prefix caches of servers, in bounded memory.
 
-A prefix is the model and the parts of a prompt from the first up to one of them, in order. Servers do not report what
-they cache. It is inferred from what was sent to them, and becomes less likely with time, as other prompts evict it.
+A prefix consists of the model and the first parts of a prompt, in order. Servers do not report what they cache. The
+table infers it from the prompts that were sent to them; the probability falls with time, as other prompts evict it.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from rosechute.routing.model import PromptPart
 from rosechute.routing.server import Server
 
-MAX_SERVERS_PER_PREFIX = 8  # the least recently used one is replaced
-CACHE_DECAY_S = 20.0  # the chance that an unused prefix is still cached falls to 1/e in this time
-EXPIRY_CHECKS_PER_INSERT = 2  # of the oldest entries, with each new one
+MAX_SERVERS_PER_PREFIX = 8  # beyond this, the least recently used server is replaced
+CACHE_DECAY_S = 20.0  # time constant of the probability that an unused prefix is still cached
+EXPIRY_CHECKS_PER_INSERT = 2  # oldest entries that are checked for expiry with each new entry
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,8 +26,8 @@
     """One prefix of a prompt.
 
     Attributes:
-        key: Hash of service, model and parts.
-        tokens: Of all its parts.
+        key: Hash of the service, the model and the parts.
+        tokens: Sum of the tokens of its parts.
     """
 
     key: int
@@ -35,7 +35,7 @@
 
 
 def prefixes_of(service: str, model: str, parts: Sequence[PromptPart]) -> tuple[Prefix, ...]:
-    """Return all prefixes of a prompt, the shortest first. The last one is the whole prompt."""
+    """Return all prefixes of a prompt, shortest first. The last one is the complete prompt."""
     key = xxhash.xxh64_intdigest(f"{service}\0{model}".encode())
     tokens = 0
     prefixes = []
@@ -47,7 +47,7 @@
 
 
 class PrefixServers:
-    """The servers that were sent one prefix, and when each was last."""
+    """The servers that one prefix was sent to, and when it was last sent to each."""
 
     __slots__ = ("servers", "times")
 
@@ -67,18 +67,18 @@
             self.servers[index], self.times[index] = server, now
 
     def remove(self, server: Server) -> None:
-        """Remove a server that does not have the prefix."""
+        """Remove a server that no longer caches the prefix."""
         if server in self.servers:
             index = self.servers.index(server)
             del self.servers[index], self.times[index]
 
     def remove_unlisted(self) -> None:
-        """Remove servers that have left the endpoint list."""
+        """Remove the servers that have left the endpoint list."""
         for server in [server for server in self.servers if not server.listed]:
             self.remove(server)
 
     def cached_chance(self, now: float, server: Server) -> float:
-        """Return the chance that a server still caches the prefix."""
+        """Return the probability that a server still caches the prefix."""
         if server not in self.servers:
             return 0.0
         return math.exp((self.times[self.servers.index(server)] - now) / CACHE_DECAY_S)
@@ -88,8 +88,8 @@
     """Servers by prefix, with LRU eviction and expiry.
 
     Args:
-        max_entries: Prefixes that are kept.
-        idle_s: After which an unused one expires.
+        max_entries: The maximum number of prefixes.
+        idle_s: Time in seconds after which an unused prefix expires.
     """
 
     def __init__(self, max_entries: int, idle_s: float) -> None:
@@ -100,7 +100,7 @@
         return len(self._servers)
 
     def get(self, key: int) -> PrefixServers | None:
-        """Return the servers of a prefix; None where it is not known."""
+        """Return the servers of a prefix, or None if it is unknown."""
         return self._servers.get(key)
 
     def record(self, now: float, key: int, server: Server) -> None:
@@ -126,36 +126,36 @@
 class PrefixTable:
     """The prompts that this edge has sent to each server.
 
-    Whole prompts are kept apart: few of them are sent again, and they must not evict shared prefixes.
+    Complete prompts are stored separately: few of them are sent again, and they must not evict shared prefixes.
 
     Args:
-        max_shared: Shared prefixes that are kept.
-        max_whole: Whole prompts that are kept.
-        idle_s: After which an unused entry expires.
+        max_shared: The maximum number of shared prefixes.
+        max_prompts: The maximum number of complete prompts.
+        idle_s: Time in seconds after which an unused entry expires.
     """
 
-    def __init__(self, max_shared: int, max_whole: int, idle_s: float) -> None:
+    def __init__(self, max_shared: int, max_prompts: int, idle_s: float) -> None:
         self._shared = RecentPrefixes(max_shared, idle_s)
-        self._whole = RecentPrefixes(max_whole, idle_s)
+        self._prompts = RecentPrefixes(max_prompts, idle_s)
 
     def __len__(self) -> int:
-        return len(self._shared) + len(self._whole)
+        return len(self._shared) + len(self._prompts)
 
     def record(self, now: float, prefixes: Sequence[Prefix], server: Server) -> None:
         """Record that a prompt was sent to a server."""
         for prefix in prefixes[:-1]:
             self._shared.record(now, prefix.key, server)
-        self._whole.record(now, prefixes[-1].key, server)
+        self._prompts.record(now, prefixes[-1].key, server)
 
     def remove(self, prefixes: Sequence[Prefix], server: Server) -> None:
-        """Remove a prompt that a server did not execute."""
-        for servers in self._levels(prefixes):
+        """Remove a server from the entries of a prompt, as its cache is lost or the prompt did not reach it."""
+        for servers in self._lookup(prefixes):
             if servers is not None:
                 servers.remove(server)
 
     def servers_with(self, prefixes: Sequence[Prefix]) -> Sequence[Server]:
-        """Return the servers that were sent the whole prompt, or else all its shared parts."""
-        for servers in (self._whole.get(prefixes[-1].key), self._shared.get(prefixes[-2].key)):
+        """Return the servers that the complete prompt was sent to, or else those of all its shared parts."""
+        for servers in (self._prompts.get(prefixes[-1].key), self._shared.get(prefixes[-2].key)):
             if servers is not None:
                 servers.remove_unlisted()
                 if servers.servers:
@@ -163,9 +163,9 @@
         return ()
 
     def expected_cached_tokens(self, now: float, prefixes: Sequence[Prefix], server: Server) -> float:
-        """Return how many tokens of a prompt a server is expected to have cached."""
+        """Return the expected number of tokens of a prompt that a server has cached."""
         cached, tokens_before = 0.0, 0
-        for prefix, servers in zip(prefixes, self._levels(prefixes), strict=True):
+        for prefix, servers in zip(prefixes, self._lookup(prefixes), strict=True):
             chance = servers.cached_chance(now, server) if servers is not None else 0.0
             if not chance:
                 break
@@ -173,6 +173,6 @@
             tokens_before = prefix.tokens
         return cached
 
-    def _levels(self, prefixes: Sequence[Prefix]) -> list[PrefixServers | None]:
-        levels = [self._shared.get(prefix.key) for prefix in prefixes[:-1]]
-        return [*levels, self._whole.get(prefixes[-1].key)]
+    def _lookup(self, prefixes: Sequence[Prefix]) -> list[PrefixServers | None]:
+        entries = [self._shared.get(prefix.key) for prefix in prefixes[:-1]]
+        return [*entries, self._prompts.get(prefixes[-1].key)]
--- a/rosechute/routing/rate_lease.py
+++ b/rosechute/routing/rate_lease.py
@@ -1,9 +1,9 @@
-"""The edge's side of a rate lease: a token bucket that fills at the leased rate for as long as the lease holds.
+"""Rate lease at an edge: a token bucket that fills at the leased rate until the lease expires.
 
-Pure. The bucket ends with its lease. Time while the process is suspended counts like any other: up to the bucket's
-depth, and not beyond the end of the lease.
+Does no I/O: callers pass the time. The bucket is emptied when the lease expires. Tokens also accrue for time during
+which the process was suspended, up to the depth of the bucket and the end of the lease.
 
-Source: RFC 2215, 3.1 (token bucket); Gray and Cheriton, "Leases", SOSP 1989.
+References: RFC 2215, 3.1 (token bucket); Gray and Cheriton, "Leases", SOSP 1989.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 @dataclass(slots=True)
 class RateLease:
-    """The lease of one tenant at this edge; of rate 0 where none is held. Times are steady, in seconds."""
+    """The lease of one tenant at this edge; its rate is 0 without a lease. Times are seconds of the steady clock."""
 
-    rate: float = 0.0  # tokens a second, until `full_rate_until`
-    late_rate: float = 0.0  # tokens a second, from then on
+    rate: float = 0.0  # tokens per second until `full_rate_until`
+    late_rate: float = 0.0  # tokens per second from then on
     full_rate_until: float = -math.inf
     expires_at: float = -math.inf
-    depth: float = 0.0  # tokens that the bucket holds at most
+    depth: float = 0.0  # capacity of the bucket in tokens
     level: float = 0.0  # tokens in the bucket
-    accrued_at: float = -math.inf  # as of which the level holds
-    no_lease_until: float = -math.inf  # the leader promised to lease nothing to any edge
+    accrued_at: float = -math.inf  # time up to which `level` includes the accrued tokens
+    no_lease_until: float = -math.inf  # end of the promise of a leader to grant no lease to any edge
 
     def advance(self, now: float) -> None:
-        """Fill the bucket, or end the lease."""
+        """Add the tokens accrued since the last call, or end an expired lease."""
         if now >= self.expires_at:
             self.rate = self.depth = self.level = 0.0
         elif now > self.accrued_at:
@@ -36,7 +36,7 @@
         self.accrued_at = max(self.accrued_at, now)
 
     def on_grant(self, now: float, sent_at: float, grant: LeaseGrant) -> None:
-        """Replace the lease by what the leader granted to the report that was sent at `sent_at`."""
+        """Replace the lease by the grant that answers the report sent at `sent_at`."""
         self.advance(now)
         self.rate, self.late_rate, self.depth = grant.rate, grant.late_rate_share * grant.rate, grant.depth
         self.full_rate_until, self.expires_at = sent_at + grant.full_rate_s, sent_at + grant.lifetime_s
@@ -46,16 +46,19 @@
         self.advance(now)
 
     def available(self, now: float) -> int:
-        """Return the whole tokens in the bucket."""
+        """Return the number of tokens in the bucket, rounded down."""
         self.advance(now)
         return int(self.level)
 
     def use(self, tokens: int) -> None:
-        """Use tokens of the bucket, which holds as many."""
+        """Take tokens out of the bucket, which must hold that many."""
         self.level -= tokens
 
     def covers_at(self, tokens: float) -> float:
-        """Return when the bucket will hold so many tokens, as of the last call; infinity for not under this lease."""
+        """Return when the bucket will hold `tokens`; infinity if this lease expires before.
+
+        The result is as of the last call of `advance`.
+        """
         since = self.accrued_at
         if tokens <= self.level:
             return since
@@ -69,13 +72,13 @@
         return covered_at if covered_at < self.expires_at else math.inf
 
     def report(self, now: float, tenant: str, demand: float, mean_request_tokens: float) -> LeaseReport:
-        """Return the report of what is held now.
+        """Return the report of the current lease.
 
         Args:
-            now: Steady time, in seconds.
+            now: Steady time in seconds.
             tenant: Name of the tenant.
-            demand: Tokens a second that requests demand.
-            mean_request_tokens: Mean request size.
+            demand: Tokens per second that requests demand.
+            mean_request_tokens: Mean request size in tokens.
         """
         self.advance(now)
         return LeaseReport(
@@ -90,6 +93,6 @@
         )
 
     def _accrued(self, since: float, until: float) -> float:
-        """Return the tokens that accrue in a span."""
+        """Return the tokens that accrue between two times."""
         full_rate_s = max(0.0, min(until, self.full_rate_until) - since)
         return self.rate * full_rate_s + self.late_rate * (until - since - full_rate_s)
--- a/rosechute/routing/rendezvous.py
+++ b/rosechute/routing/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing (Thaler & Ravishankar 1996): the order of servers for a key, the same at every edge.
+"""Rendezvous hashing (Thaler & Ravishankar 1996): an order of servers for each key that is the same at every edge.
 
-Up to `MAX_FULLY_RANKED` servers it is the order of rendezvous hashing among all. Above that, among a few servers that
-are found by the key on a ring, so that the cost does not grow with the number of servers. A server that comes or goes
-changes the order of few keys in both cases.
+Up to `MAX_FULLY_RANKED` servers, all are ranked for a key. Above that, only a few candidates are ranked, which are
+looked up by the key on a hash ring, so that the cost does not grow with the number of servers. In both cases, adding
+or removing a server changes the order for few keys.
 """
 
 from __future__ import annotations
@@ -14,52 +14,52 @@
 
 from rosechute.routing.server import Server
 
-MAX_FULLY_RANKED = 48  # servers, up to which all are ranked
-POINTS_PER_SERVER = 8  # of each server on the ring
-CANDIDATES_PER_KEY = 12  # points on the ring that are looked up
-REBUILD_RATIO = 8  # the ring is rebuilt where more than one in so many servers has changed
-MASK = (1 << 64) - 1
-ODD = 0x9E3779B97F4A7C15
-MULTIPLIER = 0xD6E8FEB86659FD93
+MAX_FULLY_RANKED = 48  # servers up to which all are ranked
+POINTS_PER_SERVER = 8  # points of each server on the ring
+CANDIDATES_PER_KEY = 12  # points on the ring that are looked up for a key
+REBUILD_RATIO = 8  # the ring is rebuilt if more than one in this many servers has changed
+MASK_64 = (1 << 64) - 1
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # odd integer nearest to 2**64 divided by the golden ratio
+MULTIPLIER = 0xD6E8FEB86659FD93  # odd constant of the bit mixer
 
 
-def mixed(key: int, seed: int) -> int:
-    """Return a 64-bit hash of two hashes."""
-    value = ((key ^ (seed * ODD)) * MULTIPLIER) & MASK
-    value = ((value ^ (value >> 32)) * MULTIPLIER) & MASK
+def mix_hashes(key: int, seed: int) -> int:
+    """Return a 64-bit hash of two 64-bit hashes."""
+    value = ((key ^ (seed * GOLDEN_RATIO_64)) * MULTIPLIER) & MASK_64
+    value = ((value ^ (value >> 32)) * MULTIPLIER) & MASK_64
     return value ^ (value >> 29)
 
 
 class Rendezvous:
-    """The servers of one service, ordered by key."""
+    """The servers of one service, with an order for each key."""
 
     def __init__(self) -> None:
         self._servers: dict[Server, None] = {}
-        self._pending: dict[Server, bool] = {}  # changes that the ring lacks: whether the server belongs to it
+        self._pending: dict[Server, bool] = {}  # changes to apply to the ring: True to add the server
         self._points = array("Q")
         self._owners: list[Server] = []
 
     def __len__(self) -> int:
         return len(self._servers)
 
-    def set(self, server: Server, inside: bool) -> None:
-        """Add or remove a server."""
-        if inside == (server in self._servers):
+    def set(self, server: Server, is_member: bool) -> None:
+        """Add a server if `is_member` is true, else remove it."""
+        if is_member == (server in self._servers):
             return
-        if inside:
+        if is_member:
             self._servers[server] = None
         else:
             del self._servers[server]
-        if self._pending.pop(server, inside) == inside:
-            self._pending[server] = inside
+        if self._pending.pop(server, is_member) == is_member:
+            self._pending[server] = is_member
 
     def first_two(self, key: int) -> list[Server]:
-        """Return the first two servers for a key; fewer where there are fewer."""
+        """Return the first two servers for a key, or fewer if the service has fewer."""
         best: Server | None = None
         second: Server | None = None
         best_score = second_score = -1
         for server in self._ranked(key):
-            score = mixed(key, server.seed)
+            score = mix_hashes(key, server.seed)
             if score > best_score:
                 best, second, best_score, second_score = server, best, score, best_score
             elif score > second_score and server is not best:
@@ -71,23 +71,23 @@
             return self._servers
         self._update_ring()
         size = len(self._points)
-        indices = (bisect_left(self._points, mixed(key, number)) for number in range(CANDIDATES_PER_KEY))
+        indices = (bisect_left(self._points, mix_hashes(key, number)) for number in range(CANDIDATES_PER_KEY))
         return {self._owners[index % size]: None for index in indices}
 
     def _update_ring(self) -> None:
-        """Apply the pending changes: one by one, or by a rebuild where there are many."""
+        """Apply the pending changes one by one, or rebuild the ring if there are many."""
         if REBUILD_RATIO * len(self._pending) > len(self._servers):
-            points = [
-                (mixed(server.seed, number), server)
+            ring = [
+                (mix_hashes(server.seed, number), server)
                 for server in self._servers
                 for number in range(POINTS_PER_SERVER)
             ]
-            points.sort(key=itemgetter(0))
-            self._points = array("Q", [point for point, _ in points])
-            self._owners = [server for _, server in points]
+            ring.sort(key=itemgetter(0))
+            self._points = array("Q", [point for point, _ in ring])
+            self._owners = [server for _, server in ring]
         else:
-            for server, inside in self._pending.items():
-                if inside:
+            for server, is_member in self._pending.items():
+                if is_member:
                     self._insert(server)
                 else:
                     self._remove(server)
@@ -95,14 +95,14 @@
 
     def _insert(self, server: Server) -> None:
         for number in range(POINTS_PER_SERVER):
-            point = mixed(server.seed, number)
+            point = mix_hashes(server.seed, number)
             index = bisect_left(self._points, point)
             self._points.insert(index, point)
             self._owners.insert(index, server)
 
     def _remove(self, server: Server) -> None:
         for number in range(POINTS_PER_SERVER):
-            index = bisect_left(self._points, mixed(server.seed, number))
+            index = bisect_left(self._points, mix_hashes(server.seed, number))
             while self._owners[index] is not server:  # two servers may have the same point
                 index += 1
             del self._points[index], self._owners[index]
--- a/rosechute/routing/report.py
+++ b/rosechute/routing/report.py
@@ -1,4 +1,4 @@
-"""Figures of the router for the state page. Field names are keys of that page's JSON."""
+"""Reports of the router for the state endpoint. Field names are the keys of its JSON document."""
 
 from __future__ import annotations
 
@@ -8,43 +8,44 @@
 from rosechute.routing.router import Router
 from rosechute.routing.server import Server
 
-MILLISECONDS = 1e3
+MS_PER_S = 1e3
 
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """One server, as this edge sees it."""
+    """State of one server at this edge."""
 
     id: str
     address: str
     zone: str
     up: bool
-    """Whether it may take new requests: listed and not draining."""
+    """Whether the server takes new requests: it is listed and does not drain."""
     budget: int
-    """Connections that it may have of this edge now."""
+    """Current concurrency limit of this edge at the server."""
     limit: int
-    """The most that its budget may become: this edge's share."""
+    """Upper bound of `budget`: the share of this edge."""
     in_flight: int
     trial: bool
-    """Whether a request is out that may raise the budget."""
+    """Whether a trial is in flight, whose success raises `budget`."""
     backoff_ms: int
-    """How long until the next trial may go out; 0 where one may."""
+    """Time until the next trial is allowed; 0 if it is allowed now."""
     latency_ms: int
-    """Recent time to the head of an answer; 0 while unknown."""
+    """Recent time to the head of a response; 0 while unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceReport:
-    """One service, as this edge sees it."""
+    """State of one service at this edge."""
 
     waiting: int
+    """Requests that are queued for their first attempt."""
     repeats_left: int
-    """Further attempts that the budget for repeats allows now."""
+    """Retries that the retry budget allows now."""
     servers: tuple[ServerReport, ...]
 
 
 def router_report(router: Router, now: float) -> dict[str, ServiceReport]:
-    """Return the figures of all services by name."""
+    """Return the reports of all services by name."""
     return {
         name: ServiceReport(len(service.queue), service.retry_budget.remaining(now), _servers(service.pool, now))
         for name, service in sorted(router.services.items())
@@ -65,6 +66,6 @@
         server.max_concurrency,
         server.in_flight,
         server.trial,
-        round(max(0.0, server.retry_at - now) * MILLISECONDS),
-        round(server.latency_s * MILLISECONDS),
+        round(max(0.0, server.retry_at - now) * MS_PER_S),
+        round(server.latency_s * MS_PER_S),
     )
--- a/rosechute/routing/request_queue.py
+++ b/rosechute/routing/request_queue.py
@@ -1,4 +1,4 @@
-"""A queue of requests for the servers of one service, ordered by arrival and indexed by priority."""
+"""Queue of the requests of one service, ordered by arrival and indexed by priority."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(order=True, slots=True)
 class QueuedRequest:
-    """One queued request. Removed ones stay in their heap until they reach its top."""
+    """One queued request. A removed request stays in its heap until it reaches the top."""
 
     arrived: float
     ticket: Ticket
@@ -20,7 +20,7 @@
 
 
 class RequestQueue:
-    """Queued requests. Those of one priority never change their order."""
+    """Queued requests. Requests of one priority stay in arrival order."""
 
     def __init__(self) -> None:
         self._heaps: dict[int, list[QueuedRequest]] = {}  # by priority, the oldest request on top
@@ -33,24 +33,24 @@
         return ticket in self._requests
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Iterate over all tickets, in no order."""
+        """Iterate over all tickets in arbitrary order."""
         return iter(list(self._requests))
 
     def add(self, ticket: Ticket, arrived: float, priority: int) -> None:
-        """Add a request that arrived at this steady time in seconds."""
+        """Add a request; `arrived` is its arrival in steady seconds."""
         request = QueuedRequest(arrived, ticket, priority)
         self._requests[ticket] = request
         heapq.heappush(self._heaps.setdefault(priority, []), request)
 
     def discard(self, ticket: Ticket) -> None:
-        """Remove a request, if it is queued."""
+        """Remove a request; do nothing if it is not queued."""
         request = self._requests.pop(ticket, None)
         if request is not None:
             request.is_removed = True
             self._drop_removed(request.priority)
 
     def _drop_removed(self, priority: int) -> None:
-        """Drop removed requests from the top of a heap."""
+        """Pop removed requests from the top of a heap."""
         heap = self._heaps[priority]
         while heap and heap[0].is_removed:
             heapq.heappop(heap)
@@ -58,7 +58,7 @@
             del self._heaps[priority]
 
     def heads(self) -> list[Ticket]:
-        """Return the oldest request of all, then the oldest of each other priority, the most urgent first."""
+        """Return the oldest request of all, then the oldest of each other priority, most urgent first."""
         if len(self._heaps) < 2:
             return [heap[0].ticket for heap in self._heaps.values()]
         oldest = min(heap[0] for heap in self._heaps.values())
@@ -66,9 +66,9 @@
         return [oldest.ticket, *(head.ticket for head in heads if head is not oldest)]
 
     def oldest(self, limit: int) -> list[Ticket]:
-        """Return the oldest requests in order, at most `limit`."""
+        """Return up to `limit` of the oldest requests, in arrival order."""
         return [request.ticket for request in heapq.nsmallest(limit, self._requests.values())]
 
     def count_ahead(self, priority: int) -> int:
-        """Return about how many queued requests are as urgent or more. Removed ones inside a heap count."""
+        """Return an upper bound of the queued requests of this or a higher priority; it includes removed requests."""
         return sum(len(heap) for other, heap in self._heaps.items() if other <= priority)
--- a/rosechute/routing/router.py
+++ b/rosechute/routing/router.py
@@ -1,9 +1,9 @@
-"""The routing decisions of one edge: events and the clock in, actions out.
+"""The routing decisions of one edge: methods take events and the time, and return the actions to carry out.
 
 Each server has a concurrency limit. A request goes to the less loaded of two random servers below their limit (power
-of two choices, Mitzenmacher 2001). Requests are queued in arrival order where all servers are at their limit. One
-queued request may be sent to a full server as a trial, which raises its limit if it succeeds, while no other trial
-and no backoff is under way there. Requests are rejected at once where the limit of every server is 0.
+of two choices, Mitzenmacher 2001). If all servers are at their limit, requests are queued in arrival order. One
+request may be sent to a server at its limit as a trial, unless another trial is in flight there or the server backs
+off; a successful trial raises the limit. If the limit of every server is 0, requests are rejected at once.
 
 docs/design-fleet.md describes the policy and its exceptions.
 """
@@ -33,42 +33,44 @@
 from rosechute.routing.sticky import PrefixAffinity
 from rosechute.routing.tuning import RouterTuning
 
-NO_SERVERS_RETRY_AFTER_S = 0.3  # by then the endpoint list may have a server
-MAX_RETRY_AFTER_S = 0.8  # the longest `Retry-After` of a rejected request, or
-RETRY_AFTER_SHARE = 0.25  # of the time up to its deadline, whichever is shorter
-QUEUE_TIMEOUT_SHARE = 0.25  # of its target, after which a queued request is rejected, or
-EXTENDED_QUEUE_TIMEOUT_SHARE = 0.5  # after this, where it can still meet its target
-TOLERATED_DELAY_SHARE = 0.8  # of its target that a request may be queued at a server while others are less loaded
-RETRY_QUEUE_TIMEOUT_SHARE = 0.3  # of the time up to its deadline that a retry may be queued
-EXTRA_UNEXECUTED_ATTEMPTS = 2  # attempts beyond `max_attempts` that are known not to have been executed
-MAX_RETRIES_EXAMINED = 8  # queued retries: the servers with capacity may have failed the first ones before
-SERVER_GONE = (AttemptResult.CONNECT_FAILED, AttemptResult.WRONG_INSTANCE)  # its prefix cache is lost, too
+NO_SERVERS_RETRY_AFTER_S = 0.3  # the endpoint list may have a server by then
+MAX_RETRY_AFTER_S = 0.8  # upper limit of the `Retry-After` of a rejected request, before jitter
+RETRY_AFTER_SHARE = 0.25  # the same, as a share of the time to its deadline; the shorter one applies
+QUEUE_TIMEOUT_SHARE = 0.25  # share of its target after which a queued request is rejected
+EXTENDED_QUEUE_TIMEOUT_SHARE = 0.5  # the same for a request that can still meet its target
+TOLERATED_DELAY_SHARE = 0.8  # share of its target that a request may be queued at a server if others are less loaded
+RETRY_QUEUE_TIMEOUT_SHARE = 0.3  # share of the time to its deadline that a retry may be queued
+EXTRA_UNEXECUTED_ATTEMPTS = 2  # attempts allowed beyond `max_attempts` if earlier ones were not executed
+MAX_RETRIES_EXAMINED = 8  # queued retries per dispatch: the first ones may have tried all servers with capacity
+# Results that show that the server, and with it its prefix cache, is lost.
+SERVER_GONE_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.WRONG_INSTANCE)
 ATTEMPTS, PROMPT_TOKENS, REJECTIONS = "attempts", "prompt_tokens", "rejections"  # names of counters
-MAY_HAVE_EXECUTED = (AttemptResult.SERVER_ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT)
+MAYBE_EXECUTED_RESULTS = (AttemptResult.SERVER_ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT)
 
 
 class Router:
-    """Server pools, queues, admission control and retry budgets of one edge. Does no I/O and reads no clock.
+    """Router of one edge, with the pools, queues, admission control and retry budgets of all services.
 
-    Every method that takes `now` (steady time in seconds) returns the actions to carry out, in order.
+    It does no I/O and reads no clock. `now` is the steady time in seconds. Methods that return actions return them in
+    the order in which to carry them out.
 
     Args:
-        draw: Random numbers from 0 up to 1.
-        tuning: Constants.
+        draw: Source of random numbers in [0, 1).
+        tuning: Constants of the router.
 
     Attributes:
-        counts: Attempts by result, prompt tokens by state, rejections by reason.
+        counts: Counters of attempts by result, prompt tokens by state, rejections by reason.
     """
 
     def __init__(self, draw: Callable[[], float], tuning: RouterTuning) -> None:
         self._draw, self._tuning = draw, tuning
         self._picker = Picker(draw, tuning.zone)
-        self._table = PrefixTable(tuning.prefix_entries, tuning.session_entries, tuning.prefix_idle_s)
+        self._table = PrefixTable(tuning.prefix_entries, tuning.prompt_entries, tuning.prefix_idle_s)
         self.counts = Counts()
         self._affinity = PrefixAffinity(self._table, self.counts)
         self._services: dict[str, Service] = {}
         self._pending: dict[Ticket, PendingRequest] = {}
-        self._retry_budget_settings = (0.2, 10.0, 0.0, 1)  # as of apply_retry_budget
+        self._retry_budget_settings = (0.2, 10.0, 0.0, 1)  # arguments of `apply_retry_budget`
 
     @property
     def services(self) -> Mapping[str, Service]:
@@ -78,25 +80,25 @@
     # --- configuration and endpoint lists
 
     def apply_servers(self, now: float, service: str, entries: Sequence[ServerEntry]) -> list[RoutingAction]:
-        """Take over the complete endpoint list of a service. Servers that drain or have left get no new requests."""
+        """Replace the endpoint list of a service. Servers that drain or have left the list get no new requests."""
         known = self._service(service)
         actions = known.pool.apply(now, entries)
         return actions + self._dispatch_queued(now, known)
 
     def apply_limits(self, now: float, service: str, max_connections: int, edges: int) -> list[RoutingAction]:
-        """Take over `max_connections` of a service, and the number of live edges that share it."""
+        """Set the connection limit of a service, and the number of live edges that share it."""
         known = self._service(service)
         known.pool.set_limits(now, max_connections, edges)
         return self._dispatch_queued(now, known)
 
     def apply_retry_budget(self, ratio: float, window_s: float, slack: float, edges: int) -> None:
-        """Take over the settings of the retry budget; see `RetryBudget`."""
+        """Set the parameters of the retry budget of every service, which `RetryBudget` explains."""
         self._retry_budget_settings = (ratio, window_s, slack, edges)
         for service in self._services.values():
             service.retry_budget.configure(*self._retry_budget_settings)
 
     def forget_services(self, now: float, keep: Collection[str]) -> list[RoutingAction]:
-        """Forget all services but these. Attempts at servers go on; queued requests are rejected."""
+        """Remove all services except those in `keep`: reject queued requests, but let attempts at servers finish."""
         actions: list[RoutingAction] = []
         for name in [name for name in self._services if name not in keep]:
             service = self._services.pop(name)
@@ -126,7 +128,7 @@
         return self._admit(now, service, pending)
 
     def _admit(self, now: float, service: Service, pending: PendingRequest) -> list[RoutingAction]:
-        """Send a request now if none is queued and a server accepts it, else queue or reject it."""
+        """Send a request if no other is queued and a server accepts it; otherwise queue or reject it."""
         service.pool.expire_backoffs(now)
         if not service.queue:
             sent = self._try_dispatch(now, service, pending)
@@ -138,27 +140,27 @@
         return self._dispatch_queued(now, service)
 
     def _must_reject(self, now: float, service: Service, pending: PendingRequest) -> bool:
-        """Return whether the queue is full, or a request at its end can't meet its target."""
+        """Return whether the queue is full, or the request could not meet its target behind the queued ones."""
         if len(service.queue) >= self._tuning.max_queued_requests:
             return True
         return self._cannot_meet_target(now, service, pending)
 
     def _cannot_meet_target(self, now: float, service: Service, pending: PendingRequest) -> bool:
-        """Return whether the queued requests ahead alone use up its target (exception "urgency")."""
+        """Return whether draining the queued requests ahead exceeds the target (exception "urgency")."""
         drain_s = service.admission.drain_time_s(service.queue.count_ahead(pending.request.priority))
         return now + drain_s > pending.request.arrived + pending.request.target_s
 
     def report(
         self, now: float, ticket: Ticket, server_id: str, result: AttemptResult, will_retry: bool
     ) -> list[RoutingAction]:
-        """Take the head of a response or the outcome of an attempt.
+        """Handle the head of a response or the outcome of an attempt.
 
         Args:
             now: Steady time in seconds.
-            ticket: Of the request.
-            server_id: Of the attempt; a report on another server is ignored.
-            result: `HEAD`, or how the attempt ended.
-            will_retry: Whether another attempt is wanted.
+            ticket: Ticket of the request.
+            server_id: Server of the attempt; reports about another server than the current one are ignored.
+            result: `HEAD`, or the outcome of the attempt.
+            will_retry: Whether the caller wants another attempt.
         """
         pending = self._pending.get(ticket)
         attempt = pending.attempt if pending is not None else None
@@ -205,15 +207,15 @@
         )
         self.counts.add(ATTEMPTS, result.value)
         pending.attempt = None
-        if pending.prefixes and result in SERVER_GONE:
+        if pending.prefixes and result in SERVER_GONE_RESULTS:
             self._table.remove(pending.prefixes, attempt.server)
-        pending.executed_attempts += result in MAY_HAVE_EXECUTED
+        pending.executed_attempts += result in MAYBE_EXECUTED_RESULTS
         pending.received_attempts += result is not AttemptResult.CONNECT_FAILED
 
     def _finish_request(
         self, pending: PendingRequest, will_retry: bool, result: AttemptResult
     ) -> list[RoutingAction]:
-        """Forget a finished request; reject one that needs a retry, as its service is gone."""
+        """Remove a finished request; reject one that needs a retry, because its service was removed."""
         if result is AttemptResult.HEAD:
             return []
         if will_retry:
@@ -244,7 +246,7 @@
         return []
 
     def can_retry_elsewhere(self, now: float, ticket: Ticket) -> bool:
-        """Return whether a request could be sent to another server now if its current one failed it."""
+        """Return whether a request could be sent to another server now if its current attempt failed."""
         pending = self._pending.get(ticket)
         service = self._services.get(pending.request.service) if pending is not None else None
         if pending is None or service is None:
@@ -260,7 +262,7 @@
         return any(server not in pending.tried_servers for server in service.pool.with_capacity)
 
     def cancel(self, now: float, ticket: Ticket) -> list[RoutingAction]:
-        """Forget a request whose client has disconnected. Later reports on its attempt are ignored."""
+        """Remove a request whose client has disconnected. Later reports about its attempt are ignored."""
         pending = self._pending.pop(ticket, None)
         if pending is None:
             return []
@@ -279,7 +281,7 @@
     # --- time
 
     def tick(self, now: float) -> list[RoutingAction]:
-        """Expire backoffs, and reject requests that were queued for too long."""
+        """Reject requests that were queued for too long, and dispatch others whose servers no longer back off."""
         actions: list[RoutingAction] = []
         for service in self._services.values():
             if service.has_queued:
@@ -288,7 +290,7 @@
         return actions
 
     def next_wake(self) -> float | None:
-        """Return the steady time at which `tick` has something to do; None for never."""
+        """Return the steady time at which to call `tick` next, or None while no request is queued."""
         wake: float | None = None
         for service in self._services.values():
             if not service.has_queued:
@@ -300,7 +302,7 @@
         return wake
 
     def _expire(self, now: float, service: Service) -> list[RoutingAction]:
-        """Reject requests that were queued for too long; extend the time once for those that can be in time."""
+        """Reject requests past their queue deadline; extend it once for those that can still meet their target."""
         actions: list[RoutingAction] = []
         for ticket in service.queued_tickets():
             pending = self._pending[ticket]
@@ -319,7 +321,7 @@
     # --- dispatch
 
     def _dispatch_queued(self, now: float, service: Service) -> list[RoutingAction]:
-        """Send queued requests in arrival order as far as servers accept them; retries come first."""
+        """Send queued requests in arrival order while servers accept them, retries first."""
         actions: list[RoutingAction] = []
         if not service.has_queued:
             return actions
@@ -338,7 +340,7 @@
         return actions
 
     def _dispatch_next(self, now: float, service: Service) -> Send | None:
-        """Send the oldest queued request; where it is held back, the most urgent other one (exception "urgency")."""
+        """Send the oldest queued request, or a more recent one if it is held back (exception "urgency")."""
         for ticket in service.queue.heads():
             sent = self._try_dispatch(now, service, self._pending[ticket])
             if sent is not None:
@@ -358,7 +360,7 @@
         return [sent]
 
     def _try_dispatch(self, now: float, service: Service, pending: PendingRequest) -> Send | None:
-        """Send a request to a server with capacity, or as a trial; return None where no server accepts it."""
+        """Send a request to a server with capacity, or as a trial; return None if no server accepts it."""
         pool = service.pool
         server = self._picker.recovering(now, pool, pending)
         if server is not None and (
@@ -374,16 +376,16 @@
                 return None
             return self._start_attempt(now, service, pending, uncongested, not uncongested.has_capacity())
         if pool.with_capacity:
-            return None  # those with capacity have failed this request: no reason to raise the limit of others
+            return None  # the request has tried those with capacity, which is no reason to raise the limit of others
         server = self._picker.at_limit(now, pool, pending)
         return self._start_attempt(now, service, pending, server, True) if server is not None else None
 
     def _uncongested_server(
         self, now: float, service: Service, pending: PendingRequest, server: Server
     ) -> Server | None:
-        """Return this server, or a less loaded one, if the request would not be queued there for too long.
+        """Return `server` or a less loaded one, where the request would not be queued for too long, or None.
 
-        This is the exception "urgency" of docs/design-fleet.md.
+        Implements the exception "urgency" of docs/design-fleet.md.
         """
         request, admission, pool = pending.request, service.admission, service.pool
         delay_s = admission.estimated_queue_delay_s(now, server, pool)
@@ -395,7 +397,7 @@
         other = self._picker.shortest_queue(now, pool, pending)
         if other is None or admission.estimated_queue_delay_s(now, other, pool) > max_delay_s:
             return None
-        # Others are less loaded, so the queue at this one will drain. A prefill elsewhere would add to the load.
+        # As others are less loaded, the queue at this server will drain; a prefill elsewhere would add to the load.
         return server if delay_s <= TOLERATED_DELAY_SHARE * request.target_s else other
 
     def _start_attempt(
@@ -430,9 +432,9 @@
         return self._reject(pending, RejectReason.OVERLOADED, self._retry_after_s(now, pending))
 
     def _retry_after_s(self, now: float, pending: PendingRequest) -> float:
-        """Return the `Retry-After` in seconds of a request that is rejected under load, with jitter."""
-        left_s = max(0.0, pending.request.deadline - now)
-        longest_s = min(MAX_RETRY_AFTER_S, RETRY_AFTER_SHARE * left_s)
+        """Return the `Retry-After` of a request that is rejected under load, in seconds, with jitter."""
+        remaining_s = max(0.0, pending.request.deadline - now)
+        longest_s = min(MAX_RETRY_AFTER_S, RETRY_AFTER_SHARE * remaining_s)
         return max(MIN_RETRY_AFTER_S, longest_s * (0.75 + 0.5 * self._draw()))
 
     def _reject_queued(self, service: Service, ticket: Ticket, reason: RejectReason, retry_after_s: float) -> Reject:
--- a/rosechute/routing/service.py
+++ b/rosechute/routing/service.py
@@ -1,4 +1,4 @@
-"""The router's state of one service."""
+"""State of one service in the router."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Service:
-    """One service: its servers, its queued requests, its admission control and its retry budget.
+    """One service: its servers, queued requests, admission control and retry budget.
 
     Attributes:
-        pool: Its servers.
-        queue: Requests that were never sent.
-        retries: Requests that are queued for a server that they have not tried.
-        admission: How long requests may be queued at a server.
-        retry_budget: How many retries may be sent.
+        pool: The servers.
+        queue: Requests that are queued for their first attempt.
+        retries: Requests that are queued for another attempt, at a server that they have not tried.
+        admission: Limits how long requests may be queued at a server.
+        retry_budget: Limits the number of retries.
     """
 
     def __init__(self, draw: Callable[[], float], tuning: RouterTuning, retry_budget: RetryBudget) -> None:
@@ -36,10 +36,10 @@
         return bool(self.queue or self.retries)
 
     def queued_tickets(self) -> list[Ticket]:
-        """Return all queued requests, in no order."""
+        """Return all queued requests in arbitrary order."""
         return [*self.retries, *self.queue]
 
     def discard(self, ticket: Ticket) -> None:
-        """Remove a request from its queue, if it is queued."""
+        """Remove a request from its queue; do nothing if it is not queued."""
         self.queue.discard(ticket)
         self.retries.discard(ticket)
--- a/rosechute/routing/tenant_tokens.py
+++ b/rosechute/routing/tenant_tokens.py
@@ -1,7 +1,7 @@
-"""The tokens and the waiting requests of one tenant at an edge.
+"""Tokens and waiting requests of one tenant at an edge.
 
-Tokens come from two sources: those that the leader issued on request, which expire a lifetime after the request was
-sent, and those that a rate lease accrues. Issued tokens are used first, those that expire first before others.
+Tokens have two sources: the leader issues tokens on request, which expire some time after the request was sent, and a
+rate lease accrues tokens. Issued tokens are used first, in the order of their expiry.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 
 
 class IssuedTokens(NamedTuple):
-    """Tokens that the leader issued."""
+    """Tokens that the leader has issued, with their expiry in steady seconds."""
 
     expires_at: float
     tokens: int
 
 
 class TenantTokens:
-    """Issued tokens, the rate lease, the demand and the waiting requests of one tenant."""
+    """Issued tokens, rate lease, demand and waiting requests of one tenant."""
 
     def __init__(self) -> None:
         self.queue = WaitingQueue()
         self.lease = RateLease()
         self.demand = DemandMeter()
         self._issued: deque[IssuedTokens] = deque()  # oldest first
-        self.requested_at = -math.inf  # when the token request in flight was sent
-        self._requested_for = 0  # tokens of the request that the last token request was sent for
-        self._answered_at = -math.inf  # when the leader answered last
-        self.bucket_empty_until = -math.inf  # the leader has no tokens before
+        self.requested_at = -math.inf  # when the unanswered token request was sent; -inf if there is none
+        self._requested_for = 0  # size of the waiting request for which the last token request was sent
+        self._answered_at = -math.inf  # when the last answer of the leader arrived
+        self.bucket_empty_until = -math.inf  # the leader has no tokens before this time
 
     # Tokens
 
@@ -55,7 +55,7 @@
         return self._issued_total() + self.lease.available(now)
 
     def use(self, tokens: int) -> None:
-        """Use tokens that are available: issued ones first, the oldest first."""
+        """Use available tokens: issued ones first, in the order of their expiry."""
         leased = max(0, tokens - self._issued_total())
         self.lease.use(leased)
         tokens -= leased
@@ -66,11 +66,11 @@
             tokens -= oldest.tokens
 
     def lease_covers_at(self, tokens: int) -> float:
-        """Return when the lease, with the issued tokens, will cover so many; infinity for never."""
+        """Return when the lease and the issued tokens will cover `tokens`; infinity for never."""
         return self.lease.covers_at(tokens - self._issued_total())
 
     def serve_waiting(self, now: float) -> list[Decision]:
-        """Admit waiting requests in their order, as far as the tokens go."""
+        """Admit waiting requests in queue order until the tokens are used up."""
         decisions: list[Decision] = []
         while self.queue and self.available(now) >= self.queue.next_request().tokens:
             request = self.queue.next_request()
@@ -85,9 +85,9 @@
     # Token requests to the leader
 
     def next_request(self, now: float, name: str, response_timeout_s: float) -> TokenRequest | None:
-        """Return the token request to send now; None where no request waits, or the leader is not to be asked yet.
+        """Return the token request to send now, or None if no request waits or it is too early to ask the leader.
 
-        There is one request in flight at a time, so that requests that arrive meanwhile share the next one.
+        Only one token request is in flight at a time; client requests that arrive meanwhile share the next one.
         """
         if not self.queue or now < self.requested_at + response_timeout_s:
             return None
@@ -101,7 +101,7 @@
         return TokenRequest(name, max(minimum, tokens), minimum)
 
     def on_issue(self, now: float, sent_at: float, issue: TokenIssue) -> list[Decision]:
-        """Add the tokens that the leader issued to a request sent at `sent_at`; decide on waiting requests."""
+        """Add the tokens issued for a token request sent at `sent_at`; admit or reject waiting requests."""
         self.requested_at = -math.inf
         self._answered_at = now
         expires_at = sent_at + issue.lifetime_s
@@ -113,15 +113,15 @@
     # Rejections
 
     def expected_at(self, now: float, tokens_ahead: int, tokens: int) -> float:
-        """Return when a request may have its tokens, by what the leader said and by what the lease brings.
+        """Return when a request can get its tokens, from the last answer of the leader and the rate of the lease.
 
-        What the leader said of its bucket holds for requests that are no smaller than the one it was asked for.
+        The leader's estimate applies only to requests that are at least as large as the one that it answered.
         """
         leader_at = self.bucket_empty_until if tokens >= self._requested_for else now
         return min(leader_at, self.lease_covers_at(tokens_ahead + tokens))
 
     def _reject_late(self, now: float) -> list[Decision]:
-        """Reject waiting requests that can't have their tokens in time."""
+        """Reject waiting requests that cannot get their tokens in time."""
         retained: list[WaitingRequest] = []
         decisions: list[Decision] = []
         tokens_ahead = 0
@@ -136,7 +136,7 @@
         return decisions
 
     def reject_expired(self, now: float, leaderless_s: float | None, silence_timeout_s: float) -> list[Decision]:
-        """Reject requests that have waited for too long; admit those that now have their turn."""
+        """Reject requests that have waited for too long; admit those that can be served after that."""
         decisions: list[Decision] = []
         while self.queue and now >= self.oldest_rejected_at(leaderless_s, silence_timeout_s):
             request = self.queue.oldest()
@@ -149,8 +149,8 @@
         """Return when the oldest waiting request is rejected.
 
         Args:
-            leaderless_s: For how long no leader has been known; None while one is.
-            silence_timeout_s: How long to wait for a leader that does not answer.
+            leaderless_s: Time in seconds without a known leader; None if one is known.
+            silence_timeout_s: Time in seconds to wait for a leader that does not answer.
         """
         oldest = self.queue.oldest()
         if leaderless_s is None and self._answered_at >= oldest.arrived_at:
@@ -160,7 +160,7 @@
         return oldest.arrived_at + (silence_timeout_s if leaderless_s is None else NO_LEADER_WAIT_S)
 
     def _retry_after_s(self, now: float, tokens: int, leaderless_s: float | None) -> float:
-        """Return when to retry: the lease will cover the request, the leader has tokens, or a leader is elected."""
+        """Return the time in seconds until the lease covers the request or the leader can issue tokens."""
         leader_s = self.bucket_empty_until - now
         if leader_s <= 0.0 or leaderless_s is not None:
             leader_s = max(MIN_RETRY_AFTER_S, ELECTION_S - (leaderless_s or 0.0))
@@ -169,10 +169,10 @@
     # Lease reports
 
     def is_reported(self, now: float) -> bool:
-        """Return whether the leader is to know of this tenant: a lease is held, or there was demand lately."""
+        """Return whether to report this tenant to the leader: it has a lease or recent demand."""
         self.lease.advance(now)
         return self.lease.rate > 0.0 or now < self.demand.last_request_at + REPORT_AFTER_DEMAND_S
 
     def lease_report(self, now: float, name: str) -> LeaseReport:
-        """Return the report of the lease held and of the demand."""
+        """Return the report of the current lease and demand."""
         return self.lease.report(now, name, self.demand.lease_rate(now), self.demand.mean_request_tokens)
--- a/rosechute/routing/token_cache.py
+++ b/rosechute/routing/token_cache.py
@@ -1,14 +1,14 @@
-"""The edge's cache of quota tokens: admits, queues or rejects requests of limited tenants.
+"""Cache of quota tokens at an edge: admits, queues or rejects requests of tenants with a quota.
 
-Pure: callers give the time, send the messages and carry out the decisions. A request uses tokens that are held, else
-it waits while the leader is asked. It is rejected for its quota in one of three places:
+Does no I/O: callers pass the time, send the messages and carry out the decisions. A request uses cached tokens if
+there are enough; otherwise it waits while tokens are requested from the leader. Three methods may reject it:
 
-* `TokenCache.acquire`, on arrival, where its tokens can't come in time;
-* `TokenCache.on_tokens_issued`, where the leader's answer says so;
-* `TokenCache.tick`, once it has waited for too long.
+* `TokenCache.acquire`, on arrival, if its tokens cannot be expected in time;
+* `TokenCache.on_tokens_issued`, if the answer of the leader shows the same;
+* `TokenCache.tick`, if it has waited for too long.
 
-Leases are reported for all tenants together a few times a second (`leader_requests.LeaseReportSchedule`). After a
-change of leader, the new one gets a report at once; tokens and leases that are held stay valid until they expire.
+Leases of all tenants are reported together a few times per second (`leader_requests.LeaseReportSchedule`). After a
+change of leader, the new one gets a report at once; tokens and leases remain valid until they expire.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
     @property
     def term(self) -> int:
-        """Return the term of the leader that answered a report last, or that is followed since."""
+        """Term of the leader that answered the last report, or of a newer leader."""
         return self._reports.term
 
     # Requests of clients
@@ -45,21 +45,21 @@
         """Admit a request, queue it, or reject it.
 
         Args:
-            now: Steady time, in seconds.
-            tenant: Name of a limited tenant.
+            now: Steady time in seconds.
+            tenant: Name of a tenant with a quota.
             tokens: Tokens that the request uses.
-            on_decision: Callback of the request.
-            priority: 0 is the highest.
+            on_decision: Callback for a decision.
+            priority: Priority of the request; 0 is the highest.
 
         Returns:
-            The decision; empty where the request waits.
+            The decision, or an empty list if the request waits.
         """
         state = self._tenants.get(tenant)
         if state is None:
             state = self._tenants[tenant] = TenantTokens()
         state.demand.record(now, tokens)
         tokens_ahead = state.queue.tokens_ahead_of(priority)
-        # Without a leader the queue may stand for long: what is held goes to whoever it is enough for.
+        # Without a leader the queue may stall, so a request that the available tokens cover may overtake others.
         if (not tokens_ahead or self._is_leaderless) and state.available(now) >= tokens:
             state.queue.on_tokens_used(tokens, priority)
             state.use(tokens)
@@ -71,11 +71,11 @@
         return []
 
     def tick(self, now: float, leaderless_s: float | None) -> list[Decision]:
-        """Admit requests that leases cover by now; reject those that have waited for too long.
+        """Admit requests that leases cover now; reject those that have waited for too long.
 
         Args:
-            now: Steady time, in seconds.
-            leaderless_s: For how long no leader has been known; None while one is.
+            now: Steady time in seconds.
+            leaderless_s: Time in seconds without a known leader; None if one is known.
         """
         self._is_leaderless = leaderless_s is not None
         silence_timeout_s = self._in_flight.timeout_s(SILENT_LEADER_WAIT_S)
@@ -91,7 +91,7 @@
         return any(state.queue for state in self._tenants.values())
 
     def next_action_at(self, leaderless_s: float | None) -> float:
-        """Return when `tick` or `next_token_requests` has something to do; infinity where no request waits."""
+        """Return when to call `tick` or `next_token_requests` next; infinity if no request waits."""
         silence_timeout_s = self._in_flight.timeout_s(SILENT_LEADER_WAIT_S)
         action_at = math.inf
         for state in self._tenants.values():
@@ -105,14 +105,14 @@
         return action_at
 
     def available_tokens(self, now: float, tenant: str) -> int:
-        """Return the tokens that a tenant can use now."""
+        """Return the number of tokens that a tenant can use now."""
         state = self._tenants.get(tenant)
         return 0 if state is None else state.available(now)
 
     # Token requests to the leader
 
     def next_token_requests(self, now: float, request: int) -> list[TokenRequest]:
-        """Return what to request from the leader now, under this request number; empty for nothing."""
+        """Return the token requests to send to the leader now, in a message with the number `request`."""
         response_timeout_s = self._in_flight.timeout_s(RESPONSE_TIMEOUT_S)
         found = (state.next_request(now, name, response_timeout_s) for name, state in self._tenants.items())
         token_requests = [each for each in found if each is not None]
@@ -135,13 +135,14 @@
     # Lease reports to the leader
 
     def on_leader_known(self, now: float, term: int) -> None:
-        """Make a lease report due where the leader has a new term."""
+        """Make a lease report due if the leader has a new term."""
         self._reports.on_leader_known(now, term)
 
     def next_lease_reports(self, now: float, request: int) -> list[LeaseReport]:
-        """Return what to report to the leader now, under this request number, which is higher than all before.
+        """Return the lease reports to send to the leader now, in a message with the number `request`.
 
-        Whether to send a report at all, be it an empty one, is told by `is_newest_report`.
+        The number must be higher than all earlier ones. An empty list may have to be sent as well: the message is due
+        if and only if `is_newest_report` is true for its number afterwards.
         """
         if now < self._reports.due_at:
             return []
@@ -153,15 +154,15 @@
         return reports
 
     def release(self) -> None:
-        """Drop all tokens and leases: the process ends."""
+        """Drop all tokens and leases when the process ends."""
         self._tenants.clear()
 
     def is_newest_report(self, request: int) -> bool:
-        """Return whether the newest lease report has this request number."""
+        """Return whether the lease report in flight has this request number."""
         return request == self._reports.newest_request
 
     def on_leases_granted(self, now: float, request: int, term: int, grants: list[LeaseGrant]) -> list[Decision]:
-        """Handle the leader's answer to a lease report; only the answer to the newest report counts."""
+        """Handle the leader's answer to a lease report; answers to reports other than the newest are ignored."""
         if not self._reports.on_answer(now, request, term):
             return []
         decisions: list[Decision] = []
@@ -173,12 +174,12 @@
         return decisions
 
     def next_report_at(self, now: float) -> float:
-        """Return when the next lease report is due; infinity where there is nothing to report."""
+        """Return when the next lease report is due; infinity if there is nothing to report."""
         if not self._reports.is_known_to_leader or any(state.is_reported(now) for state in self._tenants.values()):
             return self._reports.due_at
         return math.inf
 
     def _is_reported(self, now: float, state: TenantTokens) -> bool:
-        """Return whether to report a tenant; the first report to a leader also passes on a no-lease promise."""
+        """Return whether to report a tenant. The first report to a leader also forwards a no-lease promise."""
         is_promise_pending = not self._reports.is_known_to_leader and now < state.lease.no_lease_until
         return state.is_reported(now) or is_promise_pending
--- a/rosechute/routing/token_exchange.py
+++ b/rosechute/routing/token_exchange.py
@@ -1,4 +1,4 @@
-"""What an edge and the leader exchange about quota tokens: the edge's request, the leader's answer."""
+"""Messages about quota tokens: the request of an edge and the answer of the leader."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
-    """An edge's request for tokens of one tenant.
+    """A request of an edge for tokens of one tenant.
 
     Args:
         tenant: Name of the tenant.
-        tokens: Tokens that the edge has use for.
-        minimum: Fewer tokens than this are of no use now.
+        tokens: Tokens that the edge can use.
+        minimum: Least number of tokens with which the edge can admit a request.
     """
 
     tenant: str
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenIssue:
-    """The leader's answer for one tenant.
+    """The answer of the leader for one tenant.
 
     Args:
         tenant: Name of the tenant.
-        tokens: Tokens issued; 0, or at least the minimum.
-        lifetime_s: The tokens expire this many seconds after the request for them was sent.
-        retry_after_s: Where fewer than requested were issued: when to request again, in seconds from now.
+        tokens: Issued tokens: 0, or at least the minimum.
+        lifetime_s: Time in seconds after which the tokens expire, counted from when the request was sent.
+        retry_after_s: Time in seconds after which to request again if fewer tokens than requested were issued.
     """
 
     tenant: str
--- a/rosechute/routing/waiting_queue.py
+++ b/rosechute/routing/waiting_queue.py
@@ -1,10 +1,11 @@
-"""Requests that wait for tokens: a priority queue with a deficit counter, so that no priority starves.
+"""Priority queue of requests that wait for tokens, with a deficit counter so that no priority starves.
 
-The request of the highest priority is served first, and among equals the one that arrived first. A share of the
-tokens that are used while requests of lower priority wait is credited to a deficit counter; once the credit covers
-the oldest of these, it is served before its turn, and its tokens are debited.
+Requests are served by priority, and in arrival order within a priority. A share of the tokens that are used while
+requests of lower priority wait is credited to a deficit counter. Once the credit covers the oldest of these requests,
+it is served out of order and its tokens are debited.
 
-Source: Shreedhar and Varghese, "Efficient Fair Queuing Using Deficit Round Robin", SIGCOMM 1995 (the counter).
+Reference for the deficit counter: Shreedhar and Varghese, "Efficient Fair Queuing Using Deficit Round Robin",
+SIGCOMM 1995.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from .token_cache_policy import LOW_PRIORITY_SHARE, MAX_DEFICIT_REQUESTS
 
 OnDecision = Callable[[bool, float], None]
-"""Called with whether the request is admitted, and the seconds after which to retry where it is not."""
+"""Callback with two arguments: whether the request is admitted, and if not, the seconds after which to retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """A decision on one request, for the caller to carry out.
+    """The decision on one request, which the caller passes to `on_decision`.
 
     Args:
         on_decision: Callback of the request.
         allowed: Whether the request is admitted.
-        retry_after_s: Where it is rejected: when the client may retry, in seconds from now.
+        retry_after_s: Time in seconds after which the client may retry a rejected request.
     """
 
     on_decision: OnDecision
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A request that waits for tokens; 0 is the highest priority."""
+    """A request that waits for tokens; priority 0 is the highest."""
 
     tokens: int
     arrived_at: float
@@ -47,7 +48,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Return the sort key: priority first, then arrival."""
+        """Sort key: priority, then arrival."""
         return self.priority, self.arrival_number
 
     def admitted(self) -> Decision:
@@ -64,7 +65,7 @@
 
 
 class WaitingQueue:
-    """The waiting requests of one tenant, by rank."""
+    """The waiting requests of one tenant, sorted by rank."""
 
     def __init__(self) -> None:
         self._by_rank: list[WaitingRequest] = []
@@ -83,42 +84,42 @@
         insort(self._by_rank, request, key=lambda each: each.rank)
 
     def retain(self, requests: list[WaitingRequest]) -> None:
-        """Drop all but these requests, which are given by rank."""
+        """Drop all requests except these, which must be sorted by rank."""
         self._by_rank = requests
 
     def oldest(self) -> WaitingRequest:
-        """Return the request that arrived first, of whatever priority."""
+        """Return the request that arrived first, regardless of priority."""
         return min(self._by_rank, key=_arrival_number)
 
     def next_request(self) -> WaitingRequest:
-        """Return the request to be served next."""
+        """Return the request to serve next."""
         return self._credited_below(self._by_rank[0].priority) or self._by_rank[0]
 
     def tokens_ahead_of(self, priority: int) -> int:
-        """Return the tokens that are due to others before a request of this priority that arrives now."""
+        """Return the tokens of the requests that would be served before a new request of this priority."""
         ahead = sum(request.tokens for request in self._by_rank if request.priority <= priority)
         credited = self._credited_below(priority)
         return ahead + (credited.tokens if credited is not None else 0)
 
     def on_tokens_used(self, tokens: int, priority: int) -> None:
-        """Credit a share of the tokens used by a request of this priority to waiting ones of lower priority."""
+        """Credit a share of the tokens used by a request of this priority to waiting requests of lower priority."""
         if self._by_rank and self._by_rank[-1].priority > priority:
             max_deficit = MAX_DEFICIT_REQUESTS * max(request.tokens for request in self._by_rank)
             self._deficit = min(max_deficit, self._deficit + LOW_PRIORITY_SHARE * tokens)
 
     def serve(self, request: WaitingRequest) -> None:
-        """Remove a request that has got its tokens; debit them where it was served before its turn."""
+        """Remove a request that was served; debit its tokens if it was served out of order."""
         if request is not self._by_rank[0]:
             self._deficit -= request.tokens
         self.cancel(request)
         self.on_tokens_used(request.tokens, request.priority)
 
     def cancel(self, request: WaitingRequest) -> None:
-        """Remove a request that gets no tokens."""
+        """Remove a request that is not served."""
         self._by_rank.remove(request)
 
     def _credited_below(self, priority: int) -> WaitingRequest | None:
-        """Return the oldest request of a lower priority where the credit covers it."""
+        """Return the oldest request of a lower priority if the credit covers it, else None."""
         lower = [request for request in self._by_rank if request.priority > priority]
         oldest = min(lower, key=_arrival_number, default=None)
         return oldest if oldest is not None and self._deficit >= oldest.tokens else None
--- a/rosechute/sidecar/__init__.py
+++ b/rosechute/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""rosechute.sidecar: the sidecar that carries the decisions of `rosechute.load_balancing` over real sockets."""
+"""The sidecar: applies the decisions of `rosechute.load_balancing` to real connections."""
--- a/rosechute/sidecar/__main__.py
+++ b/rosechute/sidecar/__main__.py
@@ -1,16 +1,16 @@
-"""Start, signals and exit code of the sidecar."""
+"""Entry point of the sidecar: start, signals and exit code."""
 
 from __future__ import annotations
 
 import signal
 
-# SIGHUP asks for a fresh look at the file, which is yet to be read: until the loop listens, it must not kill.
+# SIGHUP reloads the configuration. Before the handler is installed, it must not kill the process.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from rosechute import native
 
 if __name__ == "__main__":
-    native.prefer()  # before anything is loaded that may be compiled
+    native.install_finder()  # before any module is imported that may be compiled
 
 import asyncio
 import gc
@@ -20,31 +20,34 @@
 
 import uvloop
 
-from rosechute.proxy.core.log import LOG, SINK
+from rosechute.proxy.core.log import LOG, LOG_WRITER
 from rosechute.sidecar.config import Config, ConfigError, load
-from rosechute.sidecar.reload import fixed, read_again
+from rosechute.sidecar.reload import read_again, restart_keys
 from rosechute.sidecar.sidecar import Policy, Sidecar
 
 Policies = Callable[[Config], Policy]
 
 
 async def serve(sidecar_env: Mapping[str, str], policies: Policies | None = None) -> None:
-    """Run one sidecar until SIGTERM or SIGINT; `policies` makes what an operator's file adds."""
+    """Run one sidecar until SIGTERM or SIGINT; `policies` creates the policy of the operator's file."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    again = asyncio.Semaphore(0)  # counts: each signal is answered with a file taken or turned down
-    loop.add_signal_handler(signal.SIGHUP, again.release)
+    reload_requests = asyncio.Semaphore(0)  # counts signals: each one leads to a reload or a rejection
+    loop.add_signal_handler(signal.SIGHUP, reload_requests.release)
     config = load(sidecar_env)
     policy = policies(config) if policies is not None else None
     sidecar = Sidecar(config, loop, policy)
     await sidecar.start()
-    gc.freeze()  # what is loaded by now stays: no collection needs to walk through it again
+    gc.freeze()  # objects created so far are permanent: garbage collections skip them
     LOG.info(
-        "process.listening", name=config.name, address=":".join(map(str, config.listen)), compiled=native.in_force()
+        "process.listening",
+        name=config.name,
+        address=":".join(map(str, config.listen)),
+        compiled=native.is_compiled(),
     )
-    reloading = loop.create_task(reload(sidecar, config, sidecar_env, again, policy))
+    reloading = loop.create_task(reload(sidecar, config, sidecar_env, reload_requests, policy))
     await stop.wait()
     reloading.cancel()
     await sidecar.stop()
@@ -54,33 +57,33 @@
     sidecar: Sidecar,
     config: Config,
     env: Mapping[str, str],
-    again: asyncio.Semaphore,
+    reload_requests: asyncio.Semaphore,
     policy: Policy | None = None,
 ) -> None:
-    """Take over the files at each SIGHUP. Where either can't be used, what was stays in force, of both."""
+    """Reload the configuration and the operator's file at each SIGHUP. If either is invalid, both stay unchanged."""
     while True:
-        await again.acquire()
+        await reload_requests.acquire()
         try:
-            # In a thread: reading and parsing must not hold up requests.
+            # In a thread: reading and parsing must not delay requests.
             new = await asyncio.to_thread(read_again, env, config)
             prepared = await asyncio.to_thread(policy.prepare, new) if policy is not None else None
         except Exception as error:
-            sidecar.turned_down()
+            sidecar.config_rejected()
             for reason in getattr(error, "problems", (error,)):
                 LOG.error("reload.old_configuration_kept", reason=reason)
             continue
-        rest = fixed(new, config)
+        restart_needed = restart_keys(new, config)
         LOG.info(
             "reload.taken",
             discovery=":".join(map(str, new.discovery)),
-            **({"restart_needed_for": ", ".join(rest)} if rest else {}),
+            **({"restart_needed_for": ", ".join(restart_needed)} if restart_needed else {}),
         )
         sidecar.reconfigure(new, prepared)
         config = new
 
 
 def run(env: Mapping[str, str], policies: Policies | None = None) -> int:
-    """Run one sidecar; the exit code."""
+    """Run one sidecar; return the exit code."""
     try:
         uvloop.run(serve(env, policies))
     except ConfigError as error:
@@ -90,7 +93,7 @@
         LOG.error("process.listen", reason=error)
         return 2
     finally:
-        SINK.flush()
+        LOG_WRITER.flush()
     return 0
 
 
--- a/rosechute/sidecar/config.py
+++ b/rosechute/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: the environment and a JSON file, checked and typed."""
+"""Configuration of a sidecar: environment variables and a JSON file, validated and typed."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from rosechute.load_balancing.interface import Settings, SettingsError
 from rosechute.proxy.core.address import Address, parse_address
 
-REPEATS = frozenset({"free", "guarded", "single_shot"})
-GROUPS = frozenset({"all", "zone", "cell"})
-LISTS = frozenset({"automatic", "subscribe"})
-REPORTS = frozenset({"none", "answers", "probe"})
+REPEAT_MODES = frozenset({"free", "guarded", "single_shot"})
+RETRY_GROUPS = frozenset({"all", "zone", "cell"})
+DISCOVERY_MODES = frozenset({"automatic", "subscribe"})
+REPORT_MODES = frozenset({"none", "answers", "probe"})
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the message names the key."""
+    """The configuration is invalid; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one sidecar is told."""
+    """Configuration of one sidecar."""
 
     name: str
     listen: Address
@@ -34,17 +34,17 @@
     sockets: int
     known: Mapping[str, Any]
     settings: Settings
-    control: Address | None = None  # where operators call
-    listen_fd: int | None = None  # the clients' socket, where the platform holds it
+    control: Address | None = None  # address for operators
+    listen_fd: int | None = None  # listening socket for clients, if the platform passes one
     memory_mb: int = 192
-    folder: str = ""  # where two processes of one sidecar find each other
-    raw: Mapping[str, Any] = field(default_factory=dict)  # the file as it was read
+    folder: str = ""  # directory of the takeover socket
+    raw: Mapping[str, Any] = field(default_factory=dict)  # content of the file
 
 
-def load(env: Mapping[str, str], again: bool = False) -> Config:
-    """Read the configuration; single variables win over the file that NODE_CONFIG names.
+def load(env: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Read the configuration. Environment variables override keys of the file that NODE_CONFIG names.
 
-    Read again, a running sidecar's file wins: the variables tell what held at the start and can't change.
+    On a reload, the file's discovery address wins: the variables date from the start of the process.
     """
     path = env.get("NODE_CONFIG")
     if not path:
@@ -56,27 +56,27 @@
         raise ConfigError(f"NODE_CONFIG: {path}: {' '.join(str(error).split())}") from None
     if not isinstance(raw, dict):
         raise ConfigError(f"NODE_CONFIG: {path} does not hold an object")
-    read = dict(raw)
+    unmodified = dict(raw)
     for key in ("name", "listen", "discovery", "control"):
-        told = None if again and key == "discovery" else env.get(f"NODE_{key.upper()}")
-        raw[key] = told or raw.get(key)
+        override = None if is_reload and key == "discovery" else env.get(f"NODE_{key.upper()}")
+        raw[key] = override or raw.get(key)
     limits = raw.get("limits", {})
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 32:
-        raise ConfigError(f"limits.sockets must be a whole number from 32 up, is {sockets!r}")
+        raise ConfigError(f"limits.sockets must be an integer of at least 32, not {sockets!r}")
     memory = limits.get("memory_mb", 192)
     if not isinstance(memory, int | float) or isinstance(memory, bool) or not 8 <= memory < 1 << 30:
-        raise ConfigError(f"limits.memory_mb must be a number from 8 up, is {memory!r}")
+        raise ConfigError(f"limits.memory_mb must be a number of at least 8, not {memory!r}")
     known = raw.get("known")
     if not isinstance(known, dict) or not isinstance(known.get("endpoints"), list):
         raise ConfigError("known.endpoints is not a list")
     if not isinstance(raw["name"], str):
-        raise ConfigError(f"name is not a text: {raw['name']!r}")
+        raise ConfigError(f"name is not a string: {raw['name']!r}")
     try:
         settings = Settings.parse(raw.get("settings"))
     except SettingsError as error:
         raise ConfigError(str(error)) from None
-    _known_words(raw["settings"])
+    _check_enums(raw["settings"])
     return Config(
         name=raw["name"],
         listen=_address(raw, "listen"),
@@ -89,29 +89,29 @@
         memory_mb=int(memory),
         listen_fd=_descriptor(env.get("NODE_LISTEN_FD")),
         folder=env.get("TMPDIR") or tempfile.gettempdir(),
-        raw=read,
+        raw=unmodified,
     )
 
 
-def _known_words(settings: Mapping[str, Any]) -> None:
-    """Raise on a word that the settings' description does not have: what it asks for can't be guessed."""
+def _check_enums(settings: Mapping[str, Any]) -> None:
+    """Raise ConfigError for an unknown value of an enumerated setting."""
     names: set[str] = set()
     for i, item in enumerate(settings["classes"]):
         at = f"settings.classes[{i}]"
         name = item.get("name")
         if not name or name in names:
-            raise ConfigError(f"{at}.name is absent or there twice: {name!r}")
+            raise ConfigError(f"{at}.name is missing or not unique: {name!r}")
         names.add(name)
-        _known_word(item, "repeat", REPEATS, at)
-        _known_word(item, "group", GROUPS, at)
-    _known_word(settings, "discovery", LISTS, "settings")
-    _known_word(settings.get("reporting") or {}, "how", REPORTS, "settings.reporting")
+        _check_enum(item, "repeat", REPEAT_MODES, at)
+        _check_enum(item, "group", RETRY_GROUPS, at)
+    _check_enum(settings, "discovery", DISCOVERY_MODES, "settings")
+    _check_enum(settings.get("reporting") or {}, "how", REPORT_MODES, "settings.reporting")
 
 
-def _known_word(item: Mapping[str, Any], key: str, words: frozenset[str], path: str) -> None:
-    word = item.get(key)
-    if word is not None and word not in words:
-        raise ConfigError(f"{path}.{key} is unknown: {word!r}; it can be {', '.join(sorted(words))}")
+def _check_enum(item: Mapping[str, Any], key: str, allowed: frozenset[str], path: str) -> None:
+    choice = item.get(key)
+    if choice is not None and choice not in allowed:
+        raise ConfigError(f"{path}.{key} is unknown: {choice!r}; expected one of {', '.join(sorted(allowed))}")
 
 
 def _address(raw: Mapping[str, Any], key: str) -> Address:
@@ -122,7 +122,7 @@
 
 
 def _descriptor(text: str | None) -> int | None:
-    """The descriptor of a listening socket that this process was started with."""
+    """Return the descriptor of the listening socket that was passed to this process; None without one."""
     if not text:
         return None
     try:
@@ -139,4 +139,4 @@
     try:
         return int(value, 16)
     except (TypeError, ValueError):
-        raise ConfigError(f"seed is not a text of hex digits: {value!r}") from None
+        raise ConfigError(f"seed is not a string of hexadecimal digits: {value!r}") from None
