--- a/rosechute/simulation/real/asking.py
+++ b/rosechute/simulation/real/asking.py
@@ -1,4 +1,4 @@
-"""A sidecar process as an instance of a run: its clients' requests over real sockets, its list, its end."""
+"""Sidecar process as an instance of a run: client requests over sockets, discovery updates and process lifetime."""
 
 from __future__ import annotations
 
@@ -8,64 +8,83 @@
 
 import httptools
 
-from rosechute.fakes.discovery import StandInDiscovery
+from rosechute.fakes.discovery import FakeDiscovery
 from rosechute.load_balancing.interface import Directory, Entry
 from rosechute.simulation.engine import Engine
 from rosechute.simulation.instance import Request
 from rosechute.simulation.real.process import Process
 from rosechute.simulation.real.pump import Pump
 from rosechute.simulation.spec import Class
-from rosechute.simulation.trace import DRAINING, END, FAILED, GONE, LEFT, LOST, REFUSED, SERVED, TOLD, UP, Trace
-
-SLACK_NS = 50_000_000  # how much longer than its time an answer is waited for, so that it can be seen to be late
+from rosechute.simulation.trace import (
+    DRAINING,
+    END,
+    FAILED,
+    LOST,
+    NOTIFIED,
+    REFUSED,
+    SERVED,
+    STOPPED,
+    TIMED_OUT,
+    UP,
+    Trace,
+)
+
+SLACK_NS = 50_000_000  # wait after the client timeout, so that a late answer is recorded as late
 STATUSES = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
 STATES = {"SERVING": UP, "DRAINING": DRAINING}
 
 
-class Known(Protocol):
-    """What a sidecar needs of the run."""
+class RunContext(Protocol):
+    """Interface of the run that a sidecar uses."""
 
     def taken(self, request: Request, by: Sidecar) -> None:
-        """A client has asked: servers may see this request from now on."""
+        """Register a client request; servers may receive it from now on."""
 
     def place(self, server: str) -> tuple[int, int, int]:
-        """A server's number, the port that it has now, and when its process started by the wall clock, in ms."""
+        """Return a server's number, its current port, and the start of its process in ms of the wall clock."""
 
     def started(self, server: str, since_ms: int) -> int:
-        """When that process started by the run's clock, in ns."""
+        """Return the start of that process in ns of the simulated clock."""
 
     def watch(self, instance: int) -> None:
-        """Its sidecar has asked for the list."""
+        """Subscribe an instance whose sidecar has requested the server list."""
 
 
 class Sidecar:
-    """One instance of a run, as a process. `rosechute.simulation.host.Host` says what for."""
+    """Instance of a run backed by a sidecar process; implements `rosechute.simulation.host.Host`."""
 
     def __init__(
-        self, number: int, zone: int, engine: Engine, pump: Pump, trace: Trace, classes: Sequence[Class], known: Known
+        self,
+        number: int,
+        zone: int,
+        engine: Engine,
+        pump: Pump,
+        trace: Trace,
+        classes: Sequence[Class],
+        run: RunContext,
     ) -> None:
         self.number, self.zone = number, zone
         self.up = False
         self.requests: dict[str, Request] = {}
-        self.discovery = StandInDiscovery()
-        self.discovery.asked = lambda: known.watch(number)
-        self.discovery.told = lambda lines, whole: pump.act(self._told, (lines, whole))
+        self.discovery = FakeDiscovery()
+        self.discovery.on_request = lambda: run.watch(number)
+        self.discovery.on_response = lambda entries, is_full: pump.act(self._record_update, (entries, is_full))
         self.process: Process | None = None
-        self._engine, self._pump, self._trace, self._classes, self._known = engine, pump, trace, classes, known
+        self._engine, self._pump, self._trace, self._classes, self._run = engine, pump, trace, classes, run
         self._loop = asyncio.get_running_loop()
-        self._idle: list[Line] = []
-        self._lines: dict[str, Line] = {}  # by request: the connection it went by
+        self._idle: list[ClientConnection] = []
+        self._connections: dict[str, ClientConnection] = {}  # connection of each open request
         self._tenants: dict[str, tuple[int, bool]] = {}
         self._listed: set[str] = set()
 
-    # --- its life
+    # --- process lifetime
 
     def join(self, process: Process) -> None:
-        """The process that this instance is."""
+        """Attach the process of this instance."""
         self.process = process
 
     def start(self, entries: Sequence[Entry] | None = None) -> None:
-        """Take requests: the process is ready. With `entries`, the list at the run's start."""
+        """Accept requests, as the process is ready; or, given `entries`, set the list at the start of the run."""
         if entries is None:
             self.up = True
             return
@@ -74,26 +93,26 @@
         self._listed = {entry.server for entry in entries}
 
     def kill(self) -> None:
-        """Gone at once, with all that it held."""
+        """Kill the process and lose all open requests."""
         self.up = False
         assert self.process is not None
         self.process.kill()
         requests, self.requests = self.requests, {}
         for request in requests.values():
             self._close(request, LOST, 0)
-        for line in [*self._idle, *self._lines.values()]:
-            line.drop()
-        self._idle, self._lines = [], {}
+        for connection in [*self._idle, *self._connections.values()]:
+            connection.drop()
+        self._idle, self._connections = [], {}
 
-    # --- its list
+    # --- server list
 
-    def hear(self, news: Directory) -> None:
-        """What discovery has for it; its sidecar gets it with the next answer."""
-        for entry in news.entries:
+    def on_directory(self, update: Directory) -> None:
+        """Pass an update to the discovery server of the sidecar, which sends it with its next answer."""
+        for entry in update.entries:
             self._put(entry)
 
     def _put(self, entry: Entry) -> None:
-        _, port, since_ms = self._known.place(entry.server)
+        _, port, since_ms = self._run.place(entry.server)
         self.discovery.put(
             entry.server,
             port,
@@ -104,49 +123,49 @@
             weight=entry.weight,
         )
 
-    def _told(self, told: tuple[list[dict[str, object]], bool]) -> None:
-        lines, whole = told
+    def _record_update(self, update: tuple[list[dict[str, object]], bool]) -> None:
+        entries, is_full = update
         now, names = self._engine.now, set()
-        for line in lines:
-            name, since_ms = str(line["name"]), cast(int, line["since_ms"])
-            state = STATES.get(str(line["status"]), GONE)
-            number = self._known.place(name)[0]
-            if state != GONE:
+        for entry in entries:
+            name, since_ms = str(entry["name"]), cast(int, entry["since_ms"])
+            state = STATES.get(str(entry["status"]), STOPPED)
+            number = self._run.place(name)[0]
+            if state != STOPPED:
                 names.add(name)
-            self._trace.add((now, TOLD, self.number, number, state, self._known.started(name, since_ms)))
-        if whole:
+            self._trace.add((now, NOTIFIED, self.number, number, state, self._run.started(name, since_ms)))
+        if is_full:
             for name in sorted(self._listed - names):
-                self._trace.add((now, TOLD, self.number, self._known.place(name)[0], GONE, 0))
-        self._listed = names if whole else self._listed | names
+                self._trace.add((now, NOTIFIED, self.number, self._run.place(name)[0], STOPPED, 0))
+        self._listed = names if is_full else self._listed | names
 
-    # --- its clients
+    # --- clients
 
-    def take(self, request: Request, tenant: int, retry: bool) -> None:
-        """Send a client's request, on a connection that is free or a new one."""
-        self._known.taken(request, self)
+    def on_request(self, request: Request, tenant: int, retry: bool) -> None:
+        """Send a client's request on an idle connection or a new one."""
+        self._run.taken(request, self)
         self.requests[request.tid] = request
         self._tenants[request.tid] = tenant, retry
-        line = self._idle.pop() if self._idle else None
-        if line is None:
-            line = self._lines[request.tid] = Line(self)
-            line.request = request
-            self._loop.create_task(self._connect(line))
+        connection = self._idle.pop() if self._idle else None
+        if connection is None:
+            connection = self._connections[request.tid] = ClientConnection(self)
+            connection.request = request
+            self._loop.create_task(self._connect(connection))
         else:
-            self._lines[request.tid] = line
-            line.send(request, self._head(request))
+            self._connections[request.tid] = connection
+            connection.send(request, self._head(request))
 
-    async def _connect(self, line: Line) -> None:
+    async def _connect(self, connection: ClientConnection) -> None:
         assert self.process is not None
         try:
-            await self._loop.create_connection(lambda: line, "127.0.0.1", self.process.port)
+            await self._loop.create_connection(lambda: connection, "127.0.0.1", self.process.port)
         except OSError:
-            if line.request is not None:
-                self._pump.act(self._unanswered, line.request)
+            if connection.request is not None:
+                self._pump.act(self._unanswered, connection.request)
             return
-        if line.request is None or line.dropped:
-            line.drop()  # it was killed, or its client left, while the connection came up
+        if connection.request is None or connection.dropped:
+            connection.drop()  # the process was killed or the client timed out while connecting
         else:
-            line.send(line.request, self._head(line.request))
+            connection.send(connection.request, self._head(connection.request))
 
     def _head(self, request: Request) -> bytes:
         cls = self._classes[request.cls]
@@ -164,33 +183,33 @@
         lines += ["Content-Length: 0"] if cls.repeat != "free" else []
         return "\r\n".join([*lines, "", ""]).encode()
 
-    def answered(self, line: Line, status: int, hold_off: int) -> None:
-        """An answer has come whole."""
-        request, line.request = line.request, None
-        if line.kept and self.up:
-            self._idle.append(line)
+    def answered(self, connection: ClientConnection, status: int, hold_off: int) -> None:
+        """Process a complete answer."""
+        request, connection.request = connection.request, None
+        if connection.kept and self.up:
+            self._idle.append(connection)
         else:
-            line.drop()
+            connection.drop()
         if request is not None:
-            self._lines.pop(request.tid, None)
+            self._connections.pop(request.tid, None)
             self._pump.act(self._ended, (request, {200: SERVED, 503: REFUSED}.get(status, FAILED), hold_off))
 
-    def broken(self, line: Line) -> None:
-        """A connection has ended."""
-        request, line.request = line.request, None
-        if line in self._idle:
-            self._idle.remove(line)
+    def broken(self, connection: ClientConnection) -> None:
+        """Process the loss of a connection."""
+        request, connection.request = connection.request, None
+        if connection in self._idle:
+            self._idle.remove(connection)
         if request is not None and self.requests.get(request.tid) is request:
             self._pump.act(self._unanswered, request)
 
     def _unanswered(self, request: Request) -> None:
-        """Its connection ended without an answer. Where its process was killed, it is lost with it already."""
-        self._ended((request, LEFT, 0))
+        """End a request whose connection was lost; after a kill of the process it has ended as lost already."""
+        self._ended((request, TIMED_OUT, 0))
 
-    def _ended(self, told: tuple[Request, int, int]) -> None:
-        request, ending, hold_off = told
+    def _ended(self, result: tuple[Request, int, int]) -> None:
+        request, ending, hold_off = result
         if self.requests.pop(request.tid, None) is not None:
-            self._lines.pop(request.tid, None)
+            self._connections.pop(request.tid, None)
             self._close(request, ending, hold_off)
 
     def _close(self, request: Request, ending: int, hold_off: int) -> None:
@@ -199,30 +218,30 @@
         self._trace.add((self._engine.now, END, request.rid, ending, hold_off))
         request.tell(request, ending, hold_off)
 
-    def hang_up(self, request: Request) -> None:
-        """The client's time is over; it looks a little longer, so that a late answer is seen as one."""
+    def on_client_timeout(self, request: Request) -> None:
+        """Handle the client timeout; wait `SLACK_NS` longer, so that a late answer is recorded as late."""
         if not request.ended:
             self._engine.after(SLACK_NS, self._leave, request)
 
     def _leave(self, request: Request) -> None:
         if not request.ended:
-            line = self._lines.get(request.tid)
-            self._ended((request, LEFT, 0))
-            if line is not None:
-                line.request = None
-                line.drop()
+            connection = self._connections.get(request.tid)
+            self._ended((request, TIMED_OUT, 0))
+            if connection is not None:
+                connection.request = None
+                connection.drop()
 
     def close(self) -> None:
-        """End its process and connections, for the end of the run."""
-        for line in [*self._idle, *self._lines.values()]:
-            line.drop()
+        """Stop the process, its discovery server and its connections at the end of the run."""
+        for connection in [*self._idle, *self._connections.values()]:
+            connection.drop()
         self.discovery.stop()
         if self.process is not None:
             self.process.kill()
 
 
-class Line(asyncio.Protocol):
-    """One connection of a client to a sidecar, one request at a time."""
+class ClientConnection(asyncio.Protocol):
+    """Client connection to a sidecar with at most one request in flight."""
 
     def __init__(self, owner: Sidecar) -> None:
         self._owner = owner
@@ -234,6 +253,7 @@
         self._hold_off = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def send(self, request: Request, head: bytes) -> None:
@@ -243,6 +263,7 @@
             self._transport.write(head)
 
     def data_received(self, data: bytes) -> None:
+        """Parse response bytes; close the connection on a protocol error."""
         try:
             if self._parser is not None:
                 self._parser.feed_data(data)
@@ -250,22 +271,25 @@
             self.drop()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Evaluate the Retry-After and Connection header fields."""
         if name.lower() == b"retry-after":
             self._hold_off = int(float(value) * 1e9)
         elif name.lower() == b"connection" and value.lower() == b"close":
             self.kept = False
 
     def on_message_complete(self) -> None:
+        """Report the complete answer to the sidecar."""
         assert self._parser is not None
         self._owner.answered(self, self._parser.get_status_code(), self._hold_off)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the loss of the connection to the sidecar."""
         self.kept = False
-        self._parser = None  # it knows this connection: without the cycle both go at once
+        self._parser = None  # breaks the reference cycle with the parser, so that both are freed at once
         self._owner.broken(self)
 
     def drop(self) -> None:
-        """Close it."""
+        """Abort the connection."""
         self.dropped, self.kept = True, False
         if self._transport is not None:
             self._transport.abort()
--- a/rosechute/simulation/real/process.py
+++ b/rosechute/simulation/real/process.py
@@ -1,4 +1,4 @@
-"""One sidecar as a process of its own: its configuration, its start and its end."""
+"""Sidecar process: configuration, start and stop."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 from rosechute.load_balancing.interface import Settings
 
-READY_S = 20.0
-LOOK_S = 0.02
-ANSWER_S = 0.5
+READY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
+PROBE_TIMEOUT_S = 0.5
 
 
-def told(settings: Settings) -> dict[str, Any]:
-    """Settings as the platform writes them; `Settings.parse` reads them back."""
+def encode_settings(settings: Settings) -> dict[str, Any]:
+    """Encode settings in the format of the platform, which `Settings.parse` reads."""
     limits, rules = settings.limits, settings.invariants
     return {
         "classes": [
@@ -66,19 +66,24 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """So many ports of the loopback that nobody listens on."""
-    with contextlib.ExitStack() as kept:
-        made = [kept.enter_context(socket.socket()) for _ in range(count)]
-        for one in made:
-            one.bind(("127.0.0.1", 0))
-        return [int(one.getsockname()[1]) for one in made]
+    """Return different unused ports of the loopback interface."""
+    with contextlib.ExitStack() as stack:
+        sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
+        for bound in sockets:
+            bound.bind(("127.0.0.1", 0))
+        return [int(bound.getsockname()[1]) for bound in sockets]
 
 
 class Process:
-    """A sidecar that can be started, killed and started again, always on the same port.
+    """Sidecar process that can be killed and restarted on the same port.
 
     Args:
-        folder: Its own, for its configuration and what it logs.
+        folder: Directory for its configuration and log.
+        name: Name of the sidecar.
+        port: Port on which it accepts requests.
+        discovery: Port of the discovery service.
+        settings: Load balancing settings.
+        seed: Seed of the load balancing module.
     """
 
     def __init__(self, folder: Path, name: str, port: int, discovery: int, settings: Settings, seed: int) -> None:
@@ -89,19 +94,23 @@
             "discovery": f"127.0.0.1:{discovery}",
             "seed": f"{seed:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": told(settings),
+            "settings": encode_settings(settings),
         }
         self._process: asyncio.subprocess.Process | None = None
 
     @property
     def log(self) -> Path:
-        """What it has written to standard error."""
+        """File with the standard error output of the process."""
         return self._folder / "log"
 
     async def start(self, known: dict[str, Any]) -> None:
-        """Start it with the list that it knows from before, and wait until it takes requests.
+        """Start the process and wait until it is ready.
 
-        Raises RuntimeError with the last of its log where it does not.
+        Args:
+            known: Server list saved by the previous process.
+
+        Raises:
+            RuntimeError: The process did not become ready; has the last lines of its log.
         """
         path = self._folder / "config.json"
         path.write_text(json.dumps({**self._config, "known": known}), encoding="utf-8")
@@ -122,18 +131,18 @@
                 stderr=log,
             )
         try:
-            async with asyncio.timeout(READY_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while not await self._ready():
                     if self._process.returncode is not None:
                         break
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 else:
                     return
         except TimeoutError:
             pass
         self.kill()
         last = self.log.read_text(encoding="utf-8", errors="replace").splitlines()[-3:]
-        raise RuntimeError(f"sidecar {self._config['name']} did not come up: {' / '.join(last) or 'it said nothing'}")
+        raise RuntimeError(f"sidecar {self._config['name']} did not start: {' / '.join(last) or 'no output'}")
 
     async def _ready(self) -> bool:
         try:
@@ -143,18 +152,18 @@
         with contextlib.closing(writer):
             try:
                 writer.write(b"GET /-/ready HTTP/1.1\r\nHost: lab\r\n\r\n")
-                async with asyncio.timeout(ANSWER_S):  # whoever holds the port instead may say nothing
+                async with asyncio.timeout(PROBE_TIMEOUT_S):  # another process on the port may never answer
                     return b" 200 " in await reader.readline()
             except OSError:  # TimeoutError is one
                 return False
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process."""
         if self._process is not None and self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.kill()
 
     async def gone(self) -> None:
-        """Wait for its end."""
+        """Wait for the process to exit."""
         if self._process is not None:
             await self._process.wait()
--- a/rosechute/simulation/real/pump.py
+++ b/rosechute/simulation/real/pump.py
@@ -1,4 +1,4 @@
-"""Plays an engine's events in real time, on an event loop, with what comes in from outside between them."""
+"""Real-time execution of an engine's events on an asyncio event loop, interleaved with external events."""
 
 from __future__ import annotations
 
@@ -15,10 +15,9 @@
 
 
 class Pump:
-    """Time 0 of the engine is when `start` is called.
+    """Driver of an engine in real time; `start` sets time 0.
 
-    Events are played no earlier than they are due and, as far as the machine allows, no later; how much later is
-    kept, since a run that lags measures the lag.
+    Events run no earlier than due. Their delay is recorded, since the results of a run that lags include the lag.
     """
 
     def __init__(self, engine: Engine) -> None:
@@ -32,37 +31,37 @@
         self.on = False
 
     def now(self) -> int:
-        """Nanoseconds since the start."""
+        """Return the nanoseconds since the start."""
         return int((self._loop.time() - self._zero) * 1e9)
 
     def start(self) -> None:
-        """Let time begin."""
+        """Start the clock."""
         self._zero = self._loop.time()
         self.on = True
         self._tick()
 
     def stop(self) -> None:
-        """Play nothing more; what still comes in is ignored."""
+        """Run no more events and ignore external ones."""
         self.on = False
         if self._timer is not None:
             self._timer.cancel()
 
     async def until(self, time: int) -> None:
-        """Wait for a time of the engine."""
+        """Wait until a time of the engine's clock, in nanoseconds."""
         while self.on and self.now() < time:
             await asyncio.sleep((time - self.now()) / 1e9)
 
-    def act(self, play: Callable[[T], None], what: T) -> None:
-        """Something has come in from outside: play all that was due before, then this."""
+    def act(self, callback: Callable[[T], None], argument: T) -> None:
+        """Process an external event: run all events due before it, then `callback(argument)`."""
         if not self.on:
             return
         if self._acting:
-            play(what)  # brought about by an event that is being played
+            callback(argument)  # raised by an event that is running
             return
         self._acting = True
         try:
             self._engine.run(self.now())
-            play(what)
+            callback(argument)
         finally:
             self._acting = False
         self._arm()
@@ -85,11 +84,11 @@
             return
         if self._timer is not None:
             if self._timed <= due:
-                return  # it looks again then
+                return  # the timer fires in time
             self._timer.cancel()
         self._timed = due
         self._timer = self._loop.call_later(max(0.0, (due - self.now()) / 1e9), self._tick)
 
     def lag_ms(self, percent: float) -> float:
-        """By how much events were late, in milliseconds, at a percentile of all."""
+        """Return a percentile of the delay of events, in milliseconds."""
         return float(np.percentile(np.frombuffer(self._lags, dtype=np.int64), percent)) / 1e6 if self._lags else 0.0
--- a/rosechute/simulation/real/serving.py
+++ b/rosechute/simulation/real/serving.py
@@ -1,4 +1,4 @@
-"""A model's server behind a real socket: HTTP/1.1 requests in, the model's work and waiting, answers out."""
+"""Simulated server behind a loopback socket: receives HTTP/1.1 requests, applies the server model, sends answers."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 BODY = b"done\n"
 
 
-class Surroundings(Protocol):
-    """What the servers of a run share."""
+class RunComponents(Protocol):
+    """Components of the run shared by its servers."""
 
     engine: Engine
     pump: Pump
@@ -36,14 +36,14 @@
     paths: Paths
 
     def asked(self, rid: str) -> tuple[Request, int, int] | None:
-        """A client's request by its id, with its instance's number and zone."""
+        """Return the client request with this id and the number and zone of its instance, or None if unknown."""
 
 
-class Listening:
-    """The socket of one server, which comes and goes with its process. A new process has a port of its own."""
+class Listener:
+    """Listening socket of a server, open while its process is up. Each new process gets a new port."""
 
-    def __init__(self, around: Surroundings, server: Server, spec: Fleet) -> None:
-        self.around, self.server, self.spec = around, server, spec
+    def __init__(self, run_components: RunComponents, server: Server, spec: Fleet) -> None:
+        self.run_components, self.server, self.spec = run_components, server, spec
         self.port = 0
         self.reports = spec.reports != "none"
         self.handshake = int(spec.handshake or 0)
@@ -52,22 +52,22 @@
         self._opening: asyncio.Task[None] | None = None
 
     def open(self) -> None:
-        """Listen, from this moment on."""
-        made = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
-        self.port = int(made.getsockname()[1])
-        self._opening = asyncio.get_running_loop().create_task(self._open(made))
+        """Open the listening socket."""
+        listening = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
+        self.port = int(listening.getsockname()[1])
+        self._opening = asyncio.get_running_loop().create_task(self._open(listening))
 
-    async def _open(self, made: socket.socket) -> None:
+    async def _open(self, listening: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(lambda: Connection(self), sock=made, backlog=BACKLOG)
+        self._listener = await loop.create_server(lambda: Connection(self), sock=listening, backlog=BACKLOG)
 
     async def opened(self) -> None:
-        """Wait until it does."""
+        """Wait until connections are accepted."""
         if self._opening is not None:
             await self._opening
 
     def close(self) -> None:
-        """The process is gone: nobody listens, and every connection is reset."""
+        """Close the socket and reset all connections, as the process has stopped."""
         if self._opening is not None and not self._opening.done():
             self._opening.cancel()
         if self._listener is not None:
@@ -77,7 +77,7 @@
             connection.abort()
 
     def joined(self, connection: Connection) -> bool:
-        """A connection has come up; False where it is one too many."""
+        """Register a connection; return False if the server is down or its connection limit is reached."""
         if not self.server.up or (self.spec.connections and self.server.connections >= self.spec.connections):
             return False
         self._connections.add(connection)
@@ -85,20 +85,20 @@
         return True
 
     def left(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Unregister a connection."""
         if connection in self._connections:
             self._connections.discard(connection)
             if self.server.connections:
                 self.server.connections -= 1
 
 
-class Served:
-    """One request at a server, from its last byte to its outcome."""
+class ServerRequest:
+    """Request at a server, from the receipt of its last byte to its outcome."""
 
     __slots__ = ("at", "connection", "request", "number", "instance", "zone", "job", "over", "how", "fresh")
 
     def __init__(
-        self, at: Listening, connection: Connection, request: Request, instance: int, zone: int, fresh: bool
+        self, at: Listener, connection: Connection, request: Request, instance: int, zone: int, fresh: bool
     ) -> None:
         self.at, self.connection, self.request = at, connection, request
         self.instance, self.zone, self.fresh = instance, zone, fresh
@@ -109,22 +109,31 @@
         request.attempts += 1
 
     def begin(self) -> None:
-        """It has come; the scenario's network has it arrive later."""
-        around, server = self.at.around, self.at.server
-        around.trace.add((around.engine.now, SEND, self.request.rid, self.number, server.number))
-        delay = around.paths.delay(self.instance, server.number, TO, self.zone == server.zone)
+        """Record the request and schedule its arrival after the simulated network delay."""
+        run_components, server = self.at.run_components, self.at.server
+        run_components.trace.add((run_components.engine.now, SEND, self.request.rid, self.number, server.number))
+        delay = run_components.paths.delay(self.instance, server.number, TO, self.zone == server.zone)
         if delay is not None:
-            around.engine.after(delay, Served._arrive, self)
+            run_components.engine.after(delay, ServerRequest._arrive, self)
 
     def _arrive(self) -> None:
-        around, server, request = self.at.around, self.at.server, self.request
+        run_components, server, request = self.at.run_components, self.at.server, self.request
         if self.over:
             return
         work = request.work + (self.at.handshake if self.fresh else 0)
         self.job = Job(request.rid, self.number, request.cls, request.key, work, self.instance, self, self._done)
         taken = server.arrive(self.job)
-        around.trace.add(
-            (around.engine.now, ARRIVE, request.rid, self.number, server.number, self.instance, work, int(taken))
+        run_components.trace.add(
+            (
+                run_components.engine.now,
+                ARRIVE,
+                request.rid,
+                self.number,
+                server.number,
+                self.instance,
+                work,
+                int(taken),
+            )
         )
         if not taken:
             self._reply(How.FULL)
@@ -141,11 +150,11 @@
         self._reply(How.OK)
 
     def _reply(self, how: How) -> None:
-        around, server = self.at.around, self.at.server
+        run_components, server = self.at.run_components, self.at.server
         self.how = how
-        delay = around.paths.delay(self.instance, server.number, FROM, self.zone == server.zone)
+        delay = run_components.paths.delay(self.instance, server.number, FROM, self.zone == server.zone)
         if delay is not None and not self.over:
-            around.engine.after(delay, Served._replied, self)
+            run_components.engine.after(delay, ServerRequest._replied, self)
 
     def _replied(self) -> None:
         if not self.over:
@@ -153,24 +162,24 @@
             self.connection.answer(LINES[self.how])
 
     def end(self, how: How) -> None:
-        """Its one outcome, as this end sees it."""
+        """Record the outcome as seen by the server; later calls have no effect."""
         if self.over:
             return
         self.over = True
-        around = self.at.around
-        around.trace.add((around.engine.now, OUTCOME, self.request.rid, self.number, int(how)))
-        job, self.job = self.job, None  # it knows this one: without the cycle both go at once
+        run_components = self.at.run_components
+        run_components.trace.add((run_components.engine.now, OUTCOME, self.request.rid, self.number, int(how)))
+        job, self.job = self.job, None  # breaks the reference cycle with the job, so that both are freed at once
         if job is not None and how is How.CANCELLED:
             self.at.server.withdraw(job)
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a sidecar."""
+    """Connection from a sidecar."""
 
-    def __init__(self, at: Listening) -> None:
+    def __init__(self, at: Listener) -> None:
         self._at = at
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self._served: Served | None = None
+        self._served: ServerRequest | None = None
         self._fresh = True
         self._begin()
 
@@ -178,11 +187,13 @@
         self._path, self._rid = b"", ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection, or abort it if the server does not accept it."""
         self._transport = cast(asyncio.Transport, transport)
         if not self._at.joined(self):
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parse request bytes; abort the connection on a protocol error."""
         try:
             if self._parser is not None:
                 self._parser.feed_data(data)
@@ -190,39 +201,43 @@
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._parser = None  # it knows this connection: without the cycle both go at once
+        """Unregister the connection and cancel its request."""
+        self._parser = None  # breaks the reference cycle with the parser, so that both are freed at once
         self._at.left(self)
         served, self._served = self._served, None
         if served is not None:
-            self._at.around.pump.act(lambda one: one.end(How.CANCELLED), served)
+            self._at.run_components.pump.act(lambda one: one.end(How.CANCELLED), served)
 
     def abort(self) -> None:
-        """Reset it."""
+        """Abort the connection."""
         self._transport.abort()
 
     # --- httptools
 
     def on_url(self, url: bytes) -> None:
+        """Append a part of the request target."""
         self._path += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Evaluate the X-Request-ID header field."""
         if name.lower() == b"x-request-id":
             self._rid = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
+        """Process a complete request: a probe, a client request, or abort on an unknown one."""
         path, rid = self._path, self._rid
         self._begin()
         if path.startswith(b"/-/"):
             self._probed()
             return
-        found = self._at.around.asked(rid)
+        found = self._at.run_components.asked(rid)
         if found is None or self._served is not None:
-            self._transport.abort()  # nobody has asked for this, or not in turn
+            self._transport.abort()  # unknown request id, or a request before the previous answer
             return
         request, instance, zone = found
-        self._served = Served(self._at, self, request, instance, zone, self._fresh)
+        self._served = ServerRequest(self._at, self, request, instance, zone, self._fresh)
         self._fresh = False
-        self._at.around.pump.act(Served.begin, self._served)
+        self._at.run_components.pump.act(ServerRequest.begin, self._served)
 
     def _probed(self) -> None:
         server = self._at.server
@@ -232,7 +247,7 @@
             self._transport.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
 
     def answer(self, line: bytes) -> None:
-        """Write the answer to the request in hand."""
+        """Write the answer to the current request."""
         self._served = None
         if self._transport.is_closing():
             return
--- a/rosechute/simulation/real/world.py
+++ b/rosechute/simulation/real/world.py
@@ -1,4 +1,4 @@
-"""A run whose sidecars are processes: the rest of the world is the model's, played in real time on loopback."""
+"""Run with real sidecar processes; all other components are simulated in real time on the loopback interface."""
 
 from __future__ import annotations
 
@@ -20,21 +20,24 @@
 from rosechute.simulation.real.asking import SLACK_NS, Sidecar
 from rosechute.simulation.real.process import Process, free_ports
 from rosechute.simulation.real.pump import Pump
-from rosechute.simulation.real.serving import Listening
+from rosechute.simulation.real.serving import Listener
 from rosechute.simulation.run import Run, concluded
 from rosechute.simulation.server import Server
 from rosechute.simulation.spec import Scenario
 from rosechute.simulation.trace import INSTANCE, Reader
 from rosechute.simulation.world import TAIL_NS, World, settings
 
-MOST_RATE, MOST_SERVERS, MOST_INSTANCES, LONGEST_NS = 2000.0, 100, 64, 600_000_000_000
-AT_A_TIME = 8  # processes that start at once
-KEPT_NS = 5_000_000_000  # for how long after its client's time a request may still be seen at a server
-UNREAL = {"partition": "the loopback can't be parted", "one-way-cut": "the loopback can't be cut one way"}
+MAX_RATE_PER_S, MAX_SERVERS, MAX_INSTANCES, MAX_DURATION_NS = 2000.0, 100, 64, 600_000_000_000
+MAX_CONCURRENT_STARTS = 8  # processes
+REQUEST_RETENTION_NS = 5_000_000_000  # how long after its client timeout a request may still reach a server
+UNSUPPORTED_FAULTS = {
+    "partition": "the loopback interface cannot be partitioned",
+    "one-way-cut": "the loopback interface cannot be cut in one direction",
+}
 
 
 class Played(NamedTuple):
-    """A run in real time, and how far its own bench lagged behind the times that it should have kept."""
+    """Result of a real-time run, with the delay of the test driver's own events."""
 
     run: Run
     lag_p99_ms: float
@@ -42,29 +45,33 @@
 
 
 def playable(scenario: Scenario) -> None:
-    """Raise FileError with all that keeps a scenario from being played against real processes."""
+    """Check that a scenario can be run against real processes.
+
+    Raises:
+        FileError: The scenario is too large or has an unsupported fault; lists all problems.
+    """
     found = [
-        Problem(f"fault[{i}].kind", fault.kind, f"only the model can play it: {UNREAL[fault.kind]}")
+        Problem(f"fault[{i}].kind", fault.kind, f"supported only in the simulation: {UNSUPPORTED_FAULTS[fault.kind]}")
         for i, fault in enumerate(scenario.faults)
-        if fault.kind in UNREAL
+        if fault.kind in UNSUPPORTED_FAULTS
     ]
-    for path, value, most in (
-        ("clients.rate", scenario.clients.rate, MOST_RATE),
-        ("fleet.servers", scenario.fleet.servers, MOST_SERVERS),
-        ("instances.count", scenario.instances.count, MOST_INSTANCES),
+    for path, value, maximum in (
+        ("clients.rate", scenario.clients.rate, MAX_RATE_PER_S),
+        ("fleet.servers", scenario.fleet.servers, MAX_SERVERS),
+        ("instances.count", scenario.instances.count, MAX_INSTANCES),
     ):
-        if value > most:
-            found.append(Problem(path, value, f"up to {most:g} are played against real processes"))
-    if scenario.duration > LONGEST_NS:
-        found.append(Problem("duration", f"{scenario.duration / 1e9:g}s", "a real run takes up to 10m"))
+        if value > maximum:
+            found.append(Problem(path, value, f"at most {maximum:g} with real processes"))
+    if scenario.duration > MAX_DURATION_NS:
+        found.append(Problem("duration", f"{scenario.duration / 1e9:g}s", "at most 10m with real processes"))
     if found:
         raise FileError(found)
 
 
 class RealWorld(World):
-    """Servers, network, discovery's queue, clients and faults are the model's; sidecars and sockets are real."""
+    """World with real sidecars and sockets; servers, network, discovery queue, clients and faults are simulated."""
 
-    block = 128  # judged in a millisecond or two: whoever judges longer reads the next answers late
+    block = 128  # checked in 1 to 2 ms; a larger block would delay the reading of answers
 
     def __init__(
         self,
@@ -81,12 +88,12 @@
         self._wall = time.time_ns()
         super().__init__(scenario, "module", seed, readers, file)
 
-    def _hosts(self, streams: Streams, by_name: dict[str, Server]) -> Sequence[Host]:
+    def _create_instances(self, streams: Streams, by_name: dict[str, Server]) -> Sequence[Host]:
         scenario, fleet = self.scenario, self.scenario.fleet
         self.pump = Pump(self.engine)
         self._streams = streams
         self._by_name = by_name
-        self.listeners = [Listening(self, server, fleet) for server in self.servers]
+        self.listeners = [Listener(self, server, fleet) for server in self.servers]
         for listener in self.listeners:
             listener.open()
         self.sidecars = [
@@ -95,38 +102,42 @@
         ]
         return self.sidecars
 
-    # --- what servers and sidecars need
+    # --- interface for servers and sidecars
 
     def asked(self, rid: str) -> tuple[Request, int, int] | None:
+        """Return the client request with this id and the number and zone of its instance, or None if unknown."""
         found = self._requests.get(rid)
         return (found[0], found[1].number, found[1].zone) if found is not None else None
 
     def taken(self, request: Request, by: Sidecar) -> None:
-        """A client has asked: servers may see this request from now on, until long after its time."""
+        """Register a client request until `REQUEST_RETENTION_NS` after its client timeout."""
         self._requests[request.tid] = request, by
-        self.engine.at(request.until + KEPT_NS, self._forget, request.tid)
+        self.engine.at(request.until + REQUEST_RETENTION_NS, self._forget, request.tid)
 
     def _forget(self, tid: str) -> None:
         self._requests.pop(tid, None)
 
     def place(self, server: str) -> tuple[int, int, int]:
+        """Return a server's number, its current port, and the start of its process in ms of the wall clock."""
         found = self._by_name[server]
         since_ms = (self._wall + found.started) // 1_000_000 if found.started else 0
         self._processes[server, since_ms] = found.started
         return found.number, self.listeners[found.number].port, since_ms
 
     def started(self, server: str, since_ms: int) -> int:
+        """Return the start of that process in ns of the simulated clock, 0 if unknown."""
         return self._processes.get((server, since_ms), 0)
 
     def watch(self, instance: int) -> None:
+        """Subscribe an instance to discovery if it is not subscribed."""
         if not self.listing.watches(instance):
             self.pump.act(lambda number: self.listing.subscribe(number, True), instance)
 
-    def _tell(self, number: int, news: Directory) -> None:
-        if news.scope != "FAILED":
-            self.instances[number].hear(news)
+    def _deliver_update(self, number: int, update: Directory) -> None:
+        if update.scope != "FAILED":
+            self.instances[number].on_directory(update)
 
-    # --- what happens to processes
+    # --- process lifetime
 
     def _stop(self, server: Server) -> None:
         server.stop()
@@ -136,14 +147,14 @@
         server.start()
         self.listeners[server.number].open()
 
-    def _back(self, instance: Host) -> None:
+    def _restarted(self, instance: Host) -> None:
         sidecar = self.sidecars[instance.number]
         self._tasks.add(asyncio.get_running_loop().create_task(self._revive(sidecar)))
 
     async def _revive(self, sidecar: Sidecar) -> None:
         assert sidecar.process is not None
         await sidecar.process.gone()
-        await sidecar.process.start(sidecar.discovery.whole())
+        await sidecar.process.start(sidecar.discovery.snapshot())
         self.pump.act(self._revived, sidecar)
 
     def _revived(self, sidecar: Sidecar) -> None:
@@ -154,13 +165,14 @@
     # --- the run
 
     async def real(self) -> str:
-        """Play it in real time, then on until all has ended; the trace's digest.
+        """Run in real time until all requests have ended; return the digest of the trace.
 
-        Raises RuntimeError where a sidecar does not come up.
+        Raises:
+            RuntimeError: A sidecar did not start.
         """
         try:
             await self._begin()
-            gc.disable()  # a collection takes 100 ms, in which nothing is read; what ends here leaves no cycles
+            gc.disable()  # a collection would block reading for 100 ms; ended requests leave no reference cycles
             self._wall = time.time_ns()
             self.pump.start()
             end = int(self.scenario.duration)
@@ -190,11 +202,11 @@
         for listener in self.listeners:
             await listener.opened()
         ports = free_ports(len(self.sidecars))
-        gate = asyncio.Semaphore(AT_A_TIME)
+        gate = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
         async def begin(sidecar: Sidecar, port: int) -> None:
             async with gate:
-                sidecar.discovery.refuses = lambda: bool(self.listing.down)
+                sidecar.discovery.is_refusing = lambda: bool(self.listing.down)
                 discovery = await sidecar.discovery.start()
                 folder = self._folder / str(sidecar.number)
                 folder.mkdir()
@@ -210,7 +222,7 @@
                     )
                 )
                 assert sidecar.process is not None
-                await sidecar.process.start(sidecar.discovery.whole())
+                await sidecar.process.start(sidecar.discovery.snapshot())
                 sidecar.start()
 
         async with asyncio.TaskGroup() as group:
@@ -219,7 +231,11 @@
 
 
 async def real(scenario: Scenario, seed: int = 1, file: BinaryIO | None = None) -> Played:
-    """Play a scenario against real processes, in real time. Raises FileError where that can't be done."""
+    """Run a scenario against real processes in real time.
+
+    Raises:
+        FileError: The scenario is not supported with real processes.
+    """
     playable(scenario)
     figures, judge = Figures(scenario), Judge(scenario, SLACK_NS)
     with tempfile.TemporaryDirectory(prefix="lab-") as folder:
--- a/rosechute/simulation/report.py
+++ b/rosechute/simulation/report.py
@@ -1,4 +1,4 @@
-"""A run as one HTML file that needs nothing else: plots as SVG, tables, the judge's verdict, how to play it again."""
+"""Self-contained HTML report of a run: SVG plots, tables, rule violations and the command to repeat the run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from rosechute.sidecar.operator_configuration.units import shown
+from rosechute.sidecar.operator_configuration.units import format_duration
 from rosechute.simulation.figures import BIN_NS
 from rosechute.simulation.judge import RULES
 from rosechute.simulation.run import Run
@@ -51,7 +51,7 @@
 
 
 def spans(run: Run, end_ns: int) -> list[tuple[float, float, str]]:
-    """When faults were in force: from, to (seconds) and their kind."""
+    """Return start and end (seconds) and kind of each period in which a fault was active."""
     found: list[tuple[float, float, str]] = []
     since: dict[int, int] = {}
     kinds: dict[int, str] = {}
@@ -64,7 +64,7 @@
     return found + [(at / 1e9, end_ns / 1e9, kinds[fault]) for fault, at in since.items()]
 
 
-def _drawn(figure: Figure) -> str:
+def _render_svg(figure: Figure) -> str:
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
@@ -72,16 +72,16 @@
 
 
 def _shade(axes: Axes, shades: list[tuple[float, float, str]]) -> None:
-    told: set[str] = set()
+    labelled: set[str] = set()
     for start, end, kind in shades:
         axes.axvspan(start, end, color="#b3433b", alpha=0.10, lw=0)
-        if kind not in told:
+        if kind not in labelled:
             axes.text(start, 1.01, kind, transform=axes.get_xaxis_transform(), fontsize=8, color="#8a3a33")
-            told.add(kind)
+            labelled.add(kind)
 
 
 def timeline(run: Run, scenario: Scenario) -> str:
-    """Service over time, and what servers and instances held."""
+    """Plot completed requests over time, and the requests held by servers and instances."""
     figure = Figure(figsize=(9, 5), layout="constrained")
     top, below = figure.subplots(2, 1, sharex=True)
     lines = run.figures.lines()
@@ -102,11 +102,11 @@
         _shade(axes, shades)
         axes.set_xlim(0, scenario.duration / 1e9)
         axes.set_ylim(bottom=0)
-    return _drawn(figure)
+    return _render_svg(figure)
 
 
 def latencies(*runs: tuple[str, Run]) -> str:
-    """Time to the answer against the share that took longer, both on log scales; a line a run, with its name."""
+    """Plot the complementary distribution of latency on log scales, one line for each named run."""
     figure = Figure(figsize=(9, 3), layout="constrained")
     axes = figure.subplots()
     shares = np.logspace(0, -4, 60)
@@ -126,11 +126,11 @@
     axes.set_xlabel("milliseconds to the answer")
     axes.set_ylabel("share that took longer")
     axes.grid(alpha=0.3, which="both", lw=0.4)
-    return _drawn(figure)
+    return _render_svg(figure)
 
 
 def heat(run: Run, scenario: Scenario) -> str:
-    """Attempts by server and time."""
+    """Plot a heat map of attempts by server and time."""
     figure = Figure(figsize=(9, min(6.0, 1.2 + 0.16 * scenario.fleet.servers)), layout="constrained")
     axes = figure.subplots()
     cells = run.figures.heat()[:, : int(scenario.duration // BIN_NS)]
@@ -147,11 +147,11 @@
     for start, end, _ in spans(run, int(scenario.duration)):
         for at in (start, end):
             axes.axvline(at, color="white", lw=0.6, ls=":")
-    return _drawn(figure)
+    return _render_svg(figure)
 
 
 def _table(head: list[str], rows: list[list[Any]]) -> str:
-    cells = "".join(f"<tr>{''.join(f'<td>{html.escape(_said(v))}</td>' for v in row)}</tr>" for row in rows)
+    cells = "".join(f"<tr>{''.join(f'<td>{html.escape(_formatted(v))}</td>' for v in row)}</tr>" for row in rows)
     return f"<table><tr>{''.join(f'<th>{html.escape(name)}</th>' for name in head)}</tr>{cells}</table>"
 
 
@@ -159,7 +159,7 @@
     return "".join(f"<p>{b.at_ns / 1e9:.3f} s, {b.rule}: {html.escape(b.text)}</p>" for b in run.judge.breaches[:20])
 
 
-def _said(value: Any) -> str:
+def _formatted(value: Any) -> str:
     return f"{value:.4g}" if isinstance(value, float) else str(value)
 
 
@@ -167,7 +167,7 @@
     result = run.result
     total = sum(result["breaches"].values())
     yield f"<h1>{html.escape(scenario.name)}</h1><p>{html.escape(scenario.about)}</p>"
-    yield f"<p>Policy <b>{html.escape(policy)}</b>, seed {seed}, {shown(scenario.duration)}, "
+    yield f"<p>Policy <b>{html.escape(policy)}</b>, seed {seed}, {format_duration(scenario.duration)}, "
     yield f"{scenario.instances.count} instances, {scenario.fleet.servers} servers.</p>"
     word = "All rules were kept." if not total else f"{total} breaches of the rules."
     yield f'<p class="{"bad" if total else "good"}">{word}</p>'
@@ -186,7 +186,7 @@
 
 
 def page(run: Run, scenario: Scenario, policy: str, seed: int, command: str) -> str:
-    """The whole report."""
+    """Return the HTML report of a run."""
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(scenario.name)}</title>'
         f"<style>{STYLE}</style>{''.join(_parts(run, scenario, policy, seed, command))}</html>\n"
@@ -194,10 +194,15 @@
 
 
 def beside(model: Run, real: Run, lag_ms: tuple[float, float], scenario: Scenario, seed: int, command: str) -> str:
-    """The report of a scenario that was played against real processes, with the model's run of the same seed.
+    """Return the HTML report that compares a run against real processes with the simulated run of the same seed.
 
     Args:
-        lag_ms: By how much the bench's own events were late, at the 99th percentile and at the most.
+        model: Simulated run.
+        real: Run against real processes.
+        lag_ms: Delay of the test driver's own events in milliseconds: 99th percentile and maximum.
+        scenario: Scenario of both runs.
+        seed: Seed of both runs.
+        command: Command line that repeats the runs.
     """
     rows = [[name, model.result[name], real.result[name]] for name in SHOWN]
     breaches = [[rule, model.result["breaches"][rule], real.result["breaches"][rule]] for rule in RULES]
@@ -208,7 +213,8 @@
     parts = [
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>',
         f"<h1>{title}</h1><p>{html.escape(scenario.about)}</p><p>The decision module, seed {seed}, "
-        f"{shown(scenario.duration)}, {scenario.instances.count} sidecars, {scenario.fleet.servers} servers.</p>",
+        f"{format_duration(scenario.duration)}, {scenario.instances.count} sidecars, "
+        f"{scenario.fleet.servers} servers.</p>",
         f'<p class="{"bad" if total else "good"}">{word}</p>',
         _table(heads, breaches),
         _breaches(real),
@@ -234,10 +240,14 @@
 def curves(
     scenario: str, path: str, figure: str, found: dict[str, list[tuple[float, Interval]]], command: str
 ) -> str:
-    """A figure against a parameter that sweeps have varied, a line a policy with its interval, as one HTML file.
+    """Return an HTML report that plots a statistic against a swept parameter, one line per policy with its interval.
 
     Args:
-        found: By policy: the parameter's value, and the figure's mean and interval there.
+        scenario: Name of the scenario.
+        path: Path of the swept parameter.
+        figure: Name of the statistic.
+        found: For each policy, the parameter values with the mean and interval of the statistic.
+        command: Command line that repeats the report.
     """
     drawing = Figure(figsize=(9, 4.5), layout="constrained")
     axes = drawing.subplots()
@@ -261,7 +271,7 @@
     title = html.escape(f"{scenario}: {figure} by {path}")
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>'
-        f"<h1>{title}</h1><p>Mean of the runs, shaded: its 95% interval.</p>{_drawn(drawing)}"
+        f"<h1>{title}</h1><p>Mean of the runs, shaded: its 95% interval.</p>{_render_svg(drawing)}"
         f"{_table(['policy', path, 'mean', 'low', 'high', 'runs'], rows)}"
         f"<h2>Play it again</h2><p><code>{html.escape(command)}</code></p></html>\n"
     )
--- a/rosechute/simulation/run.py
+++ b/rosechute/simulation/run.py
@@ -1,4 +1,4 @@
-"""One run from end to end: the world, its figures and its judge."""
+"""One complete run: the simulated world, its statistics and its invariant checker."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Run(NamedTuple):
-    """What came of a run."""
+    """Result of a run."""
 
     digest: str
     result: dict[str, Any]
@@ -21,7 +21,7 @@
 
 
 def run(scenario: Scenario, policy: str = "module", seed: int = 1, file: BinaryIO | None = None) -> Run:
-    """Play a scenario once. The same arguments give the same run, byte for byte."""
+    """Simulate a scenario once. Equal arguments give byte-identical traces."""
     figures, judge = Figures(scenario), Judge(scenario)
     world = World(scenario, policy, seed, (figures, judge), file)
     digest = world.play()
@@ -29,6 +29,6 @@
 
 
 def concluded(digest: str, judge: Judge, figures: Figures, played: int) -> Run:
-    """What came of a run whose last record has been read."""
+    """Return the result of a run after its last record has been read."""
     judge.finish()
     return Run(digest, {**figures.result(), "breaches": dict(judge.counts)}, judge, figures, played)
--- a/rosechute/simulation/server.py
+++ b/rosechute/simulation/server.py
@@ -1,12 +1,13 @@
-"""A served system's server: cores, slots, a waiting room, cold start, crowding, a cache of keys, connections.
+"""Server model: cores, service slots, a FIFO queue, cold start, efficiency loss under load, a key cache, connections.
 
-Requests in service share the cores evenly (processor sharing), each with at most one core; `slots` are in service at
-a time, `room` more wait in order, and what comes beyond that is turned away. With as many slots as cores this is the
-textbook's M/G/c queue, first come, first served. Work is measured in nanoseconds of one core at speed 1.
+Requests in service share the cores evenly (processor sharing), each with at most one core. At most `slots` requests
+are in service and `room` more wait in FIFO order; further requests are rejected. With as many slots as cores this is
+an M/G/c queue with FIFO order. Work is measured in nanoseconds of one core at speed 1.
 
-Processor sharing is played by virtual time: what each request in service has been given since the server's start. It
-grows at the same rate for all, so one number and one heap tell who is done next, whatever the rate does meanwhile
-(Zhang and Zwart's survey gives the construction; it is the usual one for generalized processor sharing).
+Processor sharing is simulated by virtual time: the service that each request in service has received since the
+server's start. It grows at the same rate for all of them, so one number and one heap determine which request finishes
+next, however the rate changes (the usual construction for generalized processor sharing; see the survey by Zhang and
+Zwart).
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from rosechute.simulation.engine import Engine
 from rosechute.simulation.spec import Fleet
 
-RATES_NS = 1_000_000_000  # over which rates are smoothed that a server tells
-STEPS_COLD = 20  # times that a cold server's speed is looked at while it warms
+RATE_SMOOTHING_NS = 1_000_000_000  # time constant of the reported rates
+WARMUP_STEPS = 20  # number of speed updates of a cold server until it is warm
 
 
 class Job:
-    """One attempt at a server, from its arrival to its end there."""
+    """Attempt at a server, from its arrival to its completion there."""
 
     __slots__ = ("rid", "number", "cls", "key", "work", "instance", "sender", "done", "waits", "left", "over")
 
@@ -41,14 +42,14 @@
     ) -> None:
         self.rid, self.number, self.cls, self.key, self.work, self.instance = rid, number, cls, key, work, instance
         self.sender = sender
-        self.done = done  # told with False where the server died with it
+        self.done = done  # called with the job, and False if the server stopped first
         self.waits = False
-        self.left = False  # whoever sent it is no longer interested
+        self.left = False  # withdrawn by its sender
         self.over = False
 
 
 class Server:
-    """One server process after another under one name."""
+    """Server with a fixed name and a succession of processes."""
 
     def __init__(
         self,
@@ -56,21 +57,21 @@
         spec: Fleet,
         number: int,
         zone: int,
-        began: Callable[[Server, Job], None],
-        fell: Callable[[Server], None],
+        on_begin: Callable[[Server, Job], None],
+        on_overload: Callable[[Server], None],
     ) -> None:
         self.engine, self.spec, self.number, self.zone = engine, spec, number, zone
-        self._cores, self._slots, self._most = int(spec.cores), int(spec.slots), int(spec.slots + spec.room)
+        self._cores, self._slots, self._limit = int(spec.cores), int(spec.slots), int(spec.slots + spec.room)
         self.name = f"s{number}"
-        self._began, self._fell = began, fell
+        self._on_begin, self._on_overload = on_begin, on_overload
         self.up = True
         self.started = 0  # 0: before the run, so warm
         self.draining = False
-        self.speeds: dict[int, float] = {}  # factor of each fault that acts here, by the fault's number
-        self.hung: set[int] = set()  # faults that have it stand still
-        self.grey: dict[int, tuple[int, float]] = {}  # by fault: (class or -1, share of clients)
-        self.lies: dict[int, float] = {}  # by fault: what its reports are multiplied with
-        self.shared = 1.0  # speed that a dependency of all servers leaves it
+        self.speeds: dict[int, float] = {}  # by fault: speed factor
+        self.hung: set[int] = set()  # active faults that stop all processing
+        self.grey: dict[int, tuple[int, float]] = {}  # by fault: (class or -1, client divisor or 0 for all clients)
+        self.lies: dict[int, float] = {}  # by fault: factor applied to the load reports
+        self.shared = 1.0  # speed factor caused by a dependency shared by all servers
         self._speed = float(spec.speed)
         self.connections = 0
         self.ran = 0
@@ -87,11 +88,11 @@
         self._planned = -1
         self._plan = 0
         self._cache: OrderedDict[int, None] = OrderedDict()
-        self._pressure: deque[tuple[int, float]] = deque()  # work that arrived while cold
-        self._pressed = 0.0
+        self._cold_arrivals: deque[tuple[int, float]] = deque()  # (time, work) of arrivals while cold
+        self._cold_work = 0.0
         self._use = self._flow = 0.0
 
-    # --- what others see
+    # --- state
 
     @property
     def held(self) -> int:
@@ -100,32 +101,35 @@
 
     @property
     def waiting(self) -> int:
+        """Requests waiting for a slot."""
         return len(self._waiting)
 
     @property
     def busy(self) -> float:
-        """The share of the cores that is at work."""
+        """Fraction of the cores in use."""
         return min(1.0, len(self._running) / self.spec.cores)
 
     def of_late(self) -> tuple[float, float]:
-        """Share of the cores at work and requests ended a second, smoothed over `RATES_NS`. Both are low by the
-        same part just after a start, so their ratio is not."""
+        """Return core utilisation and completed requests per second, smoothed over `RATE_SMOOTHING_NS`.
+
+        Just after a start both are too low by the same factor, so their ratio is unbiased.
+        """
         self._advance()
         return self._use, self._flow
 
     def capacity(self) -> float:
-        """Work that it does now for each nanosecond, uncrowded."""
+        """Return the current capacity in work per nanosecond, without the efficiency loss by crowding."""
         return self._speed * self._factor() * self.warmth() * self.spec.cores
 
     def warmth(self) -> float:
-        """The share of its speed that a server has, being cold: from `cold_from`, growing evenly."""
+        """Return the current fraction of the full speed: rises linearly from `cold_from` to 1 after a start."""
         age = self.engine.now - self.started
         if not self.started or age >= self.spec.cold:
             return 1.0
         return self.spec.cold_from + (1.0 - self.spec.cold_from) * age / self.spec.cold
 
     def expected(self, work: float) -> float:
-        """Nanoseconds that one more request would take, by the true state; for the oracle."""
+        """Return the latency in nanoseconds expected for one more request, from the true state, for the oracle."""
         capacity = self.capacity()
         if not self.up or self.draining or capacity <= 0:
             return float("inf")
@@ -136,10 +140,10 @@
             + max(0.0, self.held + 1 - self.spec.cores) * ((ahead + work) / (self.held + 1)) / capacity
         )
 
-    # --- its life
+    # --- process lifetime
 
     def stop(self) -> None:
-        """The process dies; all that it held ends without an answer."""
+        """Stop the process; all requests held end without an answer."""
         self._advance()
         lost = [job for _, _, job in self._running] + list(self._waiting)
         self.up = False
@@ -151,7 +155,7 @@
             job.done(job, False)
 
     def start(self) -> None:
-        """A new process, cold."""
+        """Start a new, cold process."""
         self.up, self.draining = True, False
         self.started = max(1, self.engine.now)
         self._reset()
@@ -162,22 +166,22 @@
         if self.up and self.started == started:
             self.changed()
             if self.engine.now - started < self.spec.cold:
-                self.engine.after(self.spec.cold // STEPS_COLD, self._warm, started)
+                self.engine.after(self.spec.cold // WARMUP_STEPS, self._warm, started)
 
     def changed(self) -> None:
-        """Its speed may be another from now on."""
+        """Account for the work done so far and reschedule; call before and after a change of speed."""
         self._advance()
         self._schedule()
 
     # --- requests
 
     def arrive(self, job: Job) -> bool:
-        """Take a request; False where it is turned away."""
+        """Accept a request; return False if it is rejected."""
         cold = bool(self.started) and self.engine.now - self.started < self.spec.cold
-        if cold and self._overrun(job.work):
-            self._fell(self)
+        if cold and self._is_overloaded_cold(job.work):
+            self._on_overload(self)
             return False
-        if len(self._running) + len(self._waiting) >= self._most:
+        if len(self._running) + len(self._waiting) >= self._limit:
             return False
         if len(self._running) < self._slots:
             self._advance()
@@ -191,10 +195,10 @@
         return True
 
     def withdraw(self, job: Job) -> bool:
-        """Whoever sent it has left: what still waits is dropped, what runs goes on. Whether it was dropped."""
+        """Withdraw a job: drop it if it is queued, let it run if it is in service. Return whether it was dropped."""
         job.left = True
         if not job.waits:
-            return False  # in service, over, or still on its way
+            return False  # in service, completed or in transit
         job.waits = False
         self._waiting.remove(job)
         job.over = True
@@ -202,14 +206,14 @@
             self.changed()
         return True
 
-    def _overrun(self, work: float) -> bool:
-        """Whether a cold server has been sent more than it bears, over the rule's window; see the settings."""
+    def _is_overloaded_cold(self, work: float) -> bool:
+        """Record an arrival at a cold server; return whether the work of the window `fall` exceeds its limit."""
         now, spec = self.engine.now, self.spec
-        self._pressure.append((now, work))
-        self._pressed += work
-        while self._pressure[0][0] <= now - spec.fall:
-            self._pressed -= self._pressure.popleft()[1]
-        return now - self.started >= spec.fall and self._pressed > spec.fall_multiple * self.capacity() * spec.fall
+        self._cold_arrivals.append((now, work))
+        self._cold_work += work
+        while self._cold_arrivals[0][0] <= now - spec.fall:
+            self._cold_work -= self._cold_arrivals.popleft()[1]
+        return now - self.started >= spec.fall and self._cold_work > spec.fall_multiple * self.capacity() * spec.fall
 
     def _begin(self, job: Job) -> None:
         work = job.work
@@ -224,14 +228,14 @@
         job.waits = False
         self._order += 1
         heapq.heappush(self._running, (self._virtual + work, self._order, job))
-        self._began(self, job)
+        self._on_begin(self, job)
 
     def _factor(self) -> float:
         if self.hung:
             return 0.0
         factor = self.shared
-        for one in self.speeds.values():
-            factor *= one
+        for speed in self.speeds.values():
+            factor *= speed
         return factor
 
     def _advance(self) -> None:
@@ -239,13 +243,13 @@
         if now > self._at:
             self._virtual += (now - self._at) * self._rate
             if self.rates:
-                kept = math.exp((self._at - now) / RATES_NS)
-                self._use = self.busy + (self._use - self.busy) * kept
-                self._flow *= kept
+                decay = math.exp((self._at - now) / RATE_SMOOTHING_NS)
+                self._use = self.busy + (self._use - self.busy) * decay
+                self._flow *= decay
         self._at = now
 
     def _schedule(self) -> None:
-        """Work out the rate, and have the next one that will be done be looked at then."""
+        """Compute the service rate and schedule the next completion."""
         count = len(self._running)
         if not count:
             self._rate = 0.0
@@ -282,10 +286,10 @@
         while self._waiting and len(self._running) < self._slots:
             self._begin(self._waiting.popleft())
         if not self._running:
-            self._virtual = 0.0  # no long sum to lose digits in
+            self._virtual = 0.0  # avoids loss of precision in a long sum
         self._schedule()
         for job in done:
             job.over = True
             self.ran += 1
-            self._flow += 1e9 / RATES_NS
+            self._flow += 1e9 / RATE_SMOOTHING_NS
             job.done(job, True)
--- a/rosechute/simulation/spec.py
+++ b/rosechute/simulation/spec.py
@@ -1,4 +1,4 @@
-"""What a scenario file may hold. Times are texts with a unit; every key's meaning, unit and default stand here."""
+"""Schema of scenario files, with the meaning, unit and default of every key. Times are strings with a unit."""
 
 from __future__ import annotations
 
@@ -39,64 +39,64 @@
 
 
 class Class(Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests."""
+    """Request class."""
 
     name: Name
-    share: Positive = 1.0  # of all requests, in proportion to the other classes'
+    share: Positive = 1.0  # weight in the request mix, relative to the other classes
     repeat: Literal["free", "guarded", "single_shot"] = "free"
     group: Literal["all", "zone", "cell"] = "all"
-    aim: Span = Span(500 * MS)  # an answer by then is worth all
-    deadline: Span = Span(SECOND_NS)  # the client gives up
-    window: Span = Span(5 * SECOND_NS)  # how long a guarded request's key is known to the servers
+    aim: Span = Span(500 * MS)  # latency target: an answer within it has full value
+    deadline: Span = Span(SECOND_NS)  # client timeout
+    window: Span = Span(5 * SECOND_NS)  # how long servers remember the idempotency key of a guarded request
     worth: Positive = 1.0
-    late_worth: Share = 0.0  # what an answer between aim and deadline is worth, of that
-    work: Span = Span(20 * MS)  # mean, on one core at speed 1
+    late_worth: Share = 0.0  # value of an answer between aim and deadline, as a fraction of `worth`
+    work: Span = Span(20 * MS)  # mean service time on one core at speed 1
     spread: Literal["exponential", "fixed", "lognormal"] = "exponential"
-    sigma: Positive = 1.0  # of the logarithm, where lognormal
+    sigma: Positive = 1.0  # standard deviation of the logarithm, for lognormal
 
 
 class Clients(Struct, frozen=True, forbid_unknown_fields=True):
-    """Who asks: an open loop, so that a slow answer keeps nobody from asking."""
+    """Open-loop clients: slow answers do not reduce the arrival rate."""
 
-    rate: Positive = 200.0  # requests a second, mean over the run but for faults
+    rate: Positive = 200.0  # mean requests per second, before faults
     shape: SHAPES = "flat"
-    depth: Share = 0.5  # how far the shape departs from the mean, as a part of it
-    period: Span = Span(10 * SECOND_NS)  # of the shape
-    retries: Annotated[int, Meta(ge=0, le=10)] = 0  # further requests by a client that was refused or failed
-    backoff: Span = Span(100 * MS)  # before the first of them; doubles, with full jitter
-    patience: Share = 0.5  # share of clients that wait as long as Retry-After says
+    depth: Share = 0.5  # amplitude of the shape, as a fraction of the mean
+    period: Span = Span(10 * SECOND_NS)  # period of the shape
+    retries: Annotated[int, Meta(ge=0, le=10)] = 0  # retries by a client after a refusal or failure
+    backoff: Span = Span(100 * MS)  # before the first retry; doubles, with full jitter
+    patience: Share = 0.5  # fraction of clients that honour Retry-After
     keys: Count = 1000
-    skew: Annotated[float, Meta(ge=0, le=5)] = 1.0  # of the keys, by Zipf's law
-    tenants: tuple[Positive, ...] = (1.0,)  # shares
-    heavy: Whole = 0  # the instance, by number, that gets `heaviest` times what the others get in the mean ...
-    heaviest: Positive | None = None  # ... those by chance half to one and a half times; evenly where absent
-    population: Count = 1000  # distinct clients; a grey server may fail one in so many
+    skew: Annotated[float, Meta(ge=0, le=5)] = 1.0  # Zipf exponent of the keys
+    tenants: tuple[Positive, ...] = (1.0,)  # weights
+    heavy: Whole = 0  # number of the instance that gets `heaviest` times the mean traffic of the others
+    heaviest: Positive | None = None  # if set, the others get a random 0.5 to 1.5 times their mean; if not, all equal
+    population: Count = 1000  # number of distinct clients; a grey server may fail one in so many
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
-    """The servers."""
+    """Servers."""
 
     servers: Count = 10
     zones: Annotated[int, Meta(ge=1, le=64)] = 1
     cores: Annotated[int, Meta(ge=1, le=1024)] = 2
-    slots: Count = 8  # requests in service at a time
-    room: Whole = 16  # requests that wait; beyond, one is turned away as full
+    slots: Count = 8  # maximum of requests in service
+    room: Whole = 16  # queue length; a request that finds the queue full is rejected
     speed: Positive = 1.0
-    unlike: Share = 0.0  # speeds lie evenly in 1 - this to 1 + this, times `speed`
-    crowding: Annotated[float, Meta(ge=0, le=10)] = 0.0  # loss of efficiency for each core's worth held too many
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.2  # share of its speed that a fresh server has
-    cold: Span = Span(8 * SECOND_NS)  # until it has all of it
-    fall_multiple: Positive = 3.0  # sent more than so many times its capacity, a cold server falls over ...
-    fall: Span = Span(1500 * MS)  # ... for so long
-    cache: Whole = 0  # keys that a server keeps; 0 for no cache
-    cache_factor: Share = 0.3  # work of a request whose key is there, of the usual
-    connections: Whole = 0  # cap for each server; 0 for none
-    handshake: Span | None = None  # work of one more connection; none by default
-    reports: Literal["none", "some", "rates"] = "none"  # whether answers tell what a server holds; and what it does
+    unlike: Share = 0.0  # speeds are uniform in (1 - unlike) to (1 + unlike), times `speed`
+    crowding: Annotated[float, Meta(ge=0, le=10)] = 0.0  # efficiency loss per core for requests held beyond the cores
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.2  # initial speed of a cold server, as a fraction
+    cold: Span = Span(8 * SECOND_NS)  # warm-up time to full speed
+    fall_multiple: Positive = 3.0  # a cold server crashes if sent more than this multiple of its capacity ...
+    fall: Span = Span(1500 * MS)  # ... over a window of this length
+    cache: Whole = 0  # number of keys in a server's cache; 0 for no cache
+    cache_factor: Share = 0.3  # work of a request on a cache hit, as a fraction
+    connections: Whole = 0  # connection limit of a server; 0 for none
+    handshake: Span | None = None  # extra work of a new connection; none by default
+    reports: Literal["none", "some", "rates"] = "none"  # load reports in answers: "some" gauges, "rates" also rates
 
 
 class Instances(Struct, frozen=True, forbid_unknown_fields=True):
-    """The sidecars."""
+    """Sidecars."""
 
     count: Count = 4
     attempts: Annotated[int, Meta(ge=1, le=20)] = 3
@@ -105,58 +105,58 @@
     retry_after: bool = True
     probes: bool = False
     connect_timeout: Span = Span(250 * MS)
-    idle: Span = Span(30 * SECOND_NS)  # after which a connection that is not used is closed
-    restart: Span = Span(500 * MS)  # how long one takes to come back
-    grace: Span = Span(250 * MS)  # how long after a drain is told a request may still go there
+    idle: Span = Span(30 * SECOND_NS)  # idle timeout of connections
+    restart: Span = Span(500 * MS)  # downtime of a restart
+    grace: Span = Span(250 * MS)  # how long requests may still be sent to a server after its drain was announced
 
 
 class Network(Struct, frozen=True, forbid_unknown_fields=True):
-    """What lies between instances and servers, each way."""
+    """Network between instances and servers, per direction."""
 
     delay: Span = Span(MS // 4)
-    across: Span = Span(MS)  # between zones
-    jitter: Annotated[float, Meta(ge=0, le=10)] = 0.2  # mean of an exponential part, of the delay
-    loss: Share = 0.0  # share of messages that are sent again after `again`, doubled each time
+    across: Span = Span(MS)  # delay between zones
+    jitter: Annotated[float, Meta(ge=0, le=10)] = 0.2  # mean of the exponential jitter, as a fraction of the delay
+    loss: Share = 0.0  # fraction of messages lost and retransmitted after `again`, doubled each time
     again: Span = Span(200 * MS)
 
 
 class Discovery(Struct, frozen=True, forbid_unknown_fields=True):
-    """The server list: one queue for questions and news."""
+    """Discovery service with one queue for answers and updates."""
 
-    lag: Span = Span(50 * MS)  # from a change to its place in the queue
-    per_s: Positive = 10_000.0  # messages that it sends
-    late: Span | None = None  # so much later all that it says reaches ...
-    late_share: Share = 0.5  # ... this share of the instances, the last ones
-    subscribe: bool = True  # whether instances have to ask; else all are told of everything
+    lag: Span = Span(50 * MS)  # delay from a change to its update being queued
+    per_s: Positive = 10_000.0  # messages sent per second
+    late: Span | None = None  # additional delay of all messages to ...
+    late_share: Share = 0.5  # ... this fraction of the instances, those with the highest numbers
+    subscribe: bool = True  # whether instances must subscribe; otherwise all receive every update
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """One thing that goes wrong. docs/lab.md tells for each kind what `factor`, `share` and the rest mean."""
+    """Injected fault. docs/lab.md describes `factor`, `share` and the other keys for each kind."""
 
     kind: KINDS
-    at: Span | None = None  # from the run's start; the start where absent
+    at: Span | None = None  # offset from the start of the run; 0 if absent
     lasts: Span = Span(5 * SECOND_NS)
-    ramp: Span | None = None  # comes on, and goes, evenly over so long
+    ramp: Span | None = None  # duration of the linear rise and fall
     repeat: Annotated[int, Meta(ge=1, le=1000)] = 1
-    every: Span | None = None  # from start to start of its repeats; `lasts` twice where absent
-    servers: tuple[int, ...] = ()  # by number; where empty, `share` of them, drawn by the seed
+    every: Span | None = None  # interval between starts of repetitions; twice `lasts` if absent
+    servers: tuple[int, ...] = ()  # server numbers; if empty, a random `share` of all servers
     share: Share = 0.1
     zone: int = 0
     factor: Annotated[float, Meta(ge=0, le=1000)] = 0.2
     cls: str = ""
-    clients: Annotated[int, Meta(ge=0)] = 0  # grey: fails one client in so many
+    clients: Annotated[int, Meta(ge=0)] = 0  # grey: fails one client in this many
     tenant: Annotated[int, Meta(ge=0)] = 0
-    pause: Span = Span(2 * SECOND_NS)  # crash loop and deploy: how long a server is away
-    recovers_below: Share = 0.5  # shared-slow: it ends only once the fleet is less busy than this
+    pause: Span = Span(2 * SECOND_NS)  # crash loop and deploy: downtime of a server
+    recovers_below: Share = 0.5  # shared-slow: the fault ends only when the fleet's utilisation is below this
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """All of it."""
+    """Complete scenario."""
 
     name: Name
     about: str
     duration: Span = Span(30 * SECOND_NS)
-    warmup: Span | None = None  # left out of the figures
+    warmup: Span | None = None  # initial time excluded from the statistics
     clients: Clients = Clients()
     fleet: Fleet = Fleet()
     instances: Instances = Instances()
--- a/rosechute/simulation/statistic.py
+++ b/rosechute/simulation/statistic.py
@@ -1,4 +1,4 @@
-"""What can be said of two policies from paired runs: intervals by bootstrap, and a verdict. Pure."""
+"""Comparison of two policies from paired runs: bootstrap confidence intervals and a significance decision."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Interval(NamedTuple):
-    """A mean, and the interval that it lies in, of all resamples, with the given confidence."""
+    """Sample mean, bounds of its confidence interval, and sample size."""
 
     mean: float
     low: float
@@ -20,9 +20,10 @@
 
 
 def interval(values: Sequence[float], confidence: float = 0.95, seed: int = 1) -> Interval:
-    """The mean of a sample, with its percentile bootstrap interval (Efron and Tibshirani 1993, chapter 13).
+    """Return the mean of a sample with its percentile bootstrap interval (Efron and Tibshirani 1993, chapter 13).
 
-    Raises ValueError where there are no values.
+    Raises:
+        ValueError: The sample is empty.
     """
     if not values:
         raise ValueError("no values")
@@ -34,9 +35,9 @@
 
 
 def verdict(differences: Sequence[float], more_is_better: bool = True, least: int = 5) -> tuple[str, Interval]:
-    """Tell "better", "worse" or "cannot tell" of paired differences (first minus second).
+    """Classify paired differences (first minus second) as "better", "worse" or "cannot tell", with their interval.
 
-    "cannot tell" where the interval holds 0, and with fewer than `least` pairs whatever they show.
+    The result is "cannot tell" if the interval contains 0 or there are fewer than `least` pairs.
     """
     found = interval(differences)
     if found.size < least or found.low <= 0.0 <= found.high:
--- a/rosechute/simulation/store.py
+++ b/rosechute/simulation/store.py
@@ -1,7 +1,8 @@
-"""Where results are kept: one SQLite file, one row a run, each written when its run ends.
+"""Result store: one SQLite file with one row per run, written when the run ends.
 
-A killed sweep has all runs that ended; the next one does the rest. A row is found again by what made it: scenario,
-policy, seed and the program's own sources, so that results of another program are never mistaken for this one's.
+An interrupted sweep keeps all finished runs, and the next sweep runs only the missing ones. The key of a row is
+derived from the scenario, the policy, the seed and the program's sources, so that results of a different program
+version are never reused.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 def program() -> str:
-    """Names the sources that decide what a run gives: a digest of theirs, 12 digits."""
+    """Return a 12-digit hexadecimal digest of the sources that determine the result of a run."""
     root = Path(__file__).resolve().parent.parent.parent
     found = xxhash.xxh3_64()
     for part in PARTS:
@@ -49,14 +50,15 @@
 
 
 def identity(made_by: str, scenario: bytes, policy: str, seed: int) -> str:
-    """The key of a run."""
+    """Return the key of a run, derived from the program's digest, the scenario, the policy and the seed."""
     return str(xxhash.xxh3_128_hexdigest(b"\0".join((made_by.encode(), scenario, policy.encode(), b"%d" % seed))))
 
 
 class Store:
-    """Results in one file.
+    """Result store in one SQLite file.
 
-    Raises sqlite3.DatabaseError where the file is no such store.
+    Raises:
+        sqlite3.DatabaseError: The file is not a result store.
     """
 
     def __init__(self, path: Path) -> None:
@@ -64,10 +66,11 @@
         self._db.executescript(f"pragma journal_mode = wal; pragma synchronous = normal; {TABLE}")
 
     def close(self) -> None:
+        """Close the database."""
         self._db.close()
 
     def add(self, row: Row) -> None:
-        """Keep a run, for good once this returns."""
+        """Insert or replace a run; it is committed when this returns."""
         with self._db:
             self._db.execute(
                 "insert or replace into run values (?,?,?,?,?,?,?,?,?)",
@@ -75,20 +78,21 @@
             )
 
     def has(self, key: str) -> bool:
+        """Return whether a run with this key is stored."""
         return self._db.execute("select 1 from run where key = ?", (key,)).fetchone() is not None
 
     def rows(
         self, scenario: str | None = None, policy: str | None = None, made_by: str | None = None
     ) -> Iterator[Row]:
-        """Runs in order of scenario, changes, policy and seed; all, or those that match."""
-        wanted = [
+        """Iterate over the stored runs that match, ordered by scenario, changes, policy and seed."""
+        filters = [
             (name, value)
             for name, value in (("scenario", scenario), ("policy", policy), ("program", made_by))
             if value is not None
         ]
-        where = " where " + " and ".join(f"{name} = ?" for name, _ in wanted) if wanted else ""
+        where = " where " + " and ".join(f"{name} = ?" for name, _ in filters) if filters else ""
         for row in self._db.execute(
             f"select * from run{where} order by scenario, changes, policy, seed, program",
-            [value for _, value in wanted],
+            [value for _, value in filters],
         ):
             yield Row._make((*row[:-1], json.loads(row[-1])))
--- a/rosechute/simulation/sweep.py
+++ b/rosechute/simulation/sweep.py
@@ -1,4 +1,4 @@
-"""Many runs over all cores: what is asked for, less what the store has already."""
+"""Sweeps: many runs in parallel processes, skipping the runs that the store already has."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Task(NamedTuple):
-    """One run to be done."""
+    """Run to be simulated."""
 
     key: str
     scenario: str
@@ -26,7 +26,7 @@
 
 
 def grid(changes: Mapping[str, Sequence[Any]]) -> list[dict[str, Any]]:
-    """All combinations of the values of each path."""
+    """Return all combinations of the values of each path."""
     return [dict(zip(changes, values, strict=True)) for values in itertools.product(*changes.values())]
 
 
@@ -37,9 +37,10 @@
     changes: Mapping[str, Sequence[Any]],
     made_by: str,
 ) -> list[Task]:
-    """All runs of a sweep. Runs of one seed stand together, so that a sweep that is cut short has whole pairs.
+    """Return all runs of a sweep, grouped by seed, so that an interrupted sweep has complete pairs for comparison.
 
-    Raises FileError where a scenario or a change can't be taken.
+    Raises:
+        FileError: A scenario or an override is invalid.
     """
     found: list[Task] = []
     loaded = [
@@ -56,26 +57,29 @@
     return found
 
 
-def sweep(store: Store, wanted: Sequence[Task], workers: int, told: Callable[[Task | None], None]) -> int:
-    """Do what the store has not got, each kept as soon as it ends; how many were done.
+def sweep(store: Store, wanted: Sequence[Task], workers: int, on_done: Callable[[Task | None], None]) -> int:
+    """Simulate the runs that the store lacks, store each as soon as it ends, and return their number.
 
-    Args:
-        told: Called for each run done, and with None for each that the store had.
+    On KeyboardInterrupt the runs in progress are terminated; finished runs are kept.
 
-    On KeyboardInterrupt the runs in hand are given up, and those that ended are kept.
+    Args:
+        store: Result store.
+        wanted: Runs of the sweep.
+        workers: Number of worker processes.
+        on_done: Called with each finished run, and with None for each run that the store already had.
     """
-    left = []
+    missing = []
     for task in wanted:
         if store.has(task.key):
-            told(None)
+            on_done(None)
         else:
-            left.append(task)
-    coming = iter(left)
+            missing.append(task)
+    pending = iter(missing)
     done = 0
     pool = ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn"))
     try:
         out: dict[Future[tuple[str, float, dict[str, Any]]], Task] = {
-            pool.submit(play, *task[1:5]): task for task in itertools.islice(coming, 2 * workers)
+            pool.submit(play, *task[1:5]): task for task in itertools.islice(pending, 2 * workers)
         }
         while out:
             ended, _ = wait(out, return_when=FIRST_COMPLETED)
@@ -96,10 +100,10 @@
                     )
                 )
                 done += 1
-                told(task)
-                follows = next(coming, None)
-                if follows is not None:
-                    out[pool.submit(play, *follows[1:5])] = follows
+                on_done(task)
+                next_task = next(pending, None)
+                if next_task is not None:
+                    out[pool.submit(play, *next_task[1:5])] = next_task
     except KeyboardInterrupt:
         for process in list((pool._processes or {}).values()):
             process.terminate()
--- a/rosechute/simulation/trace.py
+++ b/rosechute/simulation/trace.py
@@ -1,20 +1,20 @@
-"""What happened in a run, as records. The judge, the figures and the reports read these and nothing else.
+"""Event records of a run, the only input of the invariant checker, the statistics and the reports.
 
-A record is a tuple: time in nanoseconds, kind, and what the kind tells. Requests, attempts, servers and instances are
-numbers; `judge.py` and `figures.py` show each kind at work.
+A record is a tuple of the time in nanoseconds, the kind, and the fields of that kind. Requests, attempts, servers and
+instances are identified by numbers. `judge.py` and `figures.py` read these records.
 
 | kind | fields after time and kind |
 | --- | --- |
-| ASK | request, origin, instance, class, tenant, key, ns until its client gives up, client's tries so far |
+| REQUEST | request, origin, instance, class, tenant, key, ns until client timeout, earlier tries by the client |
 | SEND | request, attempt, server |
-| ARRIVE | request, attempt, server, instance, work, 1 where it was taken |
+| ARRIVE | request, attempt, server, instance, work, 1 if the server accepted it |
 | BEGIN | request, attempt, server |
 | OUTCOME | request, attempt, how (`rosechute.load_balancing.How`) |
-| END | request, ending (`SERVED` ...), ns until it may be asked again |
-| TOLD | instance, server, state (`UP`, `DRAINING`, `GONE`), ns at which that process started (0: long ago) |
-| SERVER | server, state, work a ns it does by now when warm, share of that it has when cold |
-| INSTANCE | instance, 1 for up and 0 for gone |
-| LEVEL | fault, kind's name, level from 0 to 1 |
+| END | request, ending (`SERVED` ...), ns of the Retry-After delay |
+| NOTIFIED | instance, server, state (`UP`, `DRAINING`, `STOPPED`), start of that process in ns (0: before the run) |
+| SERVER | server, state, warm capacity in work per ns, fraction of it when cold |
+| INSTANCE | instance, 1 for up and 0 for stopped |
+| LEVEL | fault, name of the fault kind, intensity from 0 to 1 |
 | GAUGE | requests held by all servers, requests open at all instances, servers up |
 """
 
@@ -26,9 +26,11 @@
 import msgspec
 import xxhash
 
-ASK, SEND, ARRIVE, BEGIN, OUTCOME, END, TOLD, SERVER, INSTANCE, LEVEL, GAUGE = range(11)
-SERVED, REFUSED, FAILED, LEFT, LOST = range(5)  # LEFT: the client gave up first; LOST: its instance was killed
-UP, DRAINING, GONE, FELL = range(4)
+REQUEST, SEND, ARRIVE, BEGIN, OUTCOME, END, NOTIFIED, SERVER, INSTANCE, LEVEL, GAUGE = range(11)
+SERVED, REFUSED, FAILED, TIMED_OUT, LOST = range(
+    5
+)  # TIMED_OUT: the client timed out first; LOST: its instance was killed
+UP, DRAINING, STOPPED, CRASHED = range(4)
 BLOCK = 8192
 
 Record = tuple[Any, ...]
@@ -36,30 +38,31 @@
 
 
 class Trace:
-    """Takes records in order of time, hands each on, and keeps a digest of all.
+    """Recorder that passes records in order of time to its readers and computes a digest of all records.
 
     Args:
         readers: Called with each record, in order.
-        file: Where records go as well, if anywhere; `read` gets them back.
-        block: How many records are handed on at a time. The digest is of the blocks.
+        file: Optional file to which records are written; `read` decodes it.
+        block: Number of records encoded and passed on at a time. The digest depends on it.
     """
 
     def __init__(self, readers: Iterable[Reader] = (), file: BinaryIO | None = None, block: int = BLOCK) -> None:
         self._readers = tuple(readers)
         self._file = file
-        self._most = block
+        self._block_size = block
         self._hash = xxhash.xxh3_128()
         self._block: list[Record] = []
         self._encode = msgspec.msgpack.Encoder().encode
         self.count = 0
 
     def add(self, record: Record) -> None:
+        """Append a record; flush when a block is full."""
         self._block.append(record)
-        if len(self._block) >= self._most:
+        if len(self._block) >= self._block_size:
             self.flush()
 
     def flush(self) -> None:
-        """Hand on what has come; for the end of the run."""
+        """Encode the buffered records and pass them to the file and the readers; called also at the end of a run."""
         if not self._block:
             return
         block, self._block = self._block, []
@@ -73,18 +76,19 @@
                 reader(record)
 
     def digest(self) -> str:
-        """Equal for equal traces and, as far as 128 bits go, for no others."""
+        """Return the 128-bit digest of all flushed blocks as hexadecimal text."""
         return str(self._hash.hexdigest())
 
 
 def read(file: BinaryIO) -> Iterator[Record]:
-    """The records of a file that a `Trace` wrote.
+    """Iterate over the records of a file written by `Trace`.
 
-    Raises ValueError where it ends in the middle of a block.
+    Raises:
+        ValueError: The file ends in the middle of a block.
     """
     while size := file.read(4):
         data = file.read(int.from_bytes(size, "big"))
         if len(size) < 4 or len(data) < int.from_bytes(size, "big"):
-            raise ValueError("the trace breaks off")
+            raise ValueError("truncated trace file")
         for record in msgspec.msgpack.decode(data):
             yield tuple(record)
--- a/rosechute/simulation/world.py
+++ b/rosechute/simulation/world.py
@@ -1,4 +1,4 @@
-"""One run: all parts of the model wired together, from a scenario, a policy's name and a seed."""
+"""Simulated world: all components of the model, built from a scenario, the name of a policy and a seed."""
 
 from __future__ import annotations
 
@@ -9,23 +9,35 @@
 from rosechute.simulation.clients import Clients
 from rosechute.simulation.draw import Streams
 from rosechute.simulation.engine import Engine
-from rosechute.simulation.faults import Actor
+from rosechute.simulation.faults import FaultInjector
 from rosechute.simulation.host import Host
 from rosechute.simulation.instance import Instance, Policy
 from rosechute.simulation.listing import Listing
 from rosechute.simulation.network import Paths
-from rosechute.simulation.rivals import Place, make
+from rosechute.simulation.rivals import PolicyContext, make
 from rosechute.simulation.server import Job, Server
 from rosechute.simulation.spec import Scenario
-from rosechute.simulation.trace import BEGIN, BLOCK, DRAINING, FELL, GAUGE, GONE, INSTANCE, SERVER, UP, Reader, Trace
+from rosechute.simulation.trace import (
+    BEGIN,
+    BLOCK,
+    CRASHED,
+    DRAINING,
+    GAUGE,
+    INSTANCE,
+    SERVER,
+    STOPPED,
+    UP,
+    Reader,
+    Trace,
+)
 
 GAUGE_NS = 100_000_000
 COLUMNS = {"none": (), "some": ("inflight", "queue", "util"), "rates": ("inflight", "queue", "util", "qps")}
-TAIL_NS = 1_000_000_000  # after the last client's time: for what is still on its way
+TAIL_NS = 1_000_000_000  # simulated time after the last client timeout, for messages in transit
 
 
 def settings(scenario: Scenario, index: int = 0, zone: int = 0) -> Settings:
-    """What an instance is told, in the decision module's terms."""
+    """Return the load balancing settings of an instance."""
     own, fleet = scenario.instances, scenario.fleet
     return Settings(
         classes=tuple(
@@ -64,18 +76,18 @@
 
 
 class World:
-    """A run that can be played.
+    """All components of one run.
 
     Args:
-        scenario: What there is, and what goes wrong.
-        policy: "module" for the decision module, else the name of a rival; see `rivals.NAMES`.
-        seed: Of all chance in the run.
-        readers: Called with each record, in order.
-        file: Where the trace goes, if anywhere.
+        scenario: The simulated system and its faults.
+        policy: "module" for the load balancing module, else the name of a baseline policy; see `rivals.NAMES`.
+        seed: Seed of all random numbers of the run.
+        readers: Called with each trace record, in order.
+        file: Optional file for the trace.
     """
 
     block = BLOCK
-    """Records that are judged and counted at a time."""
+    """Number of trace records passed to the readers at a time."""
 
     def __init__(
         self, scenario: Scenario, policy: str, seed: int, readers: Iterable[Reader] = (), file: BinaryIO | None = None
@@ -86,33 +98,33 @@
         trace = self.trace = Trace(readers, file, self.block)
         fleet = scenario.fleet
         self.servers = [
-            Server(engine, fleet, i, i % fleet.zones, self._began, self._fell) for i in range(fleet.servers)
+            Server(engine, fleet, i, i % fleet.zones, self._on_begin, self._on_overload) for i in range(fleet.servers)
         ]
         speeds = streams.of("speeds")
         for server in self.servers:
             server._speed = fleet.speed * (1.0 + fleet.unlike * (2.0 * speeds.uniform() - 1.0))
         by_name = {server.name: server for server in self.servers}
         self.paths = Paths(scenario.network, streams.of("network"))
-        self.listing = Listing(engine, scenario.discovery, self._tell, scenario.instances.count)
+        self.listing = Listing(engine, scenario.discovery, self._deliver_update, scenario.instances.count)
         entries = [self._entry(server) for server in self.servers]
         self.listing.seed(entries)
-        self.instances = self._hosts(streams, by_name)
+        self.instances = self._create_instances(streams, by_name)
         for server in self.servers:
             trace.add((0, SERVER, server.number, UP, server._speed * fleet.cores, fleet.cold_from))
         for instance in self.instances:
             instance.start(entries)
         self.clients = Clients(engine, scenario, streams, self.instances, trace)
-        Actor(self, streams.of("faults"))
+        FaultInjector(self, streams.of("faults"))
         engine.after(GAUGE_NS, self._gauge)
 
-    def _hosts(self, streams: Streams, by_name: dict[str, Server]) -> Sequence[Host]:
-        """All instances, in order of their numbers."""
+    def _create_instances(self, streams: Streams, by_name: dict[str, Server]) -> Sequence[Host]:
+        """Create all instances, in order of their numbers."""
         scenario, fleet, engine = self.scenario, self.scenario.fleet, self.engine
 
         def maker(number: int, life: int) -> Policy:
             zone = number % fleet.zones
-            seed_of = streams.number(f"policy/{number}/{life}")
-            return make(self.policy, Place(settings(scenario, number, zone), seed_of, engine, by_name))
+            policy_seed = streams.number(f"policy/{number}/{life}")
+            return make(self.policy, PolicyContext(settings(scenario, number, zone), policy_seed, engine, by_name))
 
         return [
             Instance(
@@ -133,21 +145,21 @@
         ]
 
     def play(self) -> str:
-        """Play it to the end, then on until all has ended; the trace's digest."""
+        """Run to the end of the scenario and until all requests have ended; return the digest of the trace."""
         self.engine.run(self.scenario.duration)
         self.clients.stopped = True
         self.engine.run(self.scenario.duration + max(c.deadline for c in self.scenario.classes) + TAIL_NS)
         self.trace.flush()
         return self.trace.digest()
 
-    # --- what faults do
+    # --- operations of faults
 
     def crash(self, number: int, pause: int | None, planned: bool = False) -> None:
-        """A server process dies; another starts after the pause, if there is one. Discovery learns of both."""
+        """Stop a server process and remove it from discovery; start a new one after `pause` ns, if not None."""
         server = self.servers[number]
         if not server.up:
             return
-        self._say(server, GONE)
+        self._record_state(server, STOPPED)
         self._stop(server)
         server.draining = False
         self.listing.change(self._entry(server)._replace(lifecycle="removed"))
@@ -155,37 +167,37 @@
             self.engine.after(pause, self.start, number)
 
     def start(self, number: int) -> None:
-        """A new process, cold."""
+        """Start a new, cold server process and list it in discovery."""
         server = self.servers[number]
         if not server.up:
             self._start(server)
-            self._say(server, UP)
+            self._record_state(server, UP)
             self.listing.change(self._entry(server))
 
     def drain(self, number: int) -> None:
-        """A server is to be left alone; it goes on with what it has."""
+        """Mark a server as draining; it completes the requests that it has."""
         server = self.servers[number]
         if server.up and not server.draining:
             server.draining = True
-            self._say(server, DRAINING)
+            self._record_state(server, DRAINING)
             self.listing.change(self._entry(server))
 
     def undrain(self, number: int) -> None:
-        """It takes part again."""
+        """End the draining of a server."""
         server = self.servers[number]
         if server.up and server.draining:
             server.draining = False
             self.listing.change(self._entry(server))
 
     def restart(self, instance: Host) -> None:
-        """An instance is killed, and comes back with its last list only."""
+        """Kill an instance and restart it later with only its last server list."""
         if instance.up:
             instance.kill()
             self.clients.up.remove(instance)
             self.trace.add((self.engine.now, INSTANCE, instance.number, 0))
-            self.engine.after(self.scenario.instances.restart, self._back, instance)
+            self.engine.after(self.scenario.instances.restart, self._restarted, instance)
 
-    def _back(self, instance: Host) -> None:
+    def _restarted(self, instance: Host) -> None:
         self.trace.add((self.engine.now, INSTANCE, instance.number, 1))
         instance.start()
         self.clients.up.append(instance)
@@ -196,13 +208,13 @@
     def _start(self, server: Server) -> None:
         server.start()
 
-    # --- what the parts tell
+    # --- callbacks of the components
 
     def _entry(self, server: Server) -> Entry:
         state = "draining" if server.draining else "up"
         return Entry(server.name, server.zone, 0, server.number, state, 1.0, server.started)
 
-    def _say(self, server: Server, state: int) -> None:
+    def _record_state(self, server: Server, state: int) -> None:
         self.trace.add(
             (
                 self.engine.now,
@@ -214,19 +226,19 @@
             )
         )
 
-    def _tell(self, number: int, news: Directory) -> None:
-        self.instances[number].hear(news)
+    def _deliver_update(self, number: int, update: Directory) -> None:
+        self.instances[number].on_directory(update)
 
-    def _began(self, server: Server, job: Job) -> None:
+    def _on_begin(self, server: Server, job: Job) -> None:
         self.trace.add((self.engine.now, BEGIN, job.rid, job.number, server.number))
 
-    def _fell(self, server: Server) -> None:
-        self.engine.at(self.engine.now, self._falls, server)
+    def _on_overload(self, server: Server) -> None:
+        self.engine.at(self.engine.now, self._stop_overloaded, server)
 
-    def _falls(self, server: Server) -> None:
-        """It remains down, as the rule has it; discovery lists it still, since nobody told it otherwise."""
+    def _stop_overloaded(self, server: Server) -> None:
+        """Stop an overloaded cold server for good; it stays listed, since discovery is not notified."""
         if server.up:
-            self._say(server, FELL)
+            self._record_state(server, CRASHED)
             self._stop(server)
 
     def _gauge(self, _: None) -> None:
--- a/rosechute/storage/files.py
+++ b/rosechute/storage/files.py
@@ -1,4 +1,4 @@
-"""The few operations on files that the record store needs, and their implementation on a real disk."""
+"""File operations that the record store needs, and their implementation on a real disk."""
 
 import os
 from typing import Protocol
--- a/rosechute/storage/layout.py
+++ b/rosechute/storage/layout.py
@@ -1,13 +1,13 @@
-"""Layout of snapshot slots and log entries on disk. Pure. All numbers are little-endian.
+"""Encoding of snapshot slots and log entries on disk. All numbers are little-endian.
 
     slot:   magic "RSC1" | generation u64 | body length u32 | body | checksum u32 of all before it
     log:    entry, entry, ...
     entry:  body length u32 | checksum u32 | body
     body:   number of records u32 | (record length u32 | record) for each
 
-The checksum (CRC-32) of an entry continues that of the entry before; that of the first continues the slot's. So an
-entry is valid only behind the slot and the entries that it was written after: nothing older can become valid once
-more. A torn write leaves a slot without a valid checksum, or a log that ends before the torn entry.
+The checksum (CRC-32) of an entry continues that of the entry before; that of the first entry continues the slot's. So
+an entry is valid only after the slot and the entries that it was written after; no older entry becomes valid again.
+A torn write leaves a slot without a valid checksum, or a log that ends before the torn entry.
 """
 
 import struct
@@ -26,11 +26,11 @@
     """A valid slot."""
 
     generation: int
-    """Greater than that of the snapshot before."""
+    """Number of the snapshot, greater than that of the snapshot before."""
     records: list[bytes]
     """The records of the snapshot."""
     checksum: int
-    """Where the checksums of the slot's log start from."""
+    """Checksum of the slot, which the first entry of its log continues."""
 
 
 class Log(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
     records: list[bytes]
     """The records of all entries, in order."""
     size: int
-    """Bytes up to the end of the last valid entry."""
+    """Size in bytes up to the end of the last valid entry."""
     checksum: int
     """Checksum of the last valid entry, which the next one continues."""
 
--- a/rosechute/storage/loading.py
+++ b/rosechute/storage/loading.py
@@ -28,6 +28,6 @@
     def open_store() -> None:
         loop.call_soon_threadsafe(finish, RecordStore.open(directory))
 
-    # Not the executor of the loop: a hung thread there would keep the process from ending.
+    # The executor of the loop is not used: a hung thread there would keep the process from ending.
     threading.Thread(target=open_store, name="load records", daemon=True).start()
     return await opened
--- a/rosechute/storage/record_store.py
+++ b/rosechute/storage/record_store.py
@@ -1,4 +1,6 @@
-"""Records in two alternating snapshot slots, each with a short log. Blocks on the disk; see `writer`.
+"""Records in two alternating snapshot slots, each with a short log.
+
+Operations block on the disk; `writer` runs them in a thread.
 
 The valid slot of the greatest generation and the valid entries of its log are the stored records. A new snapshot is
 written to the other slot, with a greater generation; its log begins only after the slot has been synced. So a power
@@ -31,7 +33,7 @@
     """The records of one directory. Not thread-safe."""
 
     def __init__(self, directory: Directory) -> None:
-        """Create a store that has loaded nothing; see `open`."""
+        """Create a store without records; `open` loads the stored ones."""
         self._directory = directory
         self._current_slot = 1  # index of the newest valid slot; the next snapshot goes to the other
         self._generation = 0
@@ -42,7 +44,7 @@
 
     @classmethod
     def open(cls, directory: Directory) -> Result[OpenedStore, StorageError]:
-        """Load the stored records and make them durable: they can be read here although they were never synced."""
+        """Load the stored records and sync them, since records that were never synced can be read as well."""
         try:
             store = cls(directory)
             records = store._load()
@@ -83,9 +85,8 @@
         target = 1 - self._current_slot
         self._generation += 1  # also after a failure: two different slots never have the same generation
         self._can_append = False
-        self._are_directory_entries_durable = (
-            False  # the slot may be a new file, whose directory entry its sync leaves out
-        )
+        # The slot may be a new file, whose sync does not cover its directory entry.
+        self._are_directory_entries_durable = False
         data, checksum = encode_slot(self._generation, records)
         try:
             self._directory.write(SLOT_NAMES[target], 0, data)
@@ -124,7 +125,7 @@
         self._current_slot, self._generation = index, slot.generation
         self._sync_loaded(index, log)
         self._log_size, self._checksum = log.size, log.checksum
-        # An entry written over a torn one could make a stale entry behind it valid once more.
+        # An entry written over a torn one could make a stale entry after it valid again.
         self._can_append = data is not None and log.size == len(data)
         return slot.records + log.records
 
--- a/rosechute/storage/writer.py
+++ b/rosechute/storage/writer.py
@@ -1,8 +1,8 @@
 """A thread that writes to a record store, so that no disk write blocks the event loop.
 
-Jobs are done in the order of submission; appends that are queued together share one sync. Results are handed back
-through `post`, for an event loop its `call_soon_threadsafe`. A write that hangs does not complete;
-`oldest_pending_since` tells since when.
+Jobs are done in the order of submission; appends that are queued together share one sync. Results are
+reported through `post`, for example the `call_soon_threadsafe` of an event loop. A write that hangs never completes;
+`oldest_pending_since` returns when it was submitted.
 """
 
 import threading
@@ -29,7 +29,7 @@
 
 
 class StoreWriter:
-    """Owns a record store and writes to it in a thread of its own."""
+    """Writer that owns a record store and a thread for its disk writes."""
 
     def __init__(self, store: RecordStore, post: Callable[..., object], clock: Callable[[], float]) -> None:
         """Create a writer whose thread does not run yet.
--- a/setup.py
+++ b/setup.py
@@ -1,9 +1,9 @@
-"""The build, which can compile the modules that each request passes through: ROSECHUTE_COMPILE=1.
+"""Optional compilation of the modules on the request path with mypyc.
 
-ROSECHUTE_COMPILE=lab compiles the lab's model as well, which then plays about twice as fast.
+ROSECHUTE_COMPILE=1 compiles the modules on the request path; ROSECHUTE_COMPILE=lab also compiles the simulator's
+model, which then runs about twice as fast. Without the variable nothing is compiled; the program behaves the same.
 
-Everything else about the project is in pyproject.toml. Compiled by mypyc from the same sources, types and all;
-without the variable nothing is compiled, and the program is the same.
+All other metadata of the project is in pyproject.toml.
 """
 
 import os
@@ -11,8 +11,8 @@
 
 from setuptools import setup
 
-# Each group is one library, within which calls need no look-up. The protocols of ports.py are apart: the compiler
-# (mypyc 1.19.1) fails on their properties where what uses them is in the same library.
+# Each group becomes one library; calls within a library need no look-up. The protocols of ports.py are a separate
+# group: mypyc 1.19.1 fails on their properties if the modules that use them are in the same library.
 GROUPS = [
     [
         "rosechute/load_balancing/interface.py",
@@ -52,8 +52,8 @@
 ]
 
 extensions = []
-asked = os.environ.get("ROSECHUTE_COMPILE")
-if asked in ("1", "lab"):
+compile_mode = os.environ.get("ROSECHUTE_COMPILE")
+if compile_mode in ("1", "lab"):
     try:
         from mypyc.build import mypycify
     except ImportError:
@@ -61,7 +61,7 @@
             "ROSECHUTE_COMPILE=1 needs mypy: pip install -r requirements-build.txt -r requirements.txt, "
             "then pip install --no-build-isolation ."
         )
-    for group in GROUPS + ([LAB] if asked == "lab" else []):
+    for group in GROUPS + ([LAB] if compile_mode == "lab" else []):
         extensions += mypycify(group, opt_level="3", debug_level="0", target_dir=".compiled.objects")
 
 setup(ext_modules=extensions)
--- a/tests/backend.py
+++ b/tests/backend.py
@@ -1,4 +1,4 @@
-"""Loopback partners for the sidecar: scripted servers, discovery and a plain client. Port 0 everywhere."""
+"""Test helpers on loopback: scripted servers, a plain HTTP client and a running sidecar, on free ports."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 from rosechute.load_balancing import Settings
 from rosechute.proxy.core.address import Address
-from rosechute.proxy.core.log import SINK
+from rosechute.proxy.core.log import LOG_WRITER
 from rosechute.sidecar.config import Config
 from rosechute.sidecar.sidecar import Sidecar
 
 ROOT = pathlib.Path(__file__).parent.parent
 IDS = itertools.count(1000)
-LIMIT_S = 20.0  # generous: a test that waits this long has failed
+LIMIT_S = 20.0  # timeout of a test
 Script = Callable[["Conversation", "Call"], Awaitable[None]]
 
 
 class Call:
-    """One request that a scripted server has read."""
+    """Request that a scripted server has received."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         first, *lines = head.decode("latin-1").split("\r\n")
@@ -33,7 +33,7 @@
 
 
 class Conversation:
-    """One connection at a scripted server."""
+    """Connection to a scripted server."""
 
     def __init__(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.number, self.reader, self.writer = number, reader, writer
@@ -55,7 +55,7 @@
 
 
 class Server:
-    """Reads requests and plays a script for each; keeps what it saw."""
+    """Server that runs a script for each request and records the requests."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -90,7 +90,7 @@
 
 
 async def ok(talk: Conversation, call: Call) -> None:
-    """Serve every request with its own id as the body."""
+    """Answer a request with its id as the body."""
     await talk.answer(200, call.headers.get("x-request-id", "").encode())
 
 
@@ -113,7 +113,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """Three classes that bear the name of how they may be repeated, with limits no slow machine meets."""
+    """Return settings with three classes named after their repeat mode, with limits that suit slow machines."""
     kinds = ("free", "single_shot", "guarded")
     raw: dict[str, Any] = {
         "classes": [{"name": k, "onTimeNs": 3 * 10**9, "hardLimitNs": 6 * 10**9, "repeat": k} for k in kinds],
@@ -128,7 +128,7 @@
 
 
 class Client:
-    """One connection of the application."""
+    """Client connection of the application."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -153,7 +153,7 @@
         body: bytes = b"",
         **headers: str,
     ) -> tuple[int, dict[str, str], bytes]:
-        rid = rid or f"id-{next(IDS)}"  # new with every request
+        rid = rid or f"id-{next(IDS)}"  # unique for every request
         method = method or ("GET" if cls == "free" else "POST")
         lines = [f"{method} /{cls}?q=1 HTTP/1.1", "Host: app", f"X-Request-ID: {rid}"]
         lines += [f"X-Timeout: {timeout}"] if timeout is not None else []
@@ -164,7 +164,7 @@
 
 
 class World:
-    """A running sidecar and its port."""
+    """A running sidecar and its ports."""
 
     def __init__(self, sidecar: Sidecar, port: int) -> None:
         self.sidecar, self.port = sidecar, port
@@ -174,7 +174,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def operate(self, call: str) -> tuple[int, str]:
-        """One call to the operators' address, such as "GET /stats"."""
+        """Send a request such as "GET /stats" to the control address."""
         return await operate(self.control, call)
 
     async def figures(self) -> dict[str, int]:
@@ -220,18 +220,18 @@
     yield World(made, await made.start())
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
-    """Run a scene on the loop that the sidecar runs on in service."""
+def play(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario on uvloop, which the sidecar uses in production."""
     import uvloop
 
     async def limited() -> None:
         async with asyncio.timeout(LIMIT_S):
-            await scene()
+            await scenario()
 
     try:
         uvloop.run(limited())
     finally:
-        SINK.flush()
+        LOG_WRITER.flush()
 
 
 def dump(raw: Any) -> bytes:
--- a/tests/build.py
+++ b/tests/build.py
@@ -1,4 +1,4 @@
-"""Shared builders: settings and events with sensible defaults."""
+"""Builders of settings, balancers and events with default values."""
 
 from __future__ import annotations
 
@@ -64,5 +64,5 @@
     return Response(send.tid, how, lag_ns, send.server, attempt, how == How.OK, **more)
 
 
-def only(actions: list[Any], kind: type) -> list[Any]:
+def of_type(actions: list[Any], kind: type) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/fleet/data_judges.py
+++ b/tests/fleet/data_judges.py
@@ -1,227 +1,250 @@
-"""Judges of what a data plane did: each compares what servers ran with what clients got. Pure."""
+"""Checks of the recorded behavior of a data plane: what servers executed against what clients received.
+
+Pure: performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable, Iterable, Iterator
 
-from tests.fleet.data_model import EVENTS, MAX_ATTEMPTS, TIMEOUT_S, Asked, Records, Run
+from tests.fleet.data_model import EVENTS, MAX_ATTEMPTS, TIMEOUT_S, Records, Run, SentRequest
 
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
-UNCHANGED = ("x-rosechute-model", "x-rosechute-token-count", "x-rosechute-prompt-prefix")
-LATE_TIMER_S = 0.5  # the pages' bound, for all that is to be done in time
-SENDING_S = 0.25  # a client may pause for so long within a request
-EARLY_S = 0.05  # by how much a simulated clock and an edge's margin may differ
+UNCHANGED_HEADERS = ("x-rosechute-model", "x-rosechute-token-count", "x-rosechute-prompt-prefix")
+LATE_TIMER_S = 0.5  # specified bound for everything that has a deadline
+MAX_UPLOAD_PAUSE_S = 0.25  # longest pause of a client inside a request
+CLOCK_TOLERANCE_S = 0.05  # difference between the virtual clock and the edge's margin
 EVENT = re.compile(rb"(?:versions:(\d+)\n)?id: (\d+)\ndata: piece (\d+) of (\S+) by (\d+)\n\n")
-Judge = Callable[[Records], Iterator[str]]
+Check = Callable[[Records], Iterator[str]]
 
 
-def judge_own_response(records: Records) -> Iterator[str]:
-    """Each answer is that of a run of its own request, whole or marked as cut."""
-    for asked in records.asked.values():
-        if not asked.status:
+def check_response_origin(records: Records) -> Iterator[str]:
+    """Check that each response comes from an execution of its own request, and is complete or marked as truncated."""
+    for request in records.asked.values():
+        if not request.status:
             continue
-        echoed = [value for name, value in asked.headers if name == "x-rosechute-request-id"]
-        if echoed != [asked.name]:
-            yield f"{asked.name}: answer {asked.status} names {echoed}"
-        stamp = asked.value("x-rosechute-server-stamp")
-        runs = {run.stamp: run for run in records.runs.get(asked.name, [])}
-        if asked.status == 200 and stamp not in runs:
-            yield f"{asked.name}: a success with the stamp {stamp}, and not of {sorted(runs)}"
+        echoed = [value for name, value in request.headers if name == "x-rosechute-request-id"]
+        if echoed != [request.name]:
+            yield f"{request.name}: response {request.status} has the request ids {echoed}"
+        stamp = request.header("x-rosechute-server-stamp")
+        runs = {run.stamp: run for run in records.runs.get(request.name, [])}
+        if request.status == 200 and stamp not in runs:
+            yield f"{request.name}: success with the stamp {stamp}, expected one of {sorted(runs)}"
         elif stamp is not None and stamp not in runs:
-            yield f"{asked.name}: the stamp {stamp} is of no run of it"
-        elif asked.status == 200 and not asked.streaming:
-            yield from _plain_body(asked, runs[str(stamp)])
-        elif asked.status != 200 and asked.got and (stamp is None or asked.got != runs[stamp].body):
-            yield f"{asked.name}: failure with the body {asked.got[:60]!r}"
-
-
-def _plain_body(asked: Asked, run: Run) -> Iterator[str]:
-    if not run.body.startswith(asked.got):
-        yield f"{asked.name}: bytes that are not of {run.stamp}: {asked.got[:60]!r}"
+            yield f"{request.name}: stamp {stamp} of no execution of this request"
+        elif request.status == 200 and not request.streaming:
+            yield from _check_plain_body(request, runs[str(stamp)])
+        elif (
+            request.status != 200
+            and request.received_body
+            and (stamp is None or request.received_body != runs[stamp].body)
+        ):
+            yield f"{request.name}: error response with the body {request.received_body[:60]!r}"
+
+
+def _check_plain_body(request: SentRequest, run: Run) -> Iterator[str]:
+    if not run.body.startswith(request.received_body):
+        yield f"{request.name}: bytes that {run.stamp} did not send: {request.received_body[:60]!r}"
     if not run.success:
-        yield f"{asked.name}: an answer of {run.stamp} that is no success"
+        yield f"{request.name}: response of {run.stamp}, which was not a success"
 
 
-def judge_whole(records: Records) -> Iterator[str]:
-    """What a client takes for whole is whole: no answer that was cut, reset or has no end passes for it."""
-    for asked in records.asked.values():
-        if asked.status != 200 or not asked.whole or asked.streaming:
+def check_completeness(records: Records) -> Iterator[str]:
+    """Check that truncated responses, also of connections that were reset, are not presented as complete."""
+    for request in records.asked.values():
+        if request.status != 200 or not request.is_complete or request.streaming:
             continue
-        stamp = asked.value("x-rosechute-server-stamp")
-        run = next((run for run in records.runs.get(asked.name, []) if run.stamp == stamp), None)
-        if run is not None and (asked.got != run.body or run.reset):
-            yield f"{asked.name}: {len(asked.got)} of {len(run.body)} bytes as whole, reset: {run.reset}"
+        stamp = request.header("x-rosechute-server-stamp")
+        run = next((run for run in records.runs.get(request.name, []) if run.stamp == stamp), None)
+        if run is not None and (request.received_body != run.body or run.reset):
+            yield f"{request.name}: {len(request.received_body)} of {len(run.body)} bytes, reset: {run.reset}"
 
 
-def judge_at_most_once(records: Records) -> Iterator[str]:
-    """What may not be repeated runs once at the most."""
+def check_at_most_once(records: Records) -> Iterator[str]:
+    """Check that a non-repeatable request is executed at most once."""
     for name, runs in records.runs.items():
-        asked = records.asked.get(name)
-        if asked is not None and len(runs) > 1 and not _might_repeat(asked, runs[-1].at, records):
-            yield f"{name} {asked.path}: ran at {[run.server for run in runs]}"
+        request = records.asked.get(name)
+        if request is not None and len(runs) > 1 and not _may_repeat(request, runs[-1].at, records):
+            yield f"{name} {request.path}: executed at {[run.server for run in runs]}"
 
 
-def _might_repeat(asked: Asked, at: float, records: Records) -> bool:
-    """Whether the configurations by which it was taken, and sent last, allow a request to be repeated."""
-    slack_s = SENDING_S + records.stood_still_s
-    at_last = any(since <= at - slack_s and until > at for since, until in records.strict)
-    when_taken = any(since <= asked.sent_at and until > asked.sent_at + slack_s for since, until in records.strict)
-    return asked.repeatable and not (at_last or when_taken)
+def _may_repeat(request: SentRequest, at: float, records: Records) -> bool:
+    """Return whether the configurations at its admission and at its last attempt allow a request to be repeated."""
+    slack_s = MAX_UPLOAD_PAUSE_S + records.suspended_s
+    at_last = any(since <= at - slack_s and until > at for since, until in records.strict_periods)
+    when_taken = any(
+        since <= request.sent_at and until > request.sent_at + slack_s for since, until in records.strict_periods
+    )
+    return request.repeatable and not (at_last or when_taken)
 
 
-def judge_promises(records: Records) -> Iterator[str]:
-    """No promise that it has not run once it may have, for what may not be repeated."""
-    for asked in records.asked.values():
-        runs = records.runs.get(asked.name, [])
-        if asked.status in NOT_EXECUTED_STATUSES and runs and not asked.repeatable:
-            yield f"{asked.name} {asked.path}: {asked.status} after a run at {runs[0].server}"
+def check_not_executed_statuses(records: Records) -> Iterator[str]:
+    """Check that no status claims that a non-repeatable request was not executed although it may have been."""
+    for request in records.asked.values():
+        runs = records.runs.get(request.name, [])
+        if request.status in NOT_EXECUTED_STATUSES and runs and not request.repeatable:
+            yield f"{request.name} {request.path}: {request.status} after an execution at {runs[0].server}"
 
 
-def judge_streams(records: Records) -> Iterator[str]:
-    """Events without gap, repeat or piece; of one run, unless the stream may be resumed with the same weights."""
-    for asked in records.asked.values():
-        if asked.status == 200 and asked.streaming:
-            yield from _stream(asked, records)
+def check_event_streams(records: Records) -> Iterator[str]:
+    """Check that streams have complete events without gaps or repetitions.
 
+    The events come from one execution, or from several with the same weights if the stream is resumable.
+    """
+    for request in records.asked.values():
+        if request.status == 200 and request.streaming:
+            yield from _check_event_stream(request, records)
 
-def _stream(asked: Asked, records: Records) -> Iterator[str]:
-    events = list(EVENT.finditer(asked.got))
-    rest = asked.got[events[-1].end() :] if events else asked.got
-    if b"".join(found[0] for found in events) != asked.got[: len(asked.got) - len(rest)]:
-        yield f"{asked.name}: events are mixed up: {asked.got!r}"
+
+def _check_event_stream(request: SentRequest, records: Records) -> Iterator[str]:
+    events = list(EVENT.finditer(request.received_body))
+    remainder = request.received_body[events[-1].end() :] if events else request.received_body
+    if b"".join(found[0] for found in events) != request.received_body[: len(request.received_body) - len(remainder)]:
+        yield f"{request.name}: malformed events: {request.received_body!r}"
         return
     numbers = [int(found[2]) for found in events]
-    first = asked.last_event_id + 1
+    first = request.last_event_id + 1
     if numbers != list(range(first, first + len(numbers))):
-        yield f"{asked.name}: events {numbers} behind {asked.last_event_id}"
+        yield f"{request.name}: events {numbers} after {request.last_event_id}"
     stamps = {found[4].decode() for found in events}
-    known = {run.stamp: run for run in records.runs.get(asked.name, [])}
+    known = {run.stamp: run for run in records.runs.get(request.name, [])}
     if not stamps <= set(known):
-        yield f"{asked.name}: events of another request"
+        yield f"{request.name}: events of another request"
         return
-    if len(stamps) > 1 and not asked.repeatable:
-        yield f"{asked.name}: two runs are joined"
+    if len(stamps) > 1 and not request.repeatable:
+        yield f"{request.name}: events of two executions of a non-resumable stream"
     if len({found[5] for found in events}) > 1:
-        yield f"{asked.name}: runs with different weights are joined"
-    if rest and (asked.whole or not _passed_on_raw(asked, records)):
-        yield f"{asked.name}: part of an event: {rest!r}, whole: {asked.whole}"
-    if asked.whole and numbers and numbers[-1] != EVENTS:
-        yield f"{asked.name}: ended as whole behind {numbers[-1]}"
-    if asked.whole and not any(run.ended_whole and not run.reset and run.success for run in known.values()):
-        yield f"{asked.name}: whole, though no run came to its end"
+        yield f"{request.name}: events of different weights"
+    if remainder and (request.is_complete or not _may_forward_partial_events(request, records)):
+        yield f"{request.name}: partial event: {remainder!r}, complete: {request.is_complete}"
+    if request.is_complete and numbers and numbers[-1] != EVENTS:
+        yield f"{request.name}: complete, but ended after event {numbers[-1]}"
+    if request.is_complete and not any(
+        run.is_response_sent and not run.reset and run.success for run in known.values()
+    ):
+        yield f"{request.name}: complete, but no execution finished"
     if any(not known[stamp].success for stamp in stamps):
-        yield f"{asked.name}: events of a run that was no success"
+        yield f"{request.name}: events of an execution that was not a success"
 
 
-def _passed_on_raw(asked: Asked, records: Records) -> bool:
-    """Whether its stream may have been passed on without regard to events, as it was not to be resumed."""
-    until_s = asked.sent_at + SENDING_S + records.stood_still_s
-    return not asked.repeatable or any(since <= until_s and until > asked.sent_at for since, until in records.strict)
+def _may_forward_partial_events(request: SentRequest, records: Records) -> bool:
+    """Return whether partial events may be forwarded: the stream was not resumable by the configuration."""
+    until_s = request.sent_at + MAX_UPLOAD_PAUSE_S + records.suspended_s
+    return not request.repeatable or any(
+        since <= until_s and until > request.sent_at for since, until in records.strict_periods
+    )
 
 
-def judge_attempts(records: Records) -> Iterator[str]:
-    """No request runs at more servers than its route allows."""
+def check_attempt_limit(records: Records) -> Iterator[str]:
+    """Check that no request is executed at more servers than its route allows."""
     for name, runs in records.runs.items():
-        asked = records.asked.get(name)
+        request = records.asked.get(name)
         servers = {run.server for run in runs}
-        if asked is not None and len(servers) > MAX_ATTEMPTS[asked.path]:
-            yield f"{name} {asked.path}: ran at {sorted(servers)}"
+        if request is not None and len(servers) > MAX_ATTEMPTS[request.path]:
+            yield f"{name} {request.path}: executed at {sorted(servers)}"
 
 
-def judge_unchanged(records: Records) -> Iterator[str]:
-    """Servers get what the client sent: method, path, body and the headers that go on as they are."""
-    yield from (f"a server could not read {data!r}" for data in records.malformed)
+def check_forwarded_requests(records: Records) -> Iterator[str]:
+    """Check that servers receive the client's method, path, body and end-to-end headers unchanged."""
+    yield from (f"malformed request: {data!r}" for data in records.malformed)
     for name, arrivals in records.arrivals.items():
-        asked = records.asked.get(name)
-        if asked is None:
-            yield from (f"nobody sent {name!r}: {vars(arrival)}" for arrival in arrivals)
+        request = records.asked.get(name)
+        if request is None:
+            yield from (f"no client sent {name!r}: {vars(arrival)}" for arrival in arrivals)
             continue
-        sent = _by_name((key.lower(), value.strip(" \t")) for key, value in asked.told)
+        sent = _by_name((key.lower(), value.strip(" \t")) for key, value in request.forwarded_headers)
         for arrival in arrivals:
-            got = _by_name((key, value) for key, value in arrival.headers if key in UNCHANGED)
-            if got != sent:
-                yield f"{name}: headers {got} for {sent}"
-            if (arrival.method, arrival.target) != ("POST", asked.path):
-                yield f"{name}: {arrival.method} {arrival.target} for POST {asked.path}"
-            if arrival.body is not None and arrival.body != asked.body:
-                yield f"{name}: another body: {arrival.body[:40]!r} for {asked.body[:40]!r}"
-            if not asked.body.startswith(arrival.part):
-                yield f"{name}: other bytes within its body, which ends with {arrival.part[-60:]!r}"
+            received = _by_name((key, value) for key, value in arrival.headers if key in UNCHANGED_HEADERS)
+            if received != sent:
+                yield f"{name}: headers {received}, expected {sent}"
+            if (arrival.method, arrival.target) != ("POST", request.path):
+                yield f"{name}: {arrival.method} {arrival.target} for POST {request.path}"
+            if arrival.body is not None and arrival.body != request.body:
+                yield f"{name}: different body: {arrival.body[:40]!r} for {request.body[:40]!r}"
+            if not request.body.startswith(arrival.partial_body):
+                yield f"{name}: different bytes in the partial body, which ends with {arrival.partial_body[-60:]!r}"
 
 
 def _by_name(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Headers by name; those of one name in their order."""
+    """Sort headers by name; keep the order of headers with the same name."""
     return sorted(headers, key=lambda pair: pair[0])
 
 
-def judge_deadlines(records: Records) -> Iterator[str]:
-    """Every server is told how long its client still waits, and no longer."""
+def check_forwarded_deadlines(records: Records) -> Iterator[str]:
+    """Check that every server receives the remaining time of its client, and not more."""
     for name, arrivals in records.arrivals.items():
-        asked = records.asked.get(name)
-        if asked is None:
+        request = records.asked.get(name)
+        if request is None:
             continue
         for arrival in arrivals:
-            told = arrival.value("x-rosechute-deadline-ms")
-            if told is None:
-                yield f"{name}: no deadline"
+            deadline_ms = arrival.header("x-rosechute-deadline-ms")
+            if deadline_ms is None:
+                yield f"{name}: no deadline header"
             elif (
-                arrival.at + int(told) / 1e3 > asked.sent_at + asked.deadline_s + LATE_TIMER_S + records.stood_still_s
+                arrival.at + int(deadline_ms) / 1e3
+                > request.sent_at + request.deadline_s + LATE_TIMER_S + records.suspended_s
             ):
-                yield f"{name}: {told} ms at {arrival.at - asked.sent_at:.2f} s of {asked.deadline_s}"
+                yield f"{name}: {deadline_ms} ms at {arrival.at - request.sent_at:.2f} s of {request.deadline_s}"
 
 
-def judge_gone(records: Records) -> Iterator[str]:
-    """Once its client has left, nothing of a request reaches a server, and no server works on."""
-    late_s = LATE_TIMER_S + records.stood_still_s
-    for asked in records.asked.values():
-        if asked.left_at is None:
+def check_disconnected_clients(records: Records) -> Iterator[str]:
+    """Check that after a client has disconnected, its request reaches no server and no server works on it."""
+    late_s = LATE_TIMER_S + records.suspended_s
+    for request in records.asked.values():
+        if request.disconnected_at is None:
             continue
-        for arrival in records.arrivals.get(asked.name, []):
-            if arrival.at > asked.left_at + late_s:
-                yield f"{asked.name}: arrived {arrival.at - asked.left_at:.2f} s after its client left"
-            if arrival.gone_at is not None and arrival.gone_at > asked.left_at + late_s:
-                yield f"{asked.name}: at work for {arrival.gone_at - asked.left_at:.2f} s after its client left"
+        for arrival in records.arrivals.get(request.name, []):
+            if arrival.at > request.disconnected_at + late_s:
+                yield f"{request.name}: arrived {arrival.at - request.disconnected_at:.2f} s after the disconnect"
+            if (
+                arrival.connection_lost_at is not None
+                and arrival.connection_lost_at > request.disconnected_at + late_s
+            ):
+                yield (
+                    f"{request.name}: executed {arrival.connection_lost_at - request.disconnected_at:.2f} s "
+                    "after the disconnect"
+                )
 
 
-def judge_answered_in_time(records: Records) -> Iterator[str]:
-    """Everyone who waits is answered before the route's time and the client's are over."""
-    for asked in records.asked.values():
-        if asked.left_at is not None:
+def check_response_deadlines(records: Records) -> Iterator[str]:
+    """Check that every connected client gets a response within the route's time-out and its own deadline."""
+    for request in records.asked.values():
+        if request.disconnected_at is not None:
             continue
-        if asked.answered_at is None:
-            closed_unread = records.shutdown_at is not None and asked.name not in records.arrivals
+        if request.responded_at is None:
+            closed_unread = records.shutdown_at is not None and request.name not in records.arrivals
             if not closed_unread:
-                yield f"{asked.name} {asked.path}: no answer"
+                yield f"{request.name} {request.path}: no response"
             continue
-        limit = asked.sent_at + min(asked.deadline_s, TIMEOUT_S)
-        if asked.answered_at > limit + EARLY_S + SENDING_S + records.stood_still_s:
-            yield f"{asked.name} {asked.path}: answered {asked.answered_at - limit:.2f} s late"
-
-
-def judge_nothing_else(records: Records) -> Iterator[str]:
-    """Nothing comes to a client unasked, and nothing is left over."""
-    yield from (f"left over: {text}" for text in records.leftovers)
-    for asked in records.asked.values():
-        if asked.surplus:
-            yield f"{asked.name}: {asked.surplus!r} behind its answer"
-
-
-JUDGES: tuple[Judge, ...] = (
-    judge_own_response,
-    judge_whole,
-    judge_at_most_once,
-    judge_promises,
-    judge_streams,
-    judge_attempts,
-    judge_unchanged,
-    judge_deadlines,
-    judge_gone,
-    judge_answered_in_time,
-    judge_nothing_else,
+        limit = request.sent_at + min(request.deadline_s, TIMEOUT_S)
+        if request.responded_at > limit + CLOCK_TOLERANCE_S + MAX_UPLOAD_PAUSE_S + records.suspended_s:
+            yield f"{request.name} {request.path}: response {request.responded_at - limit:.2f} s late"
+
+
+def check_no_leftovers(records: Records) -> Iterator[str]:
+    """Check that clients receive no unsolicited bytes and that no resources are left over."""
+    yield from (f"leftover: {text}" for text in records.leftovers)
+    for request in records.asked.values():
+        if request.surplus:
+            yield f"{request.name}: {request.surplus!r} after the response"
+
+
+CHECKS: tuple[Check, ...] = (
+    check_response_origin,
+    check_completeness,
+    check_at_most_once,
+    check_not_executed_statuses,
+    check_event_streams,
+    check_attempt_limit,
+    check_forwarded_requests,
+    check_forwarded_deadlines,
+    check_disconnected_clients,
+    check_response_deadlines,
+    check_no_leftovers,
 )
 
 
-def verdicts(records: Records) -> list[str]:
-    """All that any judge finds."""
-    return [f"{judge.__name__}: {text}" for judge in JUDGES for text in judge(records)]
+def violations(records: Records) -> list[str]:
+    """Return the violations that any check finds."""
+    return [f"{check.__name__}: {text}" for check in CHECKS for text in check(records)]
--- a/tests/fleet/data_site.py
+++ b/tests/fleet/data_site.py
@@ -1,7 +1,6 @@
-"""A data plane over loopback connections, on a clock that moves only when nothing is left to do.
+"""Test harness: a data plane with loopback connections and a virtual clock, which advances when nothing is ready.
 
-Everything is real but the time: listener, connections and router. Servers and clients are scripted and run
-on the same loop.
+Listener, connections and router are real. Servers and clients are scripted and run on the same event loop.
 """
 
 from __future__ import annotations
@@ -25,16 +24,16 @@
 from rosechute.routing.router import Router
 from rosechute.routing.tuning import RouterTuning
 
-DELIVERY_S = 0.0005  # of real time, in which the kernel delivers what was sent over loopback
-LIMIT_S = 60.0  # of the simulated clock: what waits longer never ends
+DELIVERY_S = 0.0005  # real time in which the kernel delivers bytes over loopback
+SCENARIO_TIMEOUT_S = 60.0  # virtual time; a scenario that takes longer is considered hung
 KEY = "k1"
 NO_LINGER = struct.pack("ii", 1, 0)
-BACKGROUND_POLL_S = 0.001  # of real time, while a thread is at work
-MAX_BACKGROUND_POLLS = 10_000  # after which the clock moves on all the same
+BACKGROUND_POLL_S = 0.001  # real time between polls while a thread is working
+MAX_BACKGROUND_POLLS = 10_000  # then the clock advances anyway
 
 
-class Jump(selectors.DefaultSelector):
-    """Waits by moving the clock on. The clock stands while `has_background_work` says that a thread is at work."""
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """Selector that advances the clock instead of waiting, except while `has_background_work` returns True."""
 
     now = 1000.0
     has_background_work: Callable[[], bool] = staticmethod(lambda: False)
@@ -48,25 +47,25 @@
                 break
             ready = super().select(BACKGROUND_POLL_S)
         if not ready:
-            assert timeout is not None, "nothing will ever happen"
+            assert timeout is not None, "deadlock: no event is ready and no timer is set"
             self.now += max(0.0, timeout)
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop in simulated time."""
+    """An event loop with a virtual clock."""
 
     def __init__(self) -> None:
-        self._jump = Jump()
-        super().__init__(self._jump)
+        self._virtual_selector = VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
         self._clock_resolution = 1e-6
 
     def time(self) -> float:
-        return self._jump.now
+        return self._virtual_selector.now
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset. An abort of the transport alone closes it in order where nothing is unread."""
+    """Reset a connection. `transport.abort` alone closes it gracefully if no data is unread."""
     descriptor = writer.get_extra_info("socket")
     if descriptor is not None and descriptor.fileno() >= 0:
         descriptor.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -74,7 +73,7 @@
 
 
 class Call:
-    """One request as a server has read it."""
+    """A request as a server has received it."""
 
     def __init__(self, head: bytes, at: float) -> None:
         first, *lines = head.decode("latin-1").rstrip("\r\n").split("\r\n")
@@ -89,8 +88,8 @@
         return self.headers["x-rosechute-request-id"]
 
 
-class Talk:
-    """One connection at a server."""
+class ServerConnection:
+    """A connection at a scripted server."""
 
     def __init__(self, server: Server, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.server, self.reader, self.writer = server, reader, writer
@@ -108,30 +107,30 @@
             call.body = await self.reader.readexactly(int(call.headers.get("content-length", 0)))
         return call
 
-    def head(self, status: int, *lines: str, stamp: str | None = "stamp-1", id: str | None = None) -> bytes:
+    def serialize_head(self, status: int, *lines: str, stamp: str | None = "stamp-1", id: str | None = None) -> bytes:
         own = [f"HTTP/1.1 {status} X", f"X-Rosechute-Request-Id: {id or self.call.id}"]
         if stamp is not None:
             own.append(f"X-Rosechute-Server-Stamp: {stamp}")
         return "\r\n".join([*own, *lines, "", ""]).encode()
 
-    def answer(self, status: int = 200, body: bytes = b"whole", *lines: str, **more: Any) -> None:
-        self.writer.write(self.head(status, f"Content-Length: {len(body)}", *lines, **more) + body)
+    def respond(self, status: int = 200, body: bytes = b"whole", *lines: str, **more: Any) -> None:
+        self.writer.write(self.serialize_head(status, f"Content-Length: {len(body)}", *lines, **more) + body)
 
-    def full(self) -> None:
-        self.answer(503, b"", "X-Rosechute-Not-Executed: 1", stamp=None)
+    def reject_as_full(self) -> None:
+        self.respond(503, b"", "X-Rosechute-Not-Executed: 1", stamp=None)
 
-    def begin(self, *lines: str, **more: Any) -> None:
-        """The head of a stream."""
+    def start_stream(self, *lines: str, **more: Any) -> None:
+        """Send the head of an event stream."""
         fields = ("Content-Type: text/event-stream", "Transfer-Encoding: chunked")
-        self.writer.write(self.head(200, *fields, *lines, **more))
+        self.writer.write(self.serialize_head(200, *fields, *lines, **more))
 
-    def piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         self.writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def event(self, number: int) -> None:
-        self.piece(event(number))
+    def send_event(self, number: int) -> None:
+        self.send_chunk(event(number))
 
-    def finish(self) -> None:
+    def finish_stream(self) -> None:
         self.writer.write(b"0\r\n\r\n")
 
     def reset(self) -> None:
@@ -143,20 +142,20 @@
     return f"{first}id: {number}\ndata: piece {number}\n\n".encode()
 
 
-Script = Callable[[Talk, Call], Awaitable[None]]
+Script = Callable[[ServerConnection, Call], Awaitable[None]]
 
 
-async def plain(talk: Talk, call: Call) -> None:
-    talk.answer()
+async def respond_ok(conn: ServerConnection, call: Call) -> None:
+    conn.respond()
 
 
 class Server:
-    """Plays a script for each request, and keeps what it saw."""
+    """A server that runs a script for each request and records the requests."""
 
-    def __init__(self, site: Site, name: str, script: Script) -> None:
-        self.site, self.id, self.script = site, name, script
+    def __init__(self, harness: DataPlaneHarness, name: str, script: Script) -> None:
+        self.harness, self.id, self.script = harness, name, script
         self.calls: list[Call] = []
-        self.closed: list[Call] = []  # whose connection the edge closed before its answer was written
+        self.closed: list[Call] = []  # requests whose connection the edge closed before the response was written
         self.connections = 0
         self.port = 0
         self.entry = ServerEntry(name, "", "east", 8, True)
@@ -177,14 +176,14 @@
         assert task is not None
         self._tasks.add(task)
         self.connections += 1
-        talk = Talk(self, reader, writer)
+        conn = ServerConnection(self, reader, writer)
         call: Call | None = None
         try:
             while True:
                 call = None
-                call = await talk.read()
+                call = await conn.read()
                 self.calls.append(call)
-                await self.script(talk, call)
+                await self.script(conn, call)
         except (asyncio.IncompleteReadError, ConnectionError):
             if call is not None:
                 self.closed.append(call)
@@ -194,20 +193,20 @@
             writer.close()
 
 
-async def until_closed(talk: Talk, call: Call) -> None:
-    """A server that never answers."""
-    await talk.reader.readexactly(1)
+async def wait_until_closed(conn: ServerConnection, call: Call) -> None:
+    """Never respond: wait until the connection is closed."""
+    await conn.reader.readexactly(1)
 
 
-class Answer:
-    """What a client got."""
+class Response:
+    """A response as a client has received it."""
 
-    def __init__(self, status: int, headers: dict[str, str], body: bytes, whole: bool, at: float) -> None:
-        self.status, self.headers, self.body, self.whole, self.at = status, headers, body, whole, at
+    def __init__(self, status: int, headers: dict[str, str], body: bytes, is_complete: bool, at: float) -> None:
+        self.status, self.headers, self.body, self.is_complete, self.at = status, headers, body, is_complete, at
 
 
 class Client:
-    """A plain client with one connection."""
+    """A client with one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -236,37 +235,37 @@
         self.writer.write("\r\n".join(fields).encode() + body)
         return name
 
-    async def head(self) -> tuple[int, dict[str, str]]:
+    async def read_head(self) -> tuple[int, dict[str, str]]:
         text = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         first, *lines = text.rstrip("\r\n").split("\r\n")
         return int(first.split(" ")[1]), {n.lower(): v for n, v in (line.split(": ", 1) for line in lines)}
 
-    async def piece(self) -> bytes:
-        """One chunk; empty for the last one."""
+    async def read_chunk(self) -> bytes:
+        """Read one chunk; the last one is empty."""
         size = int(await self.reader.readline(), 16)
         data = await self.reader.readexactly(size)
         await self.reader.readline()
         return data
 
-    async def answer(self) -> Answer:
-        status, headers = await self.head()
-        body, whole = b"", True
+    async def read_response(self) -> Response:
+        status, headers = await self.read_head()
+        body, is_complete = b"", True
         try:
             if headers.get("transfer-encoding") == "chunked":
-                while data := await self.piece():
+                while data := await self.read_chunk():
                     body += data
             else:
                 body = await self.reader.readexactly(int(headers["content-length"]))
         except (asyncio.IncompleteReadError, ValueError, ConnectionError):
-            whole = False
-        return Answer(status, headers, body, whole, asyncio.get_running_loop().time())
+            is_complete = False
+        return Response(status, headers, body, is_complete, asyncio.get_running_loop().time())
 
-    async def ask(self, path: str = "/plain/1", *lines: str, **more: Any) -> Answer:
+    async def fetch(self, path: str = "/plain/1", *lines: str, **more: Any) -> Response:
         self.send(path, *lines, **more)
-        return await self.answer()
+        return await self.read_response()
 
-    async def ended(self) -> bytes:
-        """What comes until the connection ends."""
+    async def read_until_closed(self) -> bytes:
+        """Return all bytes up to the end of the connection."""
         try:
             return await self.reader.read()
         except ConnectionError:
@@ -282,37 +281,37 @@
 IDS = itertools.count(1000)
 
 
-class Quota:
-    """Issued tokens by tenant; a tenant that is not named here may spend as it likes."""
+class FakeQuota:
+    """Tokens by tenant. A tenant that is not in `remaining` has no limit."""
 
     def __init__(self) -> None:
-        self.left: dict[str, int] = {}
+        self.remaining: dict[str, int] = {}
         self.spent: list[tuple[str, int]] = []
-        self.held: list[Callable[[bool, float], None]] | None = None  # decisions that a test holds back
+        self.deferred_decisions: list[Callable[[bool, float], None]] | None = None  # decisions that a test defers
 
     def acquire(self, tenant: str, tokens: int, decided: Callable[[bool, float], None], priority: int) -> None:
         self.spent.append((tenant, tokens))
-        if self.held is not None:
-            self.held.append(decided)
+        if self.deferred_decisions is not None:
+            self.deferred_decisions.append(decided)
             return
-        left = self.left.get(tenant)
+        left = self.remaining.get(tenant)
         if left is not None:
             if left < tokens:
                 decided(False, 0.25)
                 return
-            self.left[tenant] = left - tokens
+            self.remaining[tenant] = left - tokens
         decided(True, 0.0)
 
 
-class Fresh:
-    """When the configuration was confirmed."""
+class FakeFreshness:
+    """Time of the last confirmation of the configuration."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self.at: float | None = None  # None: always
+        self.last_confirmed: float | None = None  # None: always the current time
 
     def confirmed_at(self) -> float:
-        return self._loop.time() if self.at is None else self.at
+        return self._loop.time() if self.last_confirmed is None else self.last_confirmed
 
 
 def route(name: str, **changes: Any) -> dict[str, Any]:
@@ -331,7 +330,7 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> Configuration:
-    whole = {
+    document = {
         "config_version": version,
         "routes": [
             route("plain"),
@@ -362,11 +361,11 @@
         ],
         **changes,
     }
-    return msgspec.convert(whole, Configuration)
+    return msgspec.convert(document, Configuration)
 
 
-class Site:
-    """One data plane, with servers and clients."""
+class DataPlaneHarness:
+    """A data plane with its servers and clients."""
 
     def __init__(self, memory_mb: int = 260, grace_s: float = 8.0) -> None:
         self.loop = asyncio.get_running_loop()
@@ -385,36 +384,36 @@
                 retry_slack=50,
             ),
         )
-        self.quota = Quota()
-        self.fresh = Fresh(self.loop)
+        self.quota = FakeQuota()
+        self.freshness = FakeFreshness(self.loop)
         self.router = Router(random.Random(7).random, RouterTuning(zone="east"))
         self.plane = DataPlane(
             self.loop,
             self.settings,
             self.router,
             self.quota,
-            self.fresh,
+            self.freshness,
             clock=self.loop.time,
             draw=random.Random(8).random,
         )
         self.servers: dict[str, Server] = {}
         self.clients: list[Client] = []
 
-    async def start(self, **scripts: Script) -> Site:
+    async def start(self, **scripts: Script) -> DataPlaneHarness:
         await self.plane.start()
         self.plane.apply_configuration(configuration(), 1)
-        await self.serve("svc", **(scripts or {"s1": plain}))
+        await self.serve("svc", **(scripts or {"s1": respond_ok}))
         return self
 
     async def serve(self, service: str, **scripts: Script) -> None:
-        """The servers of a service, in place of those before."""
+        """Replace the servers of a service."""
         made = [Server(self, name, script) for name, script in scripts.items()]
         for server in made:
             await server.start()
             self.servers[server.id] = server
         self.plane.apply_servers(service, [server.entry for server in made])
 
-    def list(self, *entries: ServerEntry) -> None:
+    def apply_list(self, *entries: ServerEntry) -> None:
         self.plane.apply_servers("svc", entries)
 
     async def client(self) -> Client:
@@ -423,12 +422,12 @@
         self.clients.append(client)
         return client
 
-    async def ask(self, path: str = "/plain/1", *lines: str, **more: Any) -> Answer:
-        """One request on a connection of its own."""
+    async def fetch(self, path: str = "/plain/1", *lines: str, **more: Any) -> Response:
+        """Send one request on a new connection and return its response."""
         client = await self.client()
-        answer = await client.ask(path, *lines, **more)
+        response = await client.fetch(path, *lines, **more)
         client.close()
-        return answer
+        return response
 
     @property
     def calls(self) -> list[Call]:
@@ -439,16 +438,16 @@
             client.reset()
         for server in self.servers.values():
             server.stop()
-        self.plane.front.listener.leave()
+        self.plane.client_listener.listener.stop_accepting()
 
 
-class SiteCase(unittest.TestCase):
-    """Plays scenes on the simulated clock."""
+class VirtualTimeTestCase(unittest.TestCase):
+    """Runs scenarios on the virtual clock."""
 
-    def play(self, scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    def run_scenario(self, scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
         loop = VirtualLoop()
         try:
-            loop.run_until_complete(asyncio.wait_for(scene(), LIMIT_S))
+            loop.run_until_complete(asyncio.wait_for(scenario(), SCENARIO_TIMEOUT_S))
             loop.run_until_complete(self._end_tasks(loop))
         finally:
             loop.close()
@@ -459,4 +458,4 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await asyncio.sleep(0.1)  # for connections to close
+        await asyncio.sleep(0.1)  # lets connections close
--- a/tests/fleet/distribution_day_world.py
+++ b/tests/fleet/distribution_day_world.py
@@ -16,7 +16,7 @@
 
 from .distribution_machines import Machine, Process
 from .distribution_world import TENANT, World
-from .quota_world import Counted, most_allowed
+from .quota_world import RequestLog, max_tokens_per_window
 
 TIMING = Timing()
 ROUND_S = 0.1  # of the core: leases, views, paths
@@ -39,7 +39,7 @@
         self.granted_until = 0.0
         self.elected_at = math.inf
         self.core_worked = False  # as it was noted last
-        self.counted = Counted()
+        self.counted = RequestLog()
         self.demand: dict[str, float] = {}  # by edge, in tokens a second
         self.terms = self.replacements = 0
         super().__post_init__()
@@ -212,13 +212,13 @@
     def _request(self, process: Process) -> None:
         tokens = self.random.choice(self.request_tokens)
         came = self.now
-        self.counted.asked.append((came, tokens))
+        self.counted.requested.append((came, tokens))
 
         def decided(allowed: bool, retry_after_s: float) -> None:
             if allowed:
-                self.counted.spent.append((self.now, tokens))
+                self.counted.admitted.append((self.now, tokens))
             else:
-                self.counted.refused.append((came, self.now - came, retry_after_s))
+                self.counted.rejected.append((came, self.now - came, retry_after_s))
 
         quota = process.quota
         assert quota is not None
@@ -226,5 +226,5 @@
 
     def quota_excess(self) -> float:
         """By how many tokens any window exceeds the rule; none where it is not above 0."""
-        most = most_allowed(self.bounds, self.limit)
-        return self.counted.worst_excess(self.bounds.quota_window_s, lambda _: most)
+        most = max_tokens_per_window(self.bounds, self.limit)
+        return self.counted.max_excess(self.bounds.quota_window_s, lambda _: most)
--- a/tests/fleet/distribution_days.py
+++ b/tests/fleet/distribution_days.py
@@ -74,7 +74,7 @@
         world.run(CALM_S)
         self.check_end()
         commits = world.committed[-1][2]
-        spent = len(world.counted.spent)
+        spent = len(world.counted.admitted)
         return Played(world.seed, world.now, world.checks, commits, world.terms, world.replacements, spent)
 
     def begin(self) -> None:
--- a/tests/fleet/rate_lease_builders.py
+++ b/tests/fleet/rate_lease_builders.py
@@ -1,4 +1,4 @@
-"""Shared by tests of the leader's quotas: a core that stores the owners of rate leases at once."""
+"""Test helpers that store the owners of rate leases without a delay."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def store_owners(leader: QuotaAllocator | RateLeaseOwnerTracker, now: float) -> frozenset[str] | None:
-    """Have a majority store what the leader states now; return the edges: None for any, or for no statement."""
+    """Store the leader's next statement; return its edges, None for any edge or if there is no statement."""
     if isinstance(leader, QuotaAllocator):
         statement = leader.rate_lease_owners_to_persist(now)
         stored = leader.rate_lease_owners_persisted
@@ -20,7 +20,7 @@
 
 
 def owners_stored(now: float, *edges: str) -> RateLeaseOwnerTracker:
-    """Return the owners in a term in which a majority has stored these edges and earlier leases are known."""
+    """Return a tracker for a term in which these edges are stored and all earlier leases are known."""
     tracker = RateLeaseOwnerTracker(now, None)
     tracker.on_earlier_leases_known()
     for edge in edges:
--- a/tests/fleet/test_control_core_machine.py
+++ b/tests/fleet/test_control_core_machine.py
@@ -1,4 +1,4 @@
-"""How the parts of a core machine work together; replica and links are fakes."""
+"""Tests of `CoreMachine` with a fake replica and fake connections."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
+    logger.disable("rosechute.control_plane")  # the injected errors would fill the log
 
 
 def tearDownModule() -> None:
@@ -49,7 +49,7 @@
 
 
 class FakeReplica:
-    """Returns what a test has set."""
+    """Fake replica whose state is set by the test."""
 
     def __init__(self) -> None:
         self.leader: MachineIdentity | None = OWN
@@ -70,7 +70,7 @@
 
 
 class RecordingConnection(LinkConnection):
-    """Records the messages that are sent on it."""
+    """Fake connection that records the messages sent on it."""
 
     def __init__(self) -> None:
         super().__init__("10.0.0.9:4000", lambda *_: None, lambda *_: None)
@@ -108,7 +108,7 @@
         self.assertEqual(await self.machine.propose_write(0, 1, b"", b""), OutcomeUnknown())
         self.assertFalse(self.renew().config_known)
 
-    async def test_a_leader_answers_as_one(self) -> None:
+    async def test_renewal_answer_of_the_leader(self) -> None:
         self.run_replica()
         self.machine.leadership_gained(3)
         renewed = self.renew()
@@ -116,24 +116,24 @@
         self.assertEqual((renewed.config_sequence, renewed.config_age_ms), (1, 100))
         self.assertEqual([each.address for each in renewed.core], [OWN.peer_address, OTHER.peer_address])
 
-    async def test_a_follower_names_the_leader(self) -> None:
+    async def test_renewal_answer_of_a_follower_names_the_leader(self) -> None:
         self.run_replica()
         self.replica.leader = OTHER
         renewed = self.renew()
         self.assertEqual((renewed.is_leader, renewed.leader), (False, OTHER.peer_address))
 
-    async def test_after_a_freeze_no_answer_as_leader_and_no_tokens(self) -> None:
+    async def test_after_lease_expiry_during_suspension_no_answer_as_leader_and_no_tokens(self) -> None:
         self.run_replica()
         self.machine.leadership_gained(3)
         self.machine.committed(configuration(1))
         self.now += 5.0
-        self.replica.leader = None  # the lease has run out, and the replica has not noticed yet
+        self.replica.leader = None  # the lease has expired, and no tick has noticed it yet
         self.assertFalse(self.renew().is_leader)
         wanted = pb.QuotaAmount(tenant="t", tokens=10, min_tokens=1)
         self.receive(quota_request=pb.QuotaRequest(request=2, edge="e", wanted=[wanted]))
         self.assertEqual(self.sent("quota_issue"), [])
 
-    async def test_a_list_is_published_only_under_the_lease(self) -> None:
+    async def test_endpoint_list_is_published_only_while_leader(self) -> None:
         self.run_replica()
         server = ListedServer("i", "s", "10.0.1.1:1", "z", 8, True)
         self.machine._publish_servers([server])
@@ -144,7 +144,7 @@
         self.receive(fetch=pb.Fetch(topic="list/s"))
         self.assertEqual(self.sent("list")[-1].servers[0].id, "i")
 
-    async def test_tokens_by_the_newest_configuration(self) -> None:
+    async def test_tokens_are_issued_by_the_newest_configuration(self) -> None:
         self.run_replica()
         self.machine.leadership_gained(3)
         self.machine.committed(configuration(1))
--- a/tests/fleet/test_control_core_report.py
+++ b/tests/fleet/test_control_core_report.py
@@ -1,4 +1,4 @@
-"""The core section of the state page: each field, and what is unknown is reported as unknown."""
+"""Tests of the core section of the state page: all fields, and the values of unknown fields."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def reported_replica(**fields: Any) -> Any:
-    """A replica that knows everything; `fields` replace some of it."""
+    """Return a fake replica with all fields known; `fields` override attributes."""
     view = SimpleNamespace(epoch=7, acceptors=(OWN, OTHER), chain=("b", "a", "gone"))
     known = {
         "view": view,
@@ -30,7 +30,7 @@
 
 
 class CoreReportTest(TestCase):
-    def test_everything_that_is_known(self) -> None:
+    def test_all_fields_known(self) -> None:
         found = build_core_report(reported_replica(), 9.0, 0.125, 12)
         self.assertEqual((found.id, found.leader, found.leader_name, found.term), ("a", True, "core-b", 5))
         self.assertEqual((found.epoch, found.acceptors), (7, ["core-a", "core-b"]))
@@ -38,7 +38,7 @@
         self.assertEqual((found.config_sequence, found.config_version, found.config_age_ms), (3, 40, 250))
         self.assertEqual((found.write_age_ms, found.edges), (125, 12))
 
-    def test_nothing_is_known(self) -> None:
+    def test_unknown_fields(self) -> None:
         nothing = {"committed": None, "leader_hint": lambda: None, "freshness": lambda now: None}
         found = build_core_report(reported_replica(**nothing), 8.0, 0.0, 0)
         self.assertEqual((found.leader, found.leader_name, found.config_age_ms), (False, "", None))
--- a/tests/fleet/test_control_endpoint_list_client.py
+++ b/tests/fleet/test_control_endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's endpoint list over loopback: one persistent connection, failures by their reason."""
+"""Tests of `EndpointListClient` over loopback: one persistent connection, and the reasons of failures."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from rosechute.control_plane import endpoint_list_client
 from rosechute.control_plane.endpoint_list_client import EndpointListClient
 
-from .data_site import SiteCase
+from .data_site import VirtualTimeTestCase
 from .test_planted_control_machine import free_ports, until
 
 
-class EndpointListClientTest(SiteCase):
-    """Calls of the platform's list over loopback."""
+class EndpointListClientTest(VirtualTimeTestCase):
+    """Fetches pages from a local HTTP server."""
 
     def serve(self, handler: Any) -> Any:
         async def start() -> tuple[web.AppRunner, EndpointListClient]:
@@ -29,29 +29,29 @@
 
         return start()
 
-    def test_pages_by_their_tokens_over_one_connection(self) -> None:
-        async def scene() -> None:
-            asked: list[Any] = []
+    def test_pages_are_fetched_by_token_over_one_connection(self) -> None:
+        async def scenario() -> None:
+            requests: list[Any] = []
 
             async def instances(request: web.Request) -> web.Response:
-                asked.append((dict(request.query), request.transport))
+                requests.append((dict(request.query), request.transport))
                 return web.json_response({"instances": [], "next_token": "n"})
 
             runner, client = await self.serve(instances)
             for token in (None, "n"):
                 self.assertEqual((await client.fetch(token)).unwrap().next_token, "n")
-            self.assertEqual([query for query, _ in asked], [{}, {"page_token": "n"}])
-            self.assertIs(asked[0][1], asked[1][1])
+            self.assertEqual([query for query, _ in requests], [{}, {"page_token": "n"}])
+            self.assertIs(requests[0][1], requests[1][1])
             await client.close()
             await client.close()
-            self.assertTrue((await client.fetch(None)).unwrap() is not None, "opens again")
+            self.assertTrue((await client.fetch(None)).unwrap() is not None, "a new connection is opened")
             await client.close()
             await runner.cleanup()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_one_connection_that_is_kept_and_closed(self) -> None:
-        async def scene() -> None:
+    def test_connection_is_kept_alive_and_closed(self) -> None:
+        async def scenario() -> None:
             transports: list[Any] = []
 
             async def instances(request: web.Request) -> web.Response:
@@ -67,10 +67,10 @@
             await until(transports[0].is_closing)
             await runner.cleanup()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_another_status_is_a_failure(self) -> None:
-        async def scene() -> None:
+    def test_unexpected_status_is_a_failure(self) -> None:
+        async def scenario() -> None:
             async def instances(request: web.Request) -> web.Response:
                 return web.json_response({"instances": []}, status=429)
 
@@ -79,28 +79,28 @@
             await client.close()
             await runner.cleanup()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_call_that_takes_too_long(self) -> None:
-        async def scene() -> None:
+    def test_call_times_out(self) -> None:
+        async def scenario() -> None:
             async def instances(request: web.Request) -> web.Response:
                 await asyncio.sleep(20.0)
                 return web.json_response({"instances": []})
 
             runner, client = await self.serve(instances)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             self.assertIn("no answer within", (await client.fetch(None)).failure().reason)
-            self.assertLess(asyncio.get_running_loop().time() - began, 1.5)
+            self.assertLess(asyncio.get_running_loop().time() - started_at, 1.5)
             self.assertGreater(endpoint_list_client.CALL_TIMEOUT_S, 0.3)
             await client.close()
             await runner.shutdown()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_nobody_listens(self) -> None:
-        async def scene() -> None:
+    def test_connection_refused(self) -> None:
+        async def scenario() -> None:
             client = EndpointListClient(f"127.0.0.1:{free_ports(1)[0]}")
             self.assertTrue((await client.fetch(None)).failure().reason)
             await client.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/tests/fleet/test_control_endpoint_list_reader.py
+++ b/tests/fleet/test_control_endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""The endpoint list reader: only under the leader lease, complete lists only, within its share of the rate."""
+"""Tests of `EndpointListReader`: it reads only while leader, delivers complete lists and limits its call rate."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
+    logger.disable("rosechute.control_plane")  # the injected errors would fill the log
 
 
 def tearDownModule() -> None:
@@ -30,13 +30,13 @@
 
 
 class FakePlatform:
-    """Pages of a list, calls that fail, and a lease that ends after some calls."""
+    """Fake platform with pages, fails calls, and a leader lease that ends after a number of calls."""
 
     def __init__(self, pages: int = 1) -> None:
         self.pages = pages
         self.calls = 0
-        self.failing = False
-        self.broken = False
+        self.fails = False
+        self.raises = False
         self.lease_ends_after_calls = 10**9
         self.next_term_after_calls = 10**9
         self.call_s = 0.0
@@ -45,9 +45,9 @@
     async def fetch(self, token: str | None) -> Result[EndpointListPage, EndpointListError]:
         self.calls += 1
         self.now += self.call_s
-        if self.broken:
-            raise ValueError("a fault of the program")
-        if self.failing:
+        if self.raises:
+            raise ValueError("unexpected error")
+        if self.fails:
             return Failure(EndpointListError("fetch", "10.0.0.1:1", "status 429"))
         number = int(token or 0)
         following = str(number + 1) if number + 1 < self.pages else None
@@ -73,7 +73,7 @@
             platform.fetch, lambda: rate, platform.leader_term, deliver, lambda: 0.5, lambda: platform.now
         )
 
-    async def test_all_pages_are_one_list(self) -> None:
+    async def test_all_pages_are_delivered_as_one_list(self) -> None:
         platform = FakePlatform(3)
         await self.reader(platform).read_once()
         self.assertEqual([[server.id for server in each] for each in self.delivered], [["i-0", "i-1", "i-2"]])
@@ -84,7 +84,7 @@
         self.assertEqual(await self.reader(platform).read_once(), 0.0)
         self.assertEqual((platform.calls, self.delivered), (0, []))
 
-    async def test_it_waits_for_the_lease_and_reads_on_after_a_fault(self) -> None:
+    async def test_run_waits_for_the_lease_and_continues_after_an_exception(self) -> None:
         platform = FakePlatform()
         platform.lease_ends_after_calls = 0
         reader = self.reader(platform)
@@ -93,24 +93,24 @@
         self.assertEqual(platform.calls, 0)
         platform.lease_ends_after_calls = 10**9
         with mock.patch.object(endpoint_list_reader, "RETRY_S", 0.0):
-            platform.broken = True
+            platform.raises = True
             reader.leadership_gained()
             while platform.calls < 3:
                 await asyncio.sleep(0)
-            platform.broken = False
+            platform.raises = False
             while not self.delivered:
                 await asyncio.sleep(0)
         task.cancel()
 
-    async def test_a_reading_is_delivered_only_if_the_lease_is_still_held(self) -> None:
+    async def test_list_is_delivered_only_if_the_lease_is_still_held(self) -> None:
         for pages in (1, 2, 4):
             platform = FakePlatform(pages)
             platform.lease_ends_after_calls = 1
             await self.reader(platform).read_once()
             self.assertEqual((platform.calls, self.delivered), (1, []))
 
-    async def test_a_reading_that_started_in_an_earlier_term_is_dropped(self) -> None:
-        """During a call the lease went to another machine and back: that machine may have published a newer list."""
+    async def test_list_read_in_an_earlier_term_is_discarded(self) -> None:
+        """Another machine that held the lease during the read may have published a newer list."""
         for pages in (1, 2, 4):
             platform = FakePlatform(pages)
             platform.next_term_after_calls = 1
@@ -120,38 +120,38 @@
             await reader.read_once()
             self.assertEqual(len(self.delivered.pop()), pages)
 
-    async def test_a_failure_keeps_the_last_list_and_is_tried_again_soon(self) -> None:
+    async def test_failed_read_delivers_nothing_and_is_retried(self) -> None:
         platform = FakePlatform()
-        platform.failing = True
+        platform.fails = True
         self.assertEqual(await self.reader(platform).read_once(), RETRY_S)
         self.assertEqual(self.delivered, [])
 
     async def test_calls_stay_within_the_share_of_the_rate(self) -> None:
-        for pages, rate, failing in ((1, 40.0, False), (30, 40.0, False), (3, 2.0, False), (1, 4.0, True)):
+        for pages, rate, fails in ((1, 40.0, False), (30, 40.0, False), (3, 2.0, False), (1, 4.0, True)):
             platform = FakePlatform(pages)
-            platform.failing = failing
+            platform.fails = fails
             reader = self.reader(platform, rate)
             waited = 0.0
             for _ in range(50):
                 waited += await reader.read_once()
             self.assertLessEqual(platform.calls, 0.4 * rate * waited * 1.001, (pages, rate))
 
-    async def test_the_interval_counts_from_the_start_of_a_reading(self) -> None:
+    async def test_interval_is_measured_from_the_start_of_a_read(self) -> None:
         platform = FakePlatform(2)
         platform.call_s = 0.1
         self.assertAlmostEqual(await self.reader(platform).read_once(), INTERVAL_S - 0.2)
 
-    async def test_a_reading_that_took_longer_than_the_interval_is_followed_at_once(self) -> None:
+    async def test_read_longer_than_the_interval_is_followed_immediately(self) -> None:
         platform = FakePlatform()
         platform.call_s = 2 * INTERVAL_S
         self.assertEqual(await self.reader(platform).read_once(), 0.0)
 
-    async def test_a_platform_without_a_rate_is_called_seldom(self) -> None:
+    async def test_minimum_rate_applies_without_a_rate_limit(self) -> None:
         wait = await self.reader(FakePlatform(), 0.0).read_once()
         self.assertAlmostEqual(wait, 1 / endpoint_list_reader.MIN_RATE_PER_S)
 
-    async def test_it_waits_for_each_lease_anew(self) -> None:
-        """After a lease that was lost it does not look again and again for the next one."""
+    async def test_run_waits_for_each_lease_without_polling(self) -> None:
+        """After the loss of the lease, the reader waits for an event instead of polling for the next lease."""
         platform = FakePlatform()
         platform.lease_ends_after_calls = 1
         reader = self.reader(platform)
@@ -166,14 +166,14 @@
         self.assertLessEqual(lookup.call_count, 2)
         task.cancel()
 
-    async def test_the_rest_of_a_cold_start_becomes_a_time(self) -> None:
+    async def test_remaining_cold_start_is_converted_to_a_time(self) -> None:
         platform = FakePlatform()
         await self.reader(platform).read_once()
         self.assertAlmostEqual(self.delivered[0][0].cold_until, platform.now + 0.5)
 
 
 class EndpointListPageTest(TestCase):
-    def test_an_entry_as_the_platform_sends_it(self) -> None:
+    def test_entry_with_unknown_keys(self) -> None:
         entry = {"service": "s", "address": "10.128.0.9:8080", "zone": "z", "config_version": "v1", "slots": 64}
         entry |= {"state": "draining", "cold_remaining_ms": 0, "stage": "dual", "models": [], "id": "i-7"}
         page = decode_endpoint_list_page(
@@ -183,7 +183,7 @@
         listed = page.instances[0].to_listed_server(5.0)
         self.assertEqual(listed, ListedServer("i-7", "s", "10.128.0.9:8080", "z", 64, False, 5.0))
 
-    def test_a_rest_of_a_cold_start_below_zero_is_none(self) -> None:
+    def test_negative_remaining_cold_start_counts_as_zero(self) -> None:
         self.assertEqual(
             Instance("i", "s", "10.0.0.1:1", cold_remaining_ms=-700).to_listed_server(5.0).cold_until, 5.0
         )
--- a/tests/fleet/test_control_handover.py
+++ b/tests/fleet/test_control_handover.py
@@ -1,4 +1,4 @@
-"""The handover of a core machine: it serves on until the others go on without it, and not for longer than it may."""
+"""Tests of `hand_over`: the machine keeps serving until the others can continue without it or the timeout expires."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 from rosechute.control_plane import handover
 
-from .data_site import SiteCase
+from .data_site import VirtualTimeTestCase
 
-LOOK_S = 0.02  # by which each look at the clock moves it
+CLOCK_STEP_S = 0.02  # the clock advances by this at each reading
 
 
 class ScriptedClockTest(IsolatedAsyncioTestCase):
-    """On a clock that moves by each look at it."""
+    """Uses a clock that advances at each reading."""
 
-    async def leave(self, handed_over_after: int) -> tuple[float, int]:
-        """How long it took on that clock, and how often the replica was asked."""
-        looks = asked = 0
+    async def run_hand_over(self, handed_over_after: int) -> tuple[float, int]:
+        """Return the duration by that clock and the number of checks of `is_handed_over`."""
+        readings = checks = 0
 
         class Replica:
             @property
             def is_handed_over(self) -> bool:
-                nonlocal asked
-                asked += 1
-                return asked > handed_over_after
+                nonlocal checks
+                checks += 1
+                return checks > handed_over_after
 
         def clock() -> float:
-            nonlocal looks
-            looks += 1
-            return looks * LOOK_S
+            nonlocal readings
+            readings += 1
+            return readings * CLOCK_STEP_S
 
         runtime: Any = SimpleNamespace(replica=Replica(), resign=mock.Mock())
         with (
@@ -40,49 +40,49 @@
         ):
             await handover.hand_over(runtime, clock)
         runtime.resign.assert_called_once_with()
-        return looks * LOOK_S, asked
+        return readings * CLOCK_STEP_S, checks
 
-    async def test_it_ends_once_it_has_handed_over(self) -> None:
-        took_s, asked = await self.leave(3)
-        self.assertEqual(asked, 4)
-        self.assertLess(took_s, handover.HANDOVER_TIMEOUT_S)
+    async def test_returns_once_handed_over(self) -> None:
+        duration_s, checks = await self.run_hand_over(3)
+        self.assertEqual(checks, 4)
+        self.assertLess(duration_s, handover.HANDOVER_TIMEOUT_S)
 
-    async def test_it_ends_in_time_where_the_others_cannot_go_on(self) -> None:
-        took_s, _ = await self.leave(10**6)
-        self.assertLess(took_s, handover.HANDOVER_TIMEOUT_S + 0.1)
+    async def test_returns_after_the_timeout(self) -> None:
+        duration_s, _ = await self.run_hand_over(10**6)
+        self.assertLess(duration_s, handover.HANDOVER_TIMEOUT_S + 0.1)
 
 
-class SimulatedTimeTest(SiteCase):
-    """On the clock of the event loop, which moves by itself."""
+class SimulatedTimeTest(VirtualTimeTestCase):
+    """Uses the simulated clock of the event loop."""
 
     def hand_over_s(self, handed_over_after_s: float) -> float:
-        """How long the end takes where the others go on without this machine after so long."""
-        took: list[float] = []
+        """Return the duration of the handover if the others can continue after `handed_over_after_s`."""
+        durations: list[float] = []
 
-        async def scene() -> None:
+        async def scenario() -> None:
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
 
             class Replica:
                 @property
                 def is_handed_over(self) -> bool:
-                    return loop.time() - began >= handed_over_after_s
+                    return loop.time() - started_at >= handed_over_after_s
 
             runtime: Any = SimpleNamespace(replica=Replica(), resign=mock.Mock())
             await handover.hand_over(runtime, loop.time)
             runtime.resign.assert_called_once_with()
-            took.append(loop.time() - began)
+            durations.append(loop.time() - started_at)
 
-        self.play(scene)
-        return took[0]
+        self.run_scenario(scenario)
+        return durations[0]
 
-    def test_it_serves_on_until_it_has_handed_over(self) -> None:
+    def test_keeps_serving_until_handed_over(self) -> None:
         self.assertTrue(0.3 <= self.hand_over_s(0.3) < 0.5)
 
-    def test_it_ends_where_nobody_can_go_on_without_it(self) -> None:
-        within = handover.HANDOVER_TIMEOUT_S
-        self.assertTrue(within <= self.hand_over_s(60.0) < within + 0.2)
+    def test_returns_after_the_timeout_if_the_others_cannot_continue(self) -> None:
+        timeout_s = handover.HANDOVER_TIMEOUT_S
+        self.assertTrue(timeout_s <= self.hand_over_s(60.0) < timeout_s + 0.2)
 
-    def test_its_last_messages_have_time_to_leave(self) -> None:
-        """What `resign` tells the others is sent by the loop: links that were closed at once would drop it."""
+    def test_waits_for_the_last_messages_to_be_sent(self) -> None:
+        """The event loop sends the messages of `resign` later; closing the links immediately would drop them."""
         self.assertTrue(0.02 <= self.hand_over_s(0.0) < 0.2)
--- a/tests/fleet/test_control_largest_write.py
+++ b/tests/fleet/test_control_largest_write.py
@@ -1,4 +1,4 @@
-"""The largest configuration that the operator's API accepts fits into every message that has to carry it."""
+"""The largest configuration that the operator API accepts fits into every message that carries it."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from rosechute.messages import coordination_pb2 as pb
 from rosechute.messages.framing import MessageKind, encode_frame
 
-MOST_ACCEPTORS = 10
+MAX_ACCEPTORS = 10
 
 
 class LargestWriteTest(TestCase):
-    """A configuration that the operator's API lets in fits into every message that has to carry it."""
+    """The frame size limit allows messages with the largest configuration."""
 
     def test_every_message_with_the_largest_state_fits_into_a_frame(self) -> None:
         state = RegisterState(
             9, 9, 9, b" " * BODY_LIMIT_BYTES, b"d" * 16, b"t" * (APPLIED_WRITE_BYTES * MAX_APPLIED_WRITES)
         )
         machine = MachineIdentity("i" * 16, "n" * 64, "z" * 64, "255.255.255.255:65535", "255.255.255.255:65535")
-        view = View(9, (machine,) * MOST_ACCEPTORS, (machine.id,) * MOST_ACCEPTORS, MOST_ACCEPTORS)
+        view = View(9, (machine,) * MAX_ACCEPTORS, (machine.id,) * MAX_ACCEPTORS, MAX_ACCEPTORS)
         proposal = Proposal(Ballot(9, machine.id, 2**52), view, state)
         configuration = pb.Configuration(version=9, body=state.body, digest=state.digest)
         for message in (
--- a/tests/fleet/test_control_operator_api.py
+++ b/tests/fleet/test_control_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's API over loopback: the response to each outcome, and that one is always sent in time."""
+"""Tests of `OperatorApi` over loopback: the response to each outcome, and the response timeout."""
 
 import asyncio
 import json
@@ -27,12 +27,12 @@
 
 def body(version: int, **changes: Any) -> bytes:
     route = {"name": "r", "host": "h", "path_prefix": "/a/", "timeout_ms": 1000, "service": "s"}
-    whole = {"config_version": version, "routes": [{**route, **changes}], "services": [{"name": "s"}]}
-    return json.dumps(whole, indent=1).encode()
+    configuration = {"config_version": version, "routes": [{**route, **changes}], "services": [{"name": "s"}]}
+    return json.dumps(configuration, indent=1).encode()
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # what is played here would be decoded at length
+    logger.disable("rosechute.control_plane")  # the log lines of the requests sent here are not of interest
 
 
 def tearDownModule() -> None:
@@ -40,7 +40,7 @@
 
 
 class FakeConfigurationStore:
-    """Returns the outcome that a test has set, or none at all."""
+    """Fake store with the outcome set by the test; without one its futures never complete."""
 
     def __init__(self) -> None:
         self.outcome: Outcome | None = None
@@ -79,7 +79,7 @@
         async with self.session.get(self.server.make_url(READ_PATH), allow_redirects=False) as answer:
             return answer.status, await answer.read(), answer.headers
 
-    async def test_acknowledged(self) -> None:
+    async def test_write_acknowledged(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
         status, decoded, _ = await self.replace(body(7))
         self.assertEqual((status, decoded), (200, {"config_version": 7}))
@@ -96,7 +96,7 @@
             status, decoded, _ = await self.replace(body(version))
             self.assertEqual((status, decoded["place"]), (400, "config_version"))
 
-    async def test_invalid_ones_never_reach_the_chain(self) -> None:
+    async def test_invalid_configurations_are_not_proposed(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
         cases = ((b"{", ""), (b"", ""), (body(7, timeout_ms=0), "routes[0].timeout_ms"))
         cases += ((body(7, service="other"), "routes[0].service"),)
@@ -110,14 +110,14 @@
             status, decoded, _ = await self.replace(body(7), base)
             self.assertEqual((status, decoded["place"]), (400, BASE_VERSION_HEADER), base)
 
-    async def test_redirected_to_the_machine_that_knows(self) -> None:
+    async def test_redirect_to_another_machine(self) -> None:
         self.configurations.outcome = Redirect("10.0.0.4:8367")
         status, _, headers = await self.replace(body(7))
         self.assertEqual((status, headers["Location"]), (307, "http://10.0.0.4:8367/config/replace"))
         status, _, headers = await self.read()
         self.assertEqual((status, headers["Location"]), (307, "http://10.0.0.4:8367/config/read"))
 
-    async def test_never_redirected_to_itself(self) -> None:
+    async def test_no_redirect_to_the_same_machine(self) -> None:
         self.configurations.outcome = Redirect(OWN)
         self.assertEqual((await self.replace(body(7)))[0], 503)
         self.assertEqual((await self.read())[0], 503)
@@ -129,12 +129,12 @@
         self.assertIn("Retry-After", headers)
         self.assertEqual((await self.read())[0], 503)
 
-    async def test_a_response_is_sent_where_no_outcome_comes(self) -> None:
+    async def test_response_after_a_timeout_of_the_outcome(self) -> None:
         with mock.patch.multiple(operator_api, RESPONSE_TIMEOUT_S=0.01, MIN_OUTCOME_TIMEOUT_S=0.0):
             self.assertEqual((await self.replace(body(7)))[0], 503)
             self.assertEqual((await self.read())[0], 503)
 
-    async def test_read_is_byte_for_byte(self) -> None:
+    async def test_read_returns_the_body_unchanged(self) -> None:
         self.configurations.outcome = ReadResult(3, 7, body(7), b"")
         status, decoded, _ = await self.read()
         self.assertEqual((status, decoded), (200, body(7)))
@@ -143,7 +143,7 @@
         self.configurations.outcome = NoConfiguration()
         self.assertEqual((await self.read())[0], 404)
 
-    async def test_a_large_configuration_is_accepted(self) -> None:
+    async def test_large_configuration_is_accepted(self) -> None:
         self.configurations.outcome = WriteAcknowledged(7)
         data = body(7, padding="x" * (5 * 1024 * 1024))
         self.assertEqual((await self.replace(data))[0], 200)
--- a/tests/fleet/test_control_record_loading.py
+++ b/tests/fleet/test_control_record_loading.py
@@ -1,4 +1,4 @@
-"""Loading the records of a core machine while its disk refuses."""
+"""Tests of loading the records of a core machine while its disk returns errors."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
         logger.disable("rosechute.control_plane")
         self.addCleanup(logger.enable, "rosechute.control_plane")
 
-    async def test_a_disk_that_refuses_at_the_start_costs_no_descriptors(self) -> None:
+    async def test_failed_attempts_leak_no_file_descriptors(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             store, _ = RecordStore.open(DiskDirectory(path)).unwrap()
             store.write_snapshot([b"record"]).unwrap()
-            tries = 0
+            attempts = 0
             before = len(os.listdir("/proc/self/fd"))
 
-            def refuse(descriptor: int) -> None:
-                nonlocal tries
-                tries += 1
-                if tries <= FAILED_LOADS:
+            def fail_sync(descriptor: int) -> None:
+                nonlocal attempts
+                attempts += 1
+                if attempts <= FAILED_LOADS:
                     raise OSError(errno.EIO, "Input/output error")
 
             with (
                 mock.patch.object(record_loading, "LOAD_RETRY_S", 0.0),
-                mock.patch("rosechute.storage.files.os.fdatasync", refuse),
+                mock.patch("rosechute.storage.files.os.fdatasync", fail_sync),
             ):
-                _, saved = await record_loading.load_records_until_readable(path)
-            self.assertEqual(saved, [b"record"])
+                _, loaded = await record_loading.load_records_until_readable(path)
+            self.assertEqual(loaded, [b"record"])
             self.assertLess(len(os.listdir("/proc/self/fd")) - before, FAILED_LOADS // 2)
