--- a/tests/fleet/test_control_replica_runtime.py
+++ b/tests/fleet/test_control_replica_runtime.py
@@ -1,4 +1,4 @@
-"""Replica, runtime and record store together: faults of disks and processes, and writes that must survive them."""
+"""Tests of replica, runtime and record store together: acknowledged writes survive faults of disks and processes."""
 
 import asyncio
 import random
@@ -13,12 +13,12 @@
 
 from .simulated_core import SimulatedCore, SimulatedMachine
 
-ACK_S = 4.0
+WRITE_TIMEOUT_S = 4.0
 SEEDS = 6
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.control_plane")  # the faults that are played here would fill the log
+    logger.disable("rosechute.control_plane")  # the injected faults would fill the log
 
 
 def tearDownModule() -> None:
@@ -28,18 +28,18 @@
 class RuntimeTest(IsolatedAsyncioTestCase):
     async def cluster(self, machines: int = 3, seed: int = 0) -> SimulatedCore:
         core = SimulatedCore(machines, seed)
-        self.assertEqual(await core.write(0, 1, ACK_S), WriteAcknowledged(1))
+        self.assertEqual(await core.write(0, 1, WRITE_TIMEOUT_S), WriteAcknowledged(1))
         return core
 
-    async def test_a_write_is_acknowledged_and_read_back(self) -> None:
+    async def test_write_is_acknowledged_and_read_back(self) -> None:
         for machines in (3, 4, 5):
             core = await self.cluster(machines)
-            self.assertEqual(await core.write(1, 4, ACK_S), WriteAcknowledged(4))
-            read = await core.read(ACK_S)
+            self.assertEqual(await core.write(1, 4, WRITE_TIMEOUT_S), WriteAcknowledged(4))
+            read = await core.read(WRITE_TIMEOUT_S)
             assert read is not None
             self.assertEqual((read.version, read.body), (4, b"4 on 1 "))
 
-    async def test_the_report_of_each_machine(self) -> None:
+    async def test_core_report_of_each_machine(self) -> None:
         core = await self.cluster()
         await core.run_for(2.0)
         reports = []
@@ -54,17 +54,17 @@
             self.assertEqual(sorted(each.chain), [machine.control for machine in core.machines])
             self.assertLess(each.config_age_ms or 0, 1000)
 
-    async def test_a_repeated_write_is_acknowledged_and_another_one_rejected(self) -> None:
+    async def test_repeated_write_is_acknowledged_and_a_different_one_rejected(self) -> None:
         core = await self.cluster()
-        await core.write(1, 2, ACK_S)
-        await core.write(2, 3, ACK_S)
-        self.assertEqual(await core.write(1, 2, ACK_S), WriteAcknowledged(2))
-        self.assertEqual(await core.write(1, 2, ACK_S, "of another operator"), VersionConflict(3))
-        self.assertEqual(await core.write(3, 3, ACK_S), VersionConflict(3))
+        await core.write(1, 2, WRITE_TIMEOUT_S)
+        await core.write(2, 3, WRITE_TIMEOUT_S)
+        self.assertEqual(await core.write(1, 2, WRITE_TIMEOUT_S), WriteAcknowledged(2))
+        self.assertEqual(await core.write(1, 2, WRITE_TIMEOUT_S, "of another operator"), VersionConflict(3))
+        self.assertEqual(await core.write(3, 3, WRITE_TIMEOUT_S), VersionConflict(3))
 
     async def test_one_of_eight_concurrent_writes_wins(self) -> None:
         core = await self.cluster()
-        writes = [core.write(1, 2 + number, ACK_S) for number in range(8)]
+        writes = [core.write(1, 2 + number, WRITE_TIMEOUT_S) for number in range(8)]
         outcomes = await asyncio.gather(*writes)
         self.assertEqual(sum(isinstance(each, WriteAcknowledged) for each in outcomes), 1)
         self.assertEqual(sum(isinstance(each, VersionConflict) for each in outcomes), 7)
@@ -74,50 +74,54 @@
             core = await self.cluster(seed=number)
             machine = core.machines[number]
             machine.disk_full = True
-            self.assertEqual(await core.write(1, 2, ACK_S), WriteAcknowledged(2))
+            self.assertEqual(await core.write(1, 2, WRITE_TIMEOUT_S), WriteAcknowledged(2))
             machine.disk_full = False
             await core.run_for(4.0)
-            self.assertEqual(await core.write(2, 3, ACK_S), WriteAcknowledged(3))
+            self.assertEqual(await core.write(2, 3, WRITE_TIMEOUT_S), WriteAcknowledged(3))
             for each in core.machines:
                 each.kill(power=True)
                 each.start()
-            read = await core.read(ACK_S + 2.0)
+            read = await core.read(WRITE_TIMEOUT_S + 2.0)
             self.assertEqual(read and read.version, 3)
 
     async def test_hung_disk_of_any_machine(self) -> None:
         for number in range(3):
             core = await self.cluster(seed=number)
             core.machines[number].disk_hangs = True
-            self.assertEqual(await core.write(1, 2, ACK_S), WriteAcknowledged(2))
+            self.assertEqual(await core.write(1, 2, WRITE_TIMEOUT_S), WriteAcknowledged(2))
             core.machines[number].disk_hangs = False
             await core.run_for(4.0)
-            self.assertEqual(await core.write(2, 3, ACK_S), WriteAcknowledged(3))
+            self.assertEqual(await core.write(2, 3, WRITE_TIMEOUT_S), WriteAcknowledged(3))
 
     async def test_slow_disks(self) -> None:
         core = await self.cluster()
         for machine in core.machines:
             machine.sync_s = 0.12
         for version in range(2, 6):
-            self.assertEqual(await core.write(version - 1, version, ACK_S), WriteAcknowledged(version))
+            self.assertEqual(await core.write(version - 1, version, WRITE_TIMEOUT_S), WriteAcknowledged(version))
 
-    async def test_all_lose_power_right_after_an_acknowledgement(self) -> None:
+    async def test_power_loss_of_all_machines_after_an_acknowledgement(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for version in range(2, 6):
-                self.assertEqual(await core.write(version - 1, version, ACK_S + 2.0), WriteAcknowledged(version))
+                self.assertEqual(
+                    await core.write(version - 1, version, WRITE_TIMEOUT_S + 2.0), WriteAcknowledged(version)
+                )
                 for machine in core.machines:
                     machine.kill(power=True)
                 for machine in core.draw.sample(core.machines, 3):
                     machine.start()
                     await core.run_for(core.draw.choice((0.0, 0.3)))
-                read = await core.read(ACK_S + 2.0)
+                read = await core.read(WRITE_TIMEOUT_S + 2.0)
                 self.assertEqual(read and read.version, version, seed)
 
-    async def test_a_wiped_machine_and_power_loss_of_the_others(self) -> None:
+    async def test_wiped_machine_and_power_loss_of_the_others(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for version in range(2, 5):
-                self.assertEqual(await core.write(version - 1, version, ACK_S + 2.0), WriteAcknowledged(version))
+                self.assertEqual(
+                    await core.write(version - 1, version, WRITE_TIMEOUT_S + 2.0), WriteAcknowledged(version)
+                )
                 wiped = core.draw.choice(core.machines)
                 for machine in core.machines:
                     machine.wipe() if machine is wiped else machine.kill(power=True)
@@ -127,32 +131,32 @@
                 self.assertEqual(read and read.version, version, seed)
                 await core.run_for(4.0)
 
-    async def test_lost_acknowledgements_never_turn_into_conflicts(self) -> None:
+    async def test_lost_acknowledgements_do_not_cause_conflicts(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             core.answers_lost = 0.6
             for version in range(2, 12):
                 self.assertEqual(await core.write(version - 1, version, 20.0), WriteAcknowledged(version), seed)
 
-    async def test_a_write_whose_response_was_lost_is_acknowledged_after_later_ones(self) -> None:
+    async def test_write_with_a_lost_response_is_acknowledged_after_later_writes(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             core.answers_lost = 1.0
             self.assertIsNone(await core.write(1, 2, 1.0))
             core.answers_lost = 0.0
-            self.assertEqual(await core.write(2, 3, ACK_S), WriteAcknowledged(3))
+            self.assertEqual(await core.write(2, 3, WRITE_TIMEOUT_S), WriteAcknowledged(3))
             for machine in core.machines:
                 machine.kill(power=True)
                 machine.start()
-            self.assertEqual(await core.write(1, 2, ACK_S + 2.0), WriteAcknowledged(2), seed)
-            read = await core.read(ACK_S)
+            self.assertEqual(await core.write(1, 2, WRITE_TIMEOUT_S + 2.0), WriteAcknowledged(2), seed)
+            read = await core.read(WRITE_TIMEOUT_S)
             self.assertEqual(read and read.version, 3, seed)
 
     async def test_resets_of_all_links(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for version in range(2, 8):
-                written = asyncio.create_task(core.write(version - 1, version, ACK_S))
+                written = asyncio.create_task(core.write(version - 1, version, WRITE_TIMEOUT_S))
                 for _ in range(5):
                     await asyncio.sleep(0)
                     core.reset_links()
@@ -166,17 +170,17 @@
                 writes = [core.write(version, version + 3 + number, 1.5) for number in range(7)]
                 outcomes = await asyncio.gather(*writes, core.write(version, version + 10, 1.5))
                 self.repair(core)
-                taken = [each.version for each in outcomes if isinstance(each, WriteAcknowledged)]
-                self.assertLessEqual(len(taken), 1, seed)
+                acknowledged = [each.version for each in outcomes if isinstance(each, WriteAcknowledged)]
+                self.assertLessEqual(len(acknowledged), 1, seed)
                 read = await core.read(8.0)
                 assert read is not None
-                self.assertTrue(not taken or read.version == taken[0], seed)
-                if read.version != version + 10:  # on to a base that is known
+                self.assertTrue(not acknowledged or read.version == acknowledged[0], seed)
+                if read.version != version + 10:  # continue from a known version
                     self.assertEqual(
                         await core.write(read.version, version + 10, 8.0), WriteAcknowledged(version + 10)
                     )
 
-    async def test_a_disk_that_hangs_for_all_and_returns(self) -> None:
+    async def test_all_disks_hang_and_recover(self) -> None:
         for seed in range(SEEDS):
             core = await self.cluster(seed=seed)
             for machine in core.machines:
@@ -185,17 +189,17 @@
             self.repair(core)
             self.assertEqual(await core.write(1, 2, 6.0), WriteAcknowledged(2), seed)
 
-    async def test_the_log_stays_short_and_the_snapshot_is_complete(self) -> None:
+    async def test_log_stays_short_and_snapshot_is_complete(self) -> None:
         with mock.patch.object(replica_runtime, "LOG_LIMIT_BYTES", 2_000):
             core = await self.cluster()
             for version in range(2, 60):
-                self.assertEqual(await core.write(version - 1, version, ACK_S), WriteAcknowledged(version))
+                self.assertEqual(await core.write(version - 1, version, WRITE_TIMEOUT_S), WriteAcknowledged(version))
             for machine in core.machines:
                 assert machine.records is not None
                 self.assertLess(machine.records.log_size, 8_000)
                 machine.kill(power=True)
                 machine.start()
-            read = await core.read(ACK_S + 2.0)
+            read = await core.read(WRITE_TIMEOUT_S + 2.0)
             self.assertEqual(read and read.version, 59)
 
     async def test_random_faults(self) -> None:
@@ -241,11 +245,11 @@
 
 
 class SnapshotTest(IsolatedAsyncioTestCase):
-    async def test_a_snapshot_is_not_followed_by_what_it_holds(self) -> None:
+    async def test_records_in_a_snapshot_are_not_appended_again(self) -> None:
         with mock.patch.object(replica_runtime, "LOG_LIMIT_BYTES", 0):
             core = SimulatedCore(3, 1)
             for version in range(1, 8):
-                self.assertEqual(await core.write(version - 1, version, ACK_S), WriteAcknowledged(version))
+                self.assertEqual(await core.write(version - 1, version, WRITE_TIMEOUT_S), WriteAcknowledged(version))
             for machine in core.machines:
                 assert machine.runtime is not None
                 self.assertLessEqual(max(machine.committed_sequences), 7)
--- a/tests/fleet/test_data_plane_checkers.py
+++ b/tests/fleet/test_data_plane_checkers.py
@@ -1,6 +1,6 @@
-"""The data plane under servers and clients that do everything, by seed; and what each judge is there for, found.
+"""Random schedules of the data plane, and planted faults that each check of the schedules has to detect.
 
-More seeds: `python -m tests.fleet.data_schedules 1000 4000`.
+To run more seeds: `python -m tests.fleet.data_schedules 1000 4000`.
 """
 
 from __future__ import annotations
@@ -24,161 +24,171 @@
 from rosechute.routing.model import AttemptResult
 from rosechute.routing.router import Router
 from tests.fleet import data_judges
-from tests.fleet.data_judges import Judge, verdicts
+from tests.fleet.data_judges import Check, violations
 from tests.fleet.data_model import Records
 from tests.fleet.data_schedules import play
 
 SEEDS = range(16)
-PLANTED_SEEDS = range(0, 40)  # a planted fault is looked for in these, until one shows it
+PLANTED_SEEDS = range(0, 40)  # run until one of them reveals the planted fault
 
 
-class Schedules(unittest.TestCase):
-    def test_no_judge_finds_anything(self) -> None:
+class RandomSchedulesTest(unittest.TestCase):
+    def test_random_schedules_have_no_violations(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.assertEqual(verdicts(play(seed)), [])
+                self.assertEqual(violations(play(seed)), [])
 
 
-class PlantedFaults(unittest.TestCase):
-    """Each takes one mechanism away; the judge that is there for it objects within a few seeds."""
+class PlantedFaultsTest(unittest.TestCase):
+    """Each test disables one mechanism; the check that covers it has to find a violation within a few seeds."""
 
-    def found(self, judge: Judge, fault: Any) -> None:
-        """Play seeds with the fault until this judge objects."""
+    def assert_detected(self, check: Check, fault: Any) -> None:
+        """Run seeds with the fault until this check finds a violation."""
         with fault:
             for seed in PLANTED_SEEDS:
-                if self._objects(judge, seed):
+                if self._has_violation(check, seed):
                     return
-        self.fail(f"{judge.__name__} finds nothing in {len(PLANTED_SEEDS)} schedules")
+        self.fail(f"{check.__name__} finds no violation in {len(PLANTED_SEEDS)} schedules")
 
     @staticmethod
-    def _objects(judge: Judge, seed: int) -> bool:
+    def _has_violation(check: Check, seed: int) -> bool:
         try:
-            return any(judge(play(seed)))
+            return any(check(play(seed)))
         except TimeoutError:
-            return False  # the fault stops the schedule itself
+            return False  # the fault made the schedule hang
 
-    def test_answers_taken_whatever_they_name(self) -> None:
+    def test_request_id_of_response_is_ignored(self) -> None:
         def send(self: Connection, *arguments: Any, **more: Any) -> None:
             original(self, *arguments, **more | {"echo": None})
 
         original = Connection.send
         own = mock.patch.object(attempt.Attempt, "_echoes_request_id", lambda *_: True)
         with mock.patch.object(Connection, "send", send):
-            self.found(data_judges.judge_own_response, own)
+            self.assert_detected(data_judges.check_response_origin, own)
 
-    def test_two_names_taken(self) -> None:
-        self.found(
-            data_judges.judge_own_response, mock.patch.object(attempt.Attempt, "_echoes_request_id", lambda *_: True)
+    def test_second_request_id_is_ignored(self) -> None:
+        self.assert_detected(
+            data_judges.check_response_origin,
+            mock.patch.object(attempt.Attempt, "_echoes_request_id", lambda *_: True),
         )
 
-    def test_successes_taken_without_a_stamp(self) -> None:
-        self.found(data_judges.judge_own_response, mock.patch.object(attempt_outcome, "is_trusted", lambda _: True))
+    def test_success_without_stamp_is_forwarded(self) -> None:
+        self.assert_detected(
+            data_judges.check_response_origin, mock.patch.object(attempt_outcome, "is_trusted", lambda _: True)
+        )
 
-    def test_a_reset_taken_for_the_end(self) -> None:
+    def test_reset_is_handled_as_end_of_body(self) -> None:
         def connection_lost(self: Connection, error: Exception | None) -> None:
-            if self._until_end and self._done is not None:
+            if self._ends_at_close and self._on_done is not None:
                 self._end()
             original(self, error)
 
         original = Connection.connection_lost
-        self.found(data_judges.judge_whole, mock.patch.object(Connection, "connection_lost", connection_lost))
+        self.assert_detected(
+            data_judges.check_completeness, mock.patch.object(Connection, "connection_lost", connection_lost)
+        )
 
-    def test_a_broken_answer_finished(self) -> None:
-        self.found(
-            data_judges.judge_whole,
+    def test_interrupted_response_is_finished(self) -> None:
+        self.assert_detected(
+            data_judges.check_completeness,
             mock.patch.object(ClientResponse, "truncate", lambda self: ClientResponse.finish(self, b"")),
         )
 
-    def test_a_broken_stream_finished(self) -> None:
-        self.found(
-            data_judges.judge_streams,
+    def test_interrupted_stream_is_finished(self) -> None:
+        self.assert_detected(
+            data_judges.check_event_streams,
             mock.patch.object(ClientResponse, "truncate", lambda self: ClientResponse.finish(self, b"")),
         )
 
-    def test_what_may_have_run_sent_again(self) -> None:
-        self.found(data_judges.judge_at_most_once, self._repeats_everything())
+    def test_possibly_executed_request_is_retried(self) -> None:
+        self.assert_detected(data_judges.check_at_most_once, self._retry_everything())
 
     @staticmethod
-    def _repeats_everything() -> Any:
-        """Neither the request nor the router minds that it may have run."""
+    def _retry_everything() -> Any:
+        """Make request and router ignore that a request may have been executed."""
 
-        def again(self: ClientRequest, ending: AttemptOutcome) -> bool:
+        def retry_always(self: ClientRequest, outcome: AttemptOutcome) -> bool:
             return True
 
-        def prepare(self: ClientRequest, out: attempt.Attempt) -> bytes | None:
+        def build_unexecuted_request(self: ClientRequest, current_attempt: attempt.Attempt) -> bytes | None:
             self._may_have_executed = False
-            return original(self, out)
+            return original(self, current_attempt)
 
         def report(self: Router, now: float, ticket: int, server: str, result: AttemptResult, more: bool) -> Any:
-            return told(self, now, ticket, server, AttemptResult.NOT_EXECUTED if more else result, more)
+            return original_report(self, now, ticket, server, AttemptResult.NOT_EXECUTED if more else result, more)
 
-        original, told = ClientRequest.build_request, Router.report
-        return _Patches(
-            mock.patch.object(ClientRequest, "_can_retry", again),
-            mock.patch.object(ClientRequest, "build_request", prepare),
+        original, original_report = ClientRequest.build_request, Router.report
+        return _CombinedPatches(
+            mock.patch.object(ClientRequest, "_can_retry", retry_always),
+            mock.patch.object(ClientRequest, "build_request", build_unexecuted_request),
             mock.patch.object(Router, "report", report),
         )
 
-    def test_a_newer_configuration_not_asked(self) -> None:
-        def refusal(self: DataPlane, admitted: AdmittedRequest) -> Any:
-            told = original(self, admitted)
+    def test_newer_configuration_is_ignored_before_retry(self) -> None:
+        def rejection_without_update(self: DataPlane, admitted: AdmittedRequest) -> Any:
+            rejection = original(self, admitted)
             admitted.repeatable = admitted.route.repeatable
-            return told
+            return rejection
 
         original = DataPlane.current_rejection
-        self.found(data_judges.judge_at_most_once, mock.patch.object(DataPlane, "current_rejection", refusal))
+        self.assert_detected(
+            data_judges.check_at_most_once,
+            mock.patch.object(DataPlane, "current_rejection", rejection_without_update),
+        )
 
-    def test_a_reset_taken_for_not_run(self) -> None:
-        self.found(
-            data_judges.judge_at_most_once,
+    def test_reset_is_handled_as_not_executed(self) -> None:
+        self.assert_detected(
+            data_judges.check_at_most_once,
             mock.patch.object(attempt_outcome, "RESET", AttemptOutcome(AttemptResult.CONNECT_FAILED, False)),
         )
 
-    def test_a_promise_without_its_mark_believed(self) -> None:
+    def test_not_executed_status_without_header_is_trusted(self) -> None:
         def classify_response(reply: Reply, server_id: str) -> AttemptOutcome:
             if reply.status in attempt_outcome.NOT_EXECUTED_STATUSES:
                 return AttemptOutcome(AttemptResult.NOT_EXECUTED, False)
             return original(reply, server_id)
 
         original = attempt_outcome.classify_response
-        self.found(
-            data_judges.judge_at_most_once, mock.patch.object(attempt_outcome, "classify_response", classify_response)
+        self.assert_detected(
+            data_judges.check_at_most_once, mock.patch.object(attempt_outcome, "classify_response", classify_response)
         )
 
-    def test_a_promise_after_a_run(self) -> None:
+    def test_not_executed_status_is_sent_after_execution(self) -> None:
         def send_local_response(self: ClientResponse, status: int, retry_after_s: float = 0.0) -> None:
             original(self, 503 if status == 502 else status, retry_after_s)
 
         original = ClientResponse.send_local_response
-        self.found(
-            data_judges.judge_promises, mock.patch.object(ClientResponse, "send_local_response", send_local_response)
+        self.assert_detected(
+            data_judges.check_not_executed_statuses,
+            mock.patch.object(ClientResponse, "send_local_response", send_local_response),
         )
 
-    def test_events_of_the_next_run_not_compared(self) -> None:
-        def rises(self: EventStream, event_id: bytes) -> bool:
+    def test_event_ids_of_next_response_are_not_checked(self) -> None:
+        def accept_any_id(self: EventStream, event_id: bytes) -> bool:
             self._number = int(event_id)
             return True
 
         def resume_point(self: ClientResponse) -> None:
             return None
 
-        self.found(
-            data_judges.judge_streams,
-            _Patches(
-                mock.patch.object(EventStream, "_follows_last_id", rises),
+        self.assert_detected(
+            data_judges.check_event_streams,
+            _CombinedPatches(
+                mock.patch.object(EventStream, "_follows_last_id", accept_any_id),
                 mock.patch.object(ClientResponse, "resume_point", resume_point),
             ),
         )
 
-    def test_part_of_an_event_kept_for_the_next_run(self) -> None:
+    def test_partial_event_is_kept_for_next_response(self) -> None:
         def start_next_response(self: EventStream) -> None:
             self._may_repeat_events = self._has_forwarded
 
-        self.found(
-            data_judges.judge_streams, mock.patch.object(EventStream, "start_next_response", start_next_response)
+        self.assert_detected(
+            data_judges.check_event_streams,
+            mock.patch.object(EventStream, "start_next_response", start_next_response),
         )
 
-    def test_other_weights_joined(self) -> None:
+    def test_responses_of_different_weights_are_joined(self) -> None:
         def resume_point(self: ClientResponse) -> server_request.ResumePoint | None:
             events = self._events
             return server_request.ResumePoint(events.last_id, None) if events is not None else None
@@ -189,47 +199,54 @@
             self._events.start_next_response()
             return True
 
-        self.found(
-            data_judges.judge_streams,
-            _Patches(
+        self.assert_detected(
+            data_judges.check_event_streams,
+            _CombinedPatches(
                 mock.patch.object(ClientResponse, "resume_point", resume_point),
                 mock.patch.object(ClientResponse, "resume_from", resume_from),
             ),
         )
 
-    def test_streams_resumed_that_may_not_be(self) -> None:
-        def begin(self: ClientResponse, reply: Reply, length: int | None, source: Any) -> bool:
-            begun = original(self, reply, length, source)
+    def test_non_resumable_stream_is_resumed(self) -> None:
+        def start_resumable(self: ClientResponse, reply: Reply, length: int | None, source: Any) -> bool:
+            is_started = original(self, reply, length, source)
             if self._admitted.route.streaming and self._events is None:
                 self._events = EventStream(None, None, 10_000)
-            return begun
+            return is_started
 
         original = ClientResponse.start
-        with self._repeats_everything():
-            self.found(data_judges.judge_at_most_once, mock.patch.object(ClientResponse, "start", begin))
+        with self._retry_everything():
+            self.assert_detected(
+                data_judges.check_at_most_once, mock.patch.object(ClientResponse, "start", start_resumable)
+            )
 
-    def test_attempts_not_counted(self) -> None:
-        def again(self: Router, now: float, service: Any, pending: Any) -> Any:
+    def test_attempts_are_not_counted(self) -> None:
+        def retry_always(self: Router, now: float, service: Any, pending: Any) -> Any:
             pending.executed_attempts = 0
             return original(self, now, service, pending)
 
         original = Router._retry
-        self.found(data_judges.judge_attempts, mock.patch.object(Router, "_retry", again))
+        self.assert_detected(data_judges.check_attempt_limit, mock.patch.object(Router, "_retry", retry_always))
 
-    def test_fields_of_the_client_dropped(self) -> None:
-        self.found(data_judges.judge_unchanged, mock.patch.object(server_request, "END_TO_END", frozenset()))
+    def test_end_to_end_headers_are_dropped(self) -> None:
+        self.assert_detected(
+            data_judges.check_forwarded_requests, mock.patch.object(server_request, "END_TO_END", frozenset())
+        )
 
-    def test_a_connection_used_before_its_body_is_out(self) -> None:
-        self.found(data_judges.judge_unchanged, mock.patch.object(Connection, "written", property(lambda self: True)))
+    def test_connection_is_reused_before_body_is_sent(self) -> None:
+        self.assert_detected(
+            data_judges.check_forwarded_requests,
+            mock.patch.object(Connection, "written", property(lambda self: True)),
+        )
 
-    def test_no_deadline_handed_on(self) -> None:
-        self.found(data_judges.judge_deadlines, self._wire(lambda left_s: None))
+    def test_deadline_is_not_forwarded(self) -> None:
+        self.assert_detected(data_judges.check_forwarded_deadlines, self._change_deadline(lambda left_s: None))
 
-    def test_a_deadline_begun_anew(self) -> None:
-        self.found(data_judges.judge_deadlines, self._wire(lambda left_s: 4.9))
+    def test_deadline_restarts_for_each_attempt(self) -> None:
+        self.assert_detected(data_judges.check_forwarded_deadlines, self._change_deadline(lambda left_s: 4.9))
 
     @staticmethod
-    def _wire(change: Callable[[float], float | None]) -> Any:
+    def _change_deadline(change: Callable[[float], float | None]) -> Any:
         def serialize_attempt(admitted: Any, server_id: str, left_s: float, resume: Any, body: bytes) -> bytes:
             changed = change(left_s)
             wire = original(admitted, server_id, left_s if changed is None else changed, resume, body)
@@ -238,19 +255,20 @@
         original = server_request.serialize_attempt
         return mock.patch.object(request, "serialize_attempt", serialize_attempt)
 
-    def test_servers_kept_at_work_for_clients_that_left(self) -> None:
-        self.found(
-            data_judges.judge_gone, mock.patch.object(ClientRequest, "on_client_disconnected", lambda self: None)
+    def test_client_disconnect_is_ignored(self) -> None:
+        self.assert_detected(
+            data_judges.check_disconnected_clients,
+            mock.patch.object(ClientRequest, "on_client_disconnected", lambda self: None),
         )
 
-    def test_no_end_to_the_wait(self) -> None:
+    def test_deadline_is_not_enforced(self) -> None:
         with mock.patch.object(ClientRequest, "_on_deadline", lambda self: None):
-            self.found(
-                data_judges.judge_answered_in_time,
+            self.assert_detected(
+                data_judges.check_response_deadlines,
                 mock.patch.object(InactivityWatch, "_abandon_at", lambda self: float("inf")),
             )
 
-    def test_unasked_bytes_for_a_client(self) -> None:
+    def test_unsolicited_bytes_are_sent_to_client(self) -> None:
         def answer(self: ClientConnection, message: Any, status: int, body: bytes, headers: Any) -> None:
             transport = self._transport
             original(self, message, status, body, headers)
@@ -258,20 +276,20 @@
                 asyncio.get_running_loop().call_later(0.02, transport.write, b"HTTP/1.1 200 X\r\n\r\n")
 
         original = ClientConnection.answer
-        self.found(data_judges.judge_nothing_else, mock.patch.object(ClientConnection, "answer", answer))
+        self.assert_detected(data_judges.check_no_leftovers, mock.patch.object(ClientConnection, "answer", answer))
 
-    def test_requests_left_behind(self) -> None:
-        def withdraw(self: Any, over: ClientRequest) -> None:
+    def test_requests_are_left_at_router(self) -> None:
+        def do_not_cancel(self: Any, finished_request: ClientRequest) -> None:
             return None
 
-        self.found(
-            data_judges.judge_nothing_else,
-            mock.patch("rosechute.data_plane.dispatcher.Dispatcher.cancel", withdraw),
+        self.assert_detected(
+            data_judges.check_no_leftovers,
+            mock.patch("rosechute.data_plane.dispatcher.Dispatcher.cancel", do_not_cancel),
         )
 
 
-class _Patches:
-    """Several patches as one."""
+class _CombinedPatches:
+    """Several patches as one context manager."""
 
     def __init__(self, *patches: Any) -> None:
         self._patches = patches
@@ -285,18 +303,18 @@
             patch.stop()
 
 
-class Judges(unittest.TestCase):
-    def test_each_judge_has_a_fault_that_it_finds(self) -> None:
-        named = set(self._last_event_has_id())
-        self.assertEqual(named, {judge.__name__ for judge in data_judges.JUDGES})
+class ChecksTest(unittest.TestCase):
+    def test_each_check_detects_a_planted_fault(self) -> None:
+        named = set(self._checks_with_planted_fault())
+        self.assertEqual(named, {check.__name__ for check in data_judges.CHECKS})
 
     @staticmethod
-    def _last_event_has_id() -> Iterator[str]:
+    def _checks_with_planted_fault() -> Iterator[str]:
         with open(__file__, encoding="utf-8") as source:
             text = source.read()
-        for judge in data_judges.JUDGES:
-            if f"data_judges.{judge.__name__}," in text:
-                yield judge.__name__
+        for check in data_judges.CHECKS:
+            if f"data_judges.{check.__name__}," in text:
+                yield check.__name__
 
-    def test_nothing_happened_nothing_is_found(self) -> None:
-        self.assertEqual(verdicts(Records()), [])
+    def test_empty_records_have_no_violations(self) -> None:
+        self.assertEqual(violations(Records()), [])
--- a/tests/fleet/test_data_plane_client_limits.py
+++ b/tests/fleet/test_data_plane_client_limits.py
@@ -1,4 +1,4 @@
-"""The limits of clients across changes: wider ones hold at once, narrower ones when nobody goes by the former."""
+"""Changes of client limits: wider ones apply at once, narrower ones when the previous ones have expired."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 MIXED = Limits(max_header_bytes=16384, max_body_bytes=100, header_timeout_ms=3000, idle_timeout_ms=5000)
 
 
-class Changes(unittest.TestCase):
-    def test_the_first_configuration_replaces_what_held_without_one(self) -> None:
+class ClientLimitsTest(unittest.TestCase):
+    def test_first_configuration_replaces_default_limits(self) -> None:
         limits = ClientLimits()
         self.assertEqual(limits.widest(0.0), UNCONFIGURED)
         self.assertEqual(limits.change(NARROW, 1.0), 0.0)
         self.assertEqual(limits.widest(1.0), NARROW)
 
-    def test_wider_ones_hold_at_once(self) -> None:
+    def test_wider_limits_apply_immediately(self) -> None:
         limits = ClientLimits()
         limits.change(NARROW, 0.0)
         limits.change(WIDE, 1.0)
         self.assertEqual(limits.widest(1.0), WIDE)
 
-    def test_narrower_ones_hold_when_no_connection_rests_by_the_former(self) -> None:
+    def test_narrower_limits_apply_after_idle_timeout_of_previous_ones(self) -> None:
         limits = ClientLimits()
         limits.change(WIDE, 0.0)
         self.assertEqual(limits.change(NARROW, 1.0), 20.0 + IDLE_TIMEOUT_MARGIN_S)
         self.assertEqual(limits.widest(21.9), WIDE)
         self.assertEqual(limits.widest(22.1), NARROW)
 
-    def test_each_limit_is_the_widest_of_all_that_hold(self) -> None:
+    def test_each_limit_is_the_widest_in_effect(self) -> None:
         limits = ClientLimits()
         limits.change(NARROW, 0.0)
         limits.change(MIXED, 1.0)
@@ -46,7 +46,7 @@
             ),
         )
 
-    def test_the_same_ones_again_change_nothing(self) -> None:
+    def test_applying_the_same_limits_again_changes_nothing(self) -> None:
         limits = ClientLimits()
         limits.change(WIDE, 0.0)
         limits.change(NARROW, 1.0)
--- a/tests/fleet/test_data_plane_connection_pool.py
+++ b/tests/fleet/test_data_plane_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers: how many, which one is used first, and when they go."""
+"""Connection pool: limits, order of reuse and closing of connections to servers."""
 
 from __future__ import annotations
 
@@ -7,105 +7,105 @@
 
 import msgspec
 
-from tests.fleet.data_site import Call, Site, SiteCase, Talk, plain
+from tests.fleet.data_site import Call, DataPlaneHarness, ServerConnection, VirtualTimeTestCase, respond_ok
 
 
-async def gather(site: Site, count: int) -> None:
-    """So many requests at once, each on a connection of its own."""
-    for answer in await asyncio.gather(*(site.ask(deadline=4000) for _ in range(count))):
-        assert answer.status == 200
+async def send_concurrently(harness: DataPlaneHarness, count: int) -> None:
+    """Send concurrent requests, each on its own connection."""
+    for response in await asyncio.gather(*(harness.fetch(deadline=4000) for _ in range(count))):
+        assert response.status == 200
 
 
-async def slow(talk: Talk, call: Call) -> None:
+async def respond_slowly(conn: ServerConnection, call: Call) -> None:
     await asyncio.sleep(0.2)
-    talk.answer()
+    conn.respond()
 
 
-class Connections(SiteCase):
-    def test_the_one_that_has_rested_longest_goes_first(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=slow)
-            await gather(site, 3)
-            server = site.plane.pool.find("s1")
+class ConnectionPoolTest(VirtualTimeTestCase):
+    def test_longest_idle_connection_is_reused_first(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=respond_slowly)
+            await send_concurrently(harness, 3)
+            server = harness.plane.pool.find("s1")
             assert server is not None
             before = list(server.idle)
-            await gather(site, 1)
+            await send_concurrently(harness, 1)
             self.assertEqual(list(server.idle), [*before[1:], before[0]])
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_no_more_rest_than_the_share_of_this_edge(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=slow)
-            await gather(site, 4)
-            server = site.plane.pool.find("s1")
+    def test_idle_connections_are_limited_to_the_edges_share(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=respond_slowly)
+            await send_concurrently(harness, 4)
+            server = harness.plane.pool.find("s1")
             assert server is not None
             open_before = server.open_count
             self.assertGreater(open_before, 2)
-            site.plane.apply_edges(24)  # of 48 connections
+            harness.plane.apply_edges(24)  # which share 48 connections
             self.assertEqual(server.open_count, 2)
             self.assertEqual(len(server.idle), 2)
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_resting_ones_go_in_time_and_with_their_server(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=plain)
-            await site.ask()
-            server = site.plane.pool.find("s1")
+    def test_idle_connections_close_after_timeout_and_when_server_drains(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=respond_ok)
+            await harness.fetch()
+            server = harness.plane.pool.find("s1")
             assert server is not None
             self.assertEqual((len(server.idle), server.open_count), (1, 1))
             await asyncio.sleep(4.5)
             self.assertEqual((len(server.idle), server.open_count), (0, 0))
-            await site.ask()
-            site.list(replace(site.servers["s1"].entry, ready=False))
+            await harness.fetch()
+            harness.apply_list(replace(harness.servers["s1"].entry, ready=False))
             self.assertEqual((len(server.idle), server.open_count), (0, 0))
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_one_that_the_server_ends_teaches_for_how_long_it_keeps_them(self) -> None:
-        async def scene() -> None:
-            async def short(talk: Talk, call: Call) -> None:
-                talk.answer()
-                await talk.writer.drain()
+    def test_close_by_server_shortens_idle_timeout(self) -> None:
+        async def scenario() -> None:
+            async def short(conn: ServerConnection, call: Call) -> None:
+                conn.respond()
+                await conn.writer.drain()
                 await asyncio.sleep(2.0)
                 raise ConnectionError
 
-            site = await Site().start(s1=short)
-            await site.ask()
+            harness = await DataPlaneHarness().start(s1=short)
+            await harness.fetch()
             await asyncio.sleep(2.5)
-            server = site.plane.pool.find("s1")
+            server = harness.plane.pool.find("s1")
             assert server is not None
             self.assertLess(server.idle_timeout_s, 1.2)
             self.assertEqual(server.open_count, 0)
-            site.close()
-
-        self.play(scene)
-
-    def test_other_settings_hold_from_then_on(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=slow)
-            await gather(site, 4)
-            limits = msgspec.structs.replace(site.settings.limits, max_fds=400, memory_mb=120)
-            site.plane.apply_settings(msgspec.structs.replace(site.settings, limits=limits))
-            self.assertLess(site.plane.front.listener.most, 100)
-            self.assertLess(site.plane.pool.max_connections, 50)
-            await gather(site, 4)
-            site.close()
-
-        self.play(scene)
-
-    def test_without_a_descriptor_a_connection_that_rests_gives_way(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=plain)
-            await site.serve("other", o1=plain)
-            await site.ask()
-            site.plane.pool.resize(1)
-            self.assertEqual((await site.ask("/other/1")).status, 200)
-            self.assertEqual(site.plane.pool.find("s1").open_count, 0)  # type: ignore[union-attr]
-            site.close()
-
-        self.play(scene)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_changed_settings_apply_to_limits(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=respond_slowly)
+            await send_concurrently(harness, 4)
+            limits = msgspec.structs.replace(harness.settings.limits, max_fds=400, memory_mb=120)
+            harness.plane.apply_settings(msgspec.structs.replace(harness.settings, limits=limits))
+            self.assertLess(harness.plane.client_listener.listener.max_connections, 100)
+            self.assertLess(harness.plane.pool.max_connections, 50)
+            await send_concurrently(harness, 4)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_idle_connection_is_closed_when_limit_is_reached(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=respond_ok)
+            await harness.serve("other", o1=respond_ok)
+            await harness.fetch()
+            harness.plane.pool.resize(1)
+            self.assertEqual((await harness.fetch("/other/1")).status, 200)
+            self.assertEqual(harness.plane.pool.find("s1").open_count, 0)  # type: ignore[union-attr]
+            harness.close()
+
+        self.run_scenario(scenario)
--- a/tests/fleet/test_data_plane_requests.py
+++ b/tests/fleet/test_data_plane_requests.py
@@ -1,21 +1,30 @@
-"""Plain requests through the data plane: routes, keys, headers, statuses, and who may be asked again."""
+"""Requests through the data plane: routes, credentials, headers, statuses and retries."""
 
 from __future__ import annotations
 
 import asyncio
 from unittest import mock
 
-from tests.fleet.data_site import Call, Site, SiteCase, Talk, configuration, plain, route, until_closed
-
-
-class PlainRequests(SiteCase):
-    def test_a_request_reaches_its_server_and_the_answer_comes_back_as_it_is(self) -> None:
-        async def scene() -> None:
-            async def script(talk: Talk, call: Call) -> None:
-                talk.answer(200, b"the body", "X-Other: kept", "Date: today")
-
-            site = await Site().start(s1=script)
-            answer = await site.ask(
+from tests.fleet.data_site import (
+    Call,
+    DataPlaneHarness,
+    ServerConnection,
+    VirtualTimeTestCase,
+    configuration,
+    respond_ok,
+    route,
+    wait_until_closed,
+)
+
+
+class RequestTest(VirtualTimeTestCase):
+    def test_request_and_response_are_forwarded(self) -> None:
+        async def scenario() -> None:
+            async def script(conn: ServerConnection, call: Call) -> None:
+                conn.respond(200, b"the body", "X-Other: kept", "Date: today")
+
+            harness = await DataPlaneHarness().start(s1=script)
+            response = await harness.fetch(
                 "/plain/a?b=c",
                 "X-Mine: yes",
                 "X-Rosechute-Tenant: forged",
@@ -27,10 +36,12 @@
                 deadline=4000,
                 id="abc",
             )
-            self.assertEqual((answer.status, answer.body, answer.headers["x-other"]), (200, b"the body", "kept"))
-            self.assertEqual(answer.headers["x-rosechute-server-stamp"], "stamp-1")
-            self.assertEqual((answer.headers["x-rosechute-request-id"], answer.headers["date"]), ("abc", "today"))
-            (call,) = site.calls
+            self.assertEqual(
+                (response.status, response.body, response.headers["x-other"]), (200, b"the body", "kept")
+            )
+            self.assertEqual(response.headers["x-rosechute-server-stamp"], "stamp-1")
+            self.assertEqual((response.headers["x-rosechute-request-id"], response.headers["date"]), ("abc", "today"))
+            (call,) = harness.calls
             self.assertEqual((call.method, call.target, call.body), ("POST", "/plain/a?b=c", b"hello"))
             headers = call.headers
             self.assertEqual(headers["x-rosechute-tenant"], "first")
@@ -41,15 +52,15 @@
             self.assertNotIn("x-rosechute-credential", headers)
             self.assertNotIn("x-hop", headers)
             self.assertIn(int(headers["priority"]), range(10))
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_what_a_server_must_know_goes_on_byte_for_byte(self) -> None:
-        """Found: a client that named these fields in `Connection` had them dropped, its request id included."""
+    def test_end_to_end_headers_are_forwarded_unchanged(self) -> None:
+        """Regression: headers that a client named in `Connection` were dropped, even the request id."""
 
-        async def scene() -> None:
-            site = await Site().start()
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
             told = (
                 ("X-Rosechute-Model", "m one"),
                 ("x-ROSECHUTE-token-count", "1460 ,\t80"),
@@ -59,12 +70,12 @@
             )
             lines = [f"{name}:  {value} \t" for name, value in told]
             seen: list[bytes] = []
-            read_head = Talk.read
+            read_head = ServerConnection.read
 
-            async def keep(talk: Talk) -> Call:
-                seen.append(await talk.reader.readuntil(b"\r\n\r\n"))
-                talk.reader._buffer[:0] = seen[-1]  # type: ignore[attr-defined]
-                return await read_head(talk)
+            async def keep(conn: ServerConnection) -> Call:
+                seen.append(await conn.reader.readuntil(b"\r\n\r\n"))
+                conn.reader._buffer[:0] = seen[-1]  # type: ignore[attr-defined]
+                return await read_head(conn)
 
             for more in (
                 (),
@@ -73,8 +84,8 @@
                     "Connection: host,x-rosechute-token-count,x-rosechute-request-id , X-Rosechute-Prompt-Prefix",
                 ),
             ):
-                with mock.patch.object(Talk, "read", keep):
-                    client = await site.client()
+                with mock.patch.object(ServerConnection, "read", keep):
+                    client = await harness.client()
                     head = [
                         "POST /plain/1 HTTP/1.1",
                         "Host: app.example",
@@ -87,19 +98,19 @@
                         "",
                     ]
                     client.writer.write("\r\n".join(head).encode("latin-1"))
-                    self.assertEqual((await client.answer()).status, 200)
+                    self.assertEqual((await client.read_response()).status, 200)
                 pairs = [line.split(b": ", 1) for line in seen[-1][:-4].split(b"\r\n")[1:]]
                 for name in ("x-rosechute-model", "x-rosechute-token-count", "x-rosechute-prompt-prefix"):
                     sent = [value.encode("latin-1") for each, value in told if each.lower() == name]
                     self.assertEqual([pair[1] for pair in pairs if pair[0].decode() == name], sent)
                 self.assertIn([b"host", b"app.example"], pairs)
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_own_statuses_by_route_key_and_id(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
+    def test_statuses_by_route_and_credential(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
             for expected, options in (
                 (404, {"path": "/nowhere/1"}),
                 (404, {"host": "none.example"}),
@@ -109,416 +120,417 @@
                 (200, {"path": "/open/1", "key": "unknown"}),
                 (200, {"key": "k2"}),
             ):
-                answer = await site.ask(**options)
-                self.assertEqual(answer.status, expected, options)
-            self.assertEqual(len(site.calls), 3)
-            self.assertNotIn("x-rosechute-tenant", site.calls[0].headers)
-            self.assertTrue(all("x-rosechute-credential" not in call.headers for call in site.calls))
-            site.close()
-
-        self.play(scene)
-
-    def test_a_connection_serves_many_requests_and_so_does_the_servers(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            client = await site.client()
+                response = await harness.fetch(**options)
+                self.assertEqual(response.status, expected, options)
+            self.assertEqual(len(harness.calls), 3)
+            self.assertNotIn("x-rosechute-tenant", harness.calls[0].headers)
+            self.assertTrue(all("x-rosechute-credential" not in call.headers for call in harness.calls))
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_connections_are_reused(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            client = await harness.client()
             for _ in range(5):
-                self.assertEqual((await client.ask()).status, 200)
-            self.assertEqual(site.servers["s1"].connections, 1)
-            await asyncio.sleep(12.0)  # four fifths of the idle limit
-            self.assertEqual((await client.ask()).status, 200)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_failure_of_the_server_comes_back_with_its_status_and_stamp(self) -> None:
-        async def scene() -> None:
-            async def script(talk: Talk, call: Call) -> None:
-                talk.answer(500, b"own words")
-
-            site = await Site().start(s1=script, s2=script)
-            answer = await site.ask()
-            self.assertEqual((answer.status, answer.body), (500, b"own words"))
-            self.assertEqual(answer.headers["x-rosechute-server-stamp"], "stamp-1")
-            self.assertEqual(len(site.calls), 1)
-            site.close()
-
-        self.play(scene)
-
-    def test_any_method_passes(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
+                self.assertEqual((await client.fetch()).status, 200)
+            self.assertEqual(harness.servers["s1"].connections, 1)
+            await asyncio.sleep(12.0)  # 80 percent of the idle time-out
+            self.assertEqual((await client.fetch()).status, 200)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_server_error_is_forwarded(self) -> None:
+        async def scenario() -> None:
+            async def script(conn: ServerConnection, call: Call) -> None:
+                conn.respond(500, b"own words")
+
+            harness = await DataPlaneHarness().start(s1=script, s2=script)
+            response = await harness.fetch()
+            self.assertEqual((response.status, response.body), (500, b"own words"))
+            self.assertEqual(response.headers["x-rosechute-server-stamp"], "stamp-1")
+            self.assertEqual(len(harness.calls), 1)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_all_methods_are_forwarded(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
             methods = ["GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"]
             for method in methods:
-                self.assertEqual((await site.ask(method=method)).status, 200)
-            self.assertEqual([call.method for call in site.calls], methods)
-            self.assertEqual((await site.ask("/-/ready")).status, 404)
-            site.close()
-
-        self.play(scene)
-
-    def test_before_any_configuration_it_is_a_promise(self) -> None:
-        async def scene() -> None:
-            site = Site()
-            await site.plane.start()
-            self.assertFalse(site.plane.ready())
-            site.fresh.at = float("-inf")
-            answer = await site.ask()
-            self.assertEqual(answer.status, 503)
-            self.assertTrue(2.0 <= float(answer.headers["retry-after"]) < 2.4)
+                self.assertEqual((await harness.fetch(method=method)).status, 200)
+            self.assertEqual([call.method for call in harness.calls], methods)
+            self.assertEqual((await harness.fetch("/-/ready")).status, 404)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_unconfigured_edge_responds_503_with_retry_after(self) -> None:
+        async def scenario() -> None:
+            harness = DataPlaneHarness()
+            await harness.plane.start()
+            self.assertFalse(harness.plane.ready())
+            harness.freshness.last_confirmed = float("-inf")
+            response = await harness.fetch()
+            self.assertEqual(response.status, 503)
+            self.assertTrue(2.0 <= float(response.headers["retry-after"]) < 2.4)
             await asyncio.sleep(1.5)
-            answer = await site.ask()  # nearer to when it is likely to know what it needs
-            self.assertEqual(answer.status, 503)
-            self.assertTrue(0.5 <= float(answer.headers["retry-after"]) < 0.6)
-            site.close()
-
-        self.play(scene)
-
-    def test_before_the_list_of_its_service_it_is_a_promise_and_costs_no_quota(self) -> None:
-        async def scene() -> None:
-            site = Site()
-            await site.plane.start()
-            site.plane.apply_configuration(configuration(), 1)
-            answer = await site.ask(key="m1")
-            self.assertEqual((answer.status, site.quota.spent), (503, []))
-            self.assertGreater(float(answer.headers["retry-after"]), 0.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_by_a_configuration_that_may_be_old_nobody_is_told_for_good_that_there_is_no_route_or_key(self) -> None:
-        """Found: an edge that had come back with an older configuration answered 401 to keys added since."""
-
-        async def scene() -> None:
-            site = await Site().start()
-            for at in (float("-inf"), site.loop.time() - 4.8):
-                site.fresh.at = at
+            response = await harness.fetch()  # closer to the end of the startup allowance
+            self.assertEqual(response.status, 503)
+            self.assertTrue(0.5 <= float(response.headers["retry-after"]) < 0.6)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_missing_endpoint_list_gives_503_without_quota_charge(self) -> None:
+        async def scenario() -> None:
+            harness = DataPlaneHarness()
+            await harness.plane.start()
+            harness.plane.apply_configuration(configuration(), 1)
+            response = await harness.fetch(key="m1")
+            self.assertEqual((response.status, harness.quota.spent), (503, []))
+            self.assertGreater(float(response.headers["retry-after"]), 0.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_unconfirmed_configuration_gives_503_instead_of_404_and_401(self) -> None:
+        """Regression: an edge restarted with an older configuration responded 401 to newer credentials."""
+
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            for at in (float("-inf"), harness.loop.time() - 4.8):
+                harness.freshness.last_confirmed = at
                 for options in ({"key": "added"}, {"path": "/added/1"}, {"key": None}):
-                    answer = await site.ask(**options)
-                    self.assertEqual((answer.status, "retry-after" in answer.headers), (503, True), options)
-                self.assertEqual((await site.ask("/open/1")).status, 200)
-            site.fresh.at = None
-            self.assertEqual((await site.ask(key="added")).status, 401)
-            site.close()
-
-        self.play(scene)
-
-    def test_ready_with_a_configuration_a_list_and_freshness(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            self.assertTrue(site.plane.ready())
-            site.fresh.at = float("-inf")
-            self.assertFalse(site.plane.ready())
-            site.fresh.at = None
-            site.list()
-            self.assertFalse(site.plane.ready())
-            site.close()
-
-        self.play(scene)
-
-    def test_limits_of_the_configuration_hold_for_clients(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            self.assertEqual((await site.ask(body=b"x" * 262144)).status, 200)
-            self.assertEqual((await site.ask(body=b"x" * 262145)).status, 413)
-            self.assertEqual((await site.ask("/plain/1", "X-Long: " + "a" * 14000)).status, 431)
-            client = await site.client()
+                    response = await harness.fetch(**options)
+                    self.assertEqual((response.status, "retry-after" in response.headers), (503, True), options)
+                self.assertEqual((await harness.fetch("/open/1")).status, 200)
+            harness.freshness.last_confirmed = None
+            self.assertEqual((await harness.fetch(key="added")).status, 401)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_readiness_needs_configuration_endpoint_list_and_confirmation(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            self.assertTrue(harness.plane.ready())
+            harness.freshness.last_confirmed = float("-inf")
+            self.assertFalse(harness.plane.ready())
+            harness.freshness.last_confirmed = None
+            harness.apply_list()
+            self.assertFalse(harness.plane.ready())
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_configured_limits_are_enforced(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            self.assertEqual((await harness.fetch(body=b"x" * 262144)).status, 200)
+            self.assertEqual((await harness.fetch(body=b"x" * 262145)).status, 413)
+            self.assertEqual((await harness.fetch("/plain/1", "X-Long: " + "a" * 14000)).status, 431)
+            client = await harness.client()
             client.writer.write(b"POST /plain/1 HTTP/1.1\r\n")
-            begun = site.loop.time()
-            self.assertIn(b"408", await client.ended())
-            self.assertAlmostEqual(site.loop.time() - begun, 3.0, delta=0.5)
-            site.close()
+            started_at = harness.loop.time()
+            self.assertIn(b"408", await client.read_until_closed())
+            self.assertAlmostEqual(harness.loop.time() - started_at, 3.0, delta=0.5)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_body_in_chunks_arrives_whole(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            client = await site.client()
+    def test_chunked_body_is_forwarded(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            client = await harness.client()
             client.writer.write(
                 b"POST /plain/1 HTTP/1.1\r\nHost: app.example\r\nX-Rosechute-Request-Id: c1\r\n"
                 b"X-Rosechute-Credential: k1\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"5\r\nhello\r\n7\r\n there!\r\n0\r\n\r\n"
             )
-            self.assertEqual((await client.answer()).status, 200)
-            self.assertEqual(site.calls[0].body, b"hello there!")
-            site.close()
+            self.assertEqual((await client.read_response()).status, 200)
+            self.assertEqual(harness.calls[0].body, b"hello there!")
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_body_larger_than_its_share_of_the_memory_passes_through(self) -> None:
-        async def scene() -> None:
-            site = await Site(memory_mb=66).start()
+    def test_large_body_is_streamed(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(memory_mb=66).start()
             body = bytes(range(256)) * 1000
-            self.assertEqual((await site.ask(body=body)).status, 200)
-            self.assertEqual(site.calls[0].body, body)
-            self.assertEqual(site.plane.budget.used, 0)
-            site.close()
+            self.assertEqual((await harness.fetch(body=body)).status, 200)
+            self.assertEqual(harness.calls[0].body, body)
+            self.assertEqual(harness.plane.budget.used, 0)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
-class Repeats(SiteCase):
-    def test_what_may_have_run_and_must_not_run_twice_ends_at_once(self) -> None:
-        async def scene() -> None:
-            async def reset(talk: Talk, call: Call) -> None:
-                talk.reset()
+class RetryTest(VirtualTimeTestCase):
+    def test_possibly_executed_non_idempotent_request_gives_502(self) -> None:
+        async def scenario() -> None:
+            async def reset(conn: ServerConnection, call: Call) -> None:
+                conn.reset()
 
-            async def garbled(talk: Talk, call: Call) -> None:
-                talk.writer.write(b"this is no answer\r\n\r\n")
+            async def garbled(conn: ServerConnection, call: Call) -> None:
+                conn.writer.write(b"this is no answer\r\n\r\n")
 
-            async def closed(talk: Talk, call: Call) -> None:
+            async def closed(conn: ServerConnection, call: Call) -> None:
                 raise ConnectionError
 
-            async def cut(talk: Talk, call: Call) -> None:
-                talk.writer.write(talk.head(200, "Content-Length: 100") + b"half")
+            async def cut(conn: ServerConnection, call: Call) -> None:
+                conn.writer.write(conn.serialize_head(200, "Content-Length: 100") + b"half")
                 raise ConnectionError
 
-            async def unstamped(talk: Talk, call: Call) -> None:
-                talk.answer(200, b"body", stamp=None)
+            async def unstamped(conn: ServerConnection, call: Call) -> None:
+                conn.respond(200, b"body", stamp=None)
 
-            async def encoded(talk: Talk, call: Call) -> None:
-                talk.answer(200, b"body", "Content-Encoding: gzip")
+            async def encoded(conn: ServerConnection, call: Call) -> None:
+                conn.respond(200, b"body", "Content-Encoding: gzip")
 
-            async def unmarked(talk: Talk, call: Call) -> None:
-                talk.answer(503, b"", stamp=None)
+            async def unmarked(conn: ServerConnection, call: Call) -> None:
+                conn.respond(503, b"", stamp=None)
 
-            async def unframed(talk: Talk, call: Call) -> None:
-                talk.writer.write(talk.head(200) + b"until the reset")
+            async def unframed(conn: ServerConnection, call: Call) -> None:
+                conn.writer.write(conn.serialize_head(200) + b"until the reset")
                 await asyncio.sleep(0.01)
-                talk.reset()
+                conn.reset()
 
             for script in (reset, garbled, closed, cut, unstamped, encoded, unmarked, unframed):
-                site = await Site().start(s1=script, s2=script)
-                begun = site.loop.time()
-                answer = await site.ask()
-                self.assertEqual((answer.status, len(site.calls)), (502, 1), script.__name__)
-                self.assertLess(answer.at - begun, 0.1)
-                self.assertNotIn("x-rosechute-server-stamp", answer.headers)
-                site.close()
+                harness = await DataPlaneHarness().start(s1=script, s2=script)
+                started_at = harness.loop.time()
+                response = await harness.fetch()
+                self.assertEqual((response.status, len(harness.calls)), (502, 1), script.__name__)
+                self.assertLess(response.at - started_at, 0.1)
+                self.assertNotIn("x-rosechute-server-stamp", response.headers)
+                harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_answer_without_a_length_ends_with_its_connection_unless_that_is_reset(self) -> None:
-        """Replaces the case `endless` above: the pages say by now that such an answer is whole when its connection
-        closes, and only then."""
+    def test_close_delimited_response_is_complete_unless_reset(self) -> None:
+        """A close-delimited response is complete when its connection closes, and only then."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             body = b"until the end " * 20
             for path in ("/plain/1", "/again/1"):
-                for pause_s in (0.0, 0.3):  # shorter and longer than such an answer is held back
+                for pause_s in (0.0, 0.3):  # shorter and longer than the time for which such a response is buffered
                     for reset in (False, True):
 
-                        async def unframed(talk: Talk, call: Call) -> None:
-                            talk.writer.write(talk.head(200) + body[:50])
-                            await talk.writer.drain()
+                        async def unframed(conn: ServerConnection, call: Call) -> None:
+                            conn.writer.write(conn.serialize_head(200) + body[:50])
+                            await conn.writer.drain()
                             await asyncio.sleep(pause_s)  # noqa: B023
-                            talk.writer.write(body[50:])
-                            await talk.writer.drain()
+                            conn.writer.write(body[50:])
+                            await conn.writer.drain()
                             await asyncio.sleep(0.01)
                             if reset:  # noqa: B023
-                                talk.reset()
+                                conn.reset()
                             raise ConnectionError
 
-                        site = await Site().start(s1=unframed)
-                        answer = await site.ask(path)
+                        harness = await DataPlaneHarness().start(s1=unframed)
+                        response = await harness.fetch(path)
                         if reset:
-                            self.assertFalse(answer.status == 200 and answer.whole, (path, pause_s))
+                            self.assertFalse(response.status == 200 and response.is_complete, (path, pause_s))
                         else:
-                            self.assertEqual((answer.status, answer.whole, answer.body), (200, True, body))
-                        await site.ask(path)
-                        self.assertEqual(site.servers["s1"].connections, 2)
-                        site.close()
-
-        self.play(scene)
-
-    def test_a_server_that_says_nothing_is_answered_for_before_the_client_gives_up(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=until_closed)
-            begun = site.loop.time()
-            answer = await site.ask(deadline=2000)
-            self.assertEqual(answer.status, 504)
-            self.assertTrue(1.9 < answer.at - begun < 2.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_the_routes_time_bounds_the_hold(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=until_closed)
-            begun = site.loop.time()
-            answer = await site.ask(deadline=60000)
-            self.assertEqual(answer.status, 504)
-            self.assertTrue(4.8 < answer.at - begun < 5.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_what_a_server_declines_goes_to_another_one(self) -> None:
-        async def scene() -> None:
-            async def full(talk: Talk, call: Call) -> None:
-                talk.full()
-
-            async def moved(talk: Talk, call: Call) -> None:
-                talk.answer(421, b"", "X-Rosechute-Instance-Id: other", stamp=None)
-
-            for script in (full, moved):
-                site = await Site().start(s1=script, s2=plain)
-                answers = [await site.ask() for _ in range(6)]
-                self.assertEqual({answer.status for answer in answers}, {200})
-                self.assertTrue(site.servers["s1"].calls)
-                site.close()
-
-        self.play(scene)
-
-    def test_where_all_decline_it_is_a_promise(self) -> None:
-        async def scene() -> None:
-            async def full(talk: Talk, call: Call) -> None:
-                talk.full()
-
-            site = await Site().start(s1=full, s2=full)
-            answer = await site.ask()
-            self.assertEqual(answer.status, 503)
-            self.assertGreater(float(answer.headers["retry-after"]), 0.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_server_that_takes_no_connection_costs_nothing(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=plain, s2=plain)
-            site.servers["s1"].stop()
+                            self.assertEqual(
+                                (response.status, response.is_complete, response.body), (200, True, body)
+                            )
+                        await harness.fetch(path)
+                        self.assertEqual(harness.servers["s1"].connections, 2)
+                        harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_unresponsive_server_gives_504_before_client_deadline(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=wait_until_closed)
+            started_at = harness.loop.time()
+            response = await harness.fetch(deadline=2000)
+            self.assertEqual(response.status, 504)
+            self.assertTrue(1.9 < response.at - started_at < 2.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_unresponsive_server_gives_504_at_route_timeout(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=wait_until_closed)
+            started_at = harness.loop.time()
+            response = await harness.fetch(deadline=60000)
+            self.assertEqual(response.status, 504)
+            self.assertTrue(4.8 < response.at - started_at < 5.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_rejected_request_is_retried_on_another_server(self) -> None:
+        async def scenario() -> None:
+            async def reject_as_full(conn: ServerConnection, call: Call) -> None:
+                conn.reject_as_full()
+
+            async def respond_wrong_instance(conn: ServerConnection, call: Call) -> None:
+                conn.respond(421, b"", "X-Rosechute-Instance-Id: other", stamp=None)
+
+            for script in (reject_as_full, respond_wrong_instance):
+                harness = await DataPlaneHarness().start(s1=script, s2=respond_ok)
+                responses = [await harness.fetch() for _ in range(6)]
+                self.assertEqual({response.status for response in responses}, {200})
+                self.assertTrue(harness.servers["s1"].calls)
+                harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_503_if_all_servers_reject(self) -> None:
+        async def scenario() -> None:
+            async def reject_as_full(conn: ServerConnection, call: Call) -> None:
+                conn.reject_as_full()
+
+            harness = await DataPlaneHarness().start(s1=reject_as_full, s2=reject_as_full)
+            response = await harness.fetch()
+            self.assertEqual(response.status, 503)
+            self.assertGreater(float(response.headers["retry-after"]), 0.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_refused_connection_is_retried_on_another_server(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=respond_ok, s2=respond_ok)
+            harness.servers["s1"].stop()
             for _ in range(6):
-                self.assertEqual((await site.ask()).status, 200)
-            site.close()
+                self.assertEqual((await harness.fetch()).status, 200)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_idempotent_request_is_sent_again(self) -> None:
-        async def scene() -> None:
-            async def reset(talk: Talk, call: Call) -> None:
-                talk.reset()
+    def test_idempotent_request_is_retried(self) -> None:
+        async def scenario() -> None:
+            async def reset(conn: ServerConnection, call: Call) -> None:
+                conn.reset()
 
-            async def failing(talk: Talk, call: Call) -> None:
-                talk.answer(500, b"")
+            async def failing(conn: ServerConnection, call: Call) -> None:
+                conn.respond(500, b"")
 
-            for script in (reset, failing, until_closed):
-                site = await Site().start(s1=script, s2=plain)
+            for script in (reset, failing, wait_until_closed):
+                harness = await DataPlaneHarness().start(s1=script, s2=respond_ok)
                 for _ in range(4):
-                    answer = await site.ask("/again/1")
-                    self.assertEqual(answer.status, 200, script.__name__)
-                self.assertTrue(site.servers["s1"].calls)
-                site.close()
+                    response = await harness.fetch("/again/1")
+                    self.assertEqual(response.status, 200, script.__name__)
+                self.assertTrue(harness.servers["s1"].calls)
+                harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_silent_server_is_kept_while_no_other_one_may_be_asked(self) -> None:
-        """Found: it was left for another one that was not there, and its answer thrown away."""
+    def test_inactive_server_is_kept_if_there_is_no_other(self) -> None:
+        """Regression: the server was abandoned although there was no other one, and its response was dropped."""
 
-        async def scene() -> None:
-            async def late(talk: Talk, call: Call) -> None:
+        async def scenario() -> None:
+            async def respond_late(conn: ServerConnection, call: Call) -> None:
                 await asyncio.sleep(3.0)
-                talk.answer()
+                conn.respond()
 
-            site = await Site().start(s1=late)
-            answer = await site.ask("/again/1")
-            self.assertEqual((answer.status, len(site.calls)), (200, 1))
-            site.close()
+            harness = await DataPlaneHarness().start(s1=respond_late)
+            response = await harness.fetch("/again/1")
+            self.assertEqual((response.status, len(harness.calls)), (200, 1))
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_answer_to_an_earlier_request_is_never_passed_on(self) -> None:
-        async def scene() -> None:
-            async def surplus(talk: Talk, call: Call) -> None:
-                if len(talk.server.calls) > 1:
-                    talk.answer(200, b"of an earlier one", id="earlier")
-                talk.answer(200, call.id.encode())
+    def test_response_to_earlier_request_is_not_forwarded(self) -> None:
+        async def scenario() -> None:
+            async def respond_to_earlier_request(conn: ServerConnection, call: Call) -> None:
+                if len(conn.server.calls) > 1:
+                    conn.respond(200, b"of an earlier one", id="earlier")
+                conn.respond(200, call.id.encode())
 
-            site = await Site().start(s1=surplus)
-            client = await site.client()
+            harness = await DataPlaneHarness().start(s1=respond_to_earlier_request)
+            client = await harness.client()
             for number in range(3):
-                answer = await client.ask(id=f"n{number}")
-                self.assertEqual((answer.status, answer.body), (200, b"n%d" % number))
-            site.close()
+                response = await client.fetch(id=f"n{number}")
+                self.assertEqual((response.status, response.body), (200, b"n%d" % number))
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_bytes_behind_an_answer_end_the_connection(self) -> None:
-        async def scene() -> None:
-            async def more(talk: Talk, call: Call) -> None:
-                talk.answer(200, call.id.encode())
-                talk.answer(200, b"once more")
+    def test_surplus_bytes_end_the_server_connection(self) -> None:
+        async def scenario() -> None:
+            async def more(conn: ServerConnection, call: Call) -> None:
+                conn.respond(200, call.id.encode())
+                conn.respond(200, b"once more")
 
-            async def declined(talk: Talk, call: Call) -> None:
-                talk.full()
-                talk.writer.write(b"noise")
+            async def reject_with_surplus_bytes(conn: ServerConnection, call: Call) -> None:
+                conn.reject_as_full()
+                conn.writer.write(b"noise")
 
-            site = await Site().start(s1=more, s2=declined)
-            client = await site.client()
+            harness = await DataPlaneHarness().start(s1=more, s2=reject_with_surplus_bytes)
+            client = await harness.client()
             for number in range(6):
-                answer = await client.ask(id=f"n{number}")
-                self.assertEqual((answer.status, answer.body), (200, b"n%d" % number))
-            site.close()
+                response = await client.fetch(id=f"n{number}")
+                self.assertEqual((response.status, response.body), (200, b"n%d" % number))
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_connection_that_the_server_has_closed_is_not_written_to(self) -> None:
-        async def scene() -> None:
-            async def once(talk: Talk, call: Call) -> None:
-                talk.answer()
-                await talk.writer.drain()
+    def test_connection_closed_by_server_is_not_reused(self) -> None:
+        async def scenario() -> None:
+            async def close_after_response(conn: ServerConnection, call: Call) -> None:
+                conn.respond()
+                await conn.writer.drain()
                 await asyncio.sleep(1.0)
                 raise ConnectionError
 
-            site = await Site().start(s1=once)
-            client = await site.client()
+            harness = await DataPlaneHarness().start(s1=close_after_response)
+            client = await harness.client()
             for _ in range(3):
-                self.assertEqual((await client.ask()).status, 200)
+                self.assertEqual((await client.fetch()).status, 200)
                 await asyncio.sleep(2.0)
-            self.assertEqual(site.servers["s1"].connections, 3)
-            site.close()
+            self.assertEqual(harness.servers["s1"].connections, 3)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_the_servers_keep_alive_is_heeded(self) -> None:
-        async def scene() -> None:
-            async def short(talk: Talk, call: Call) -> None:
-                talk.answer(200, b"", "Keep-Alive: timeout=2")
+    def test_keep_alive_timeout_of_server_is_respected(self) -> None:
+        async def scenario() -> None:
+            async def announce_short_timeout(conn: ServerConnection, call: Call) -> None:
+                conn.respond(200, b"", "Keep-Alive: timeout=2")
 
-            site = await Site().start(s1=short)
-            client = await site.client()
-            await client.ask()
+            harness = await DataPlaneHarness().start(s1=announce_short_timeout)
+            client = await harness.client()
+            await client.fetch()
             await asyncio.sleep(0.9)
-            await client.ask()
-            self.assertEqual(site.servers["s1"].connections, 1)
+            await client.fetch()
+            self.assertEqual(harness.servers["s1"].connections, 1)
             await asyncio.sleep(1.1)
-            await client.ask()
-            self.assertEqual(site.servers["s1"].connections, 2)
-            site.close()
+            await client.fetch()
+            self.assertEqual(harness.servers["s1"].connections, 2)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
-class Changes(SiteCase):
-    def test_a_new_configuration_holds_from_the_next_request_on_and_an_older_one_never(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            self.assertEqual((await site.ask("/added/1")).status, 404)
+class ConfigurationChangeTest(VirtualTimeTestCase):
+    def test_newer_configuration_applies_and_older_one_is_ignored(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            self.assertEqual((await harness.fetch("/added/1")).status, 404)
             added = configuration(2, routes=[route("added")])
-            site.plane.apply_configuration(added, 5)
-            self.assertEqual((await site.ask("/added/1")).status, 200)
-            self.assertEqual((await site.ask("/plain/1")).status, 404)
-            site.plane.apply_configuration(configuration(), 4)
-            self.assertEqual((await site.ask("/plain/1")).status, 404)
-            site.close()
-
-        self.play(scene)
-
-    def test_the_list_of_a_service_may_come_before_the_service(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            await site.serve("later", l1=plain)
-            site.plane.apply_configuration(
+            harness.plane.apply_configuration(added, 5)
+            self.assertEqual((await harness.fetch("/added/1")).status, 200)
+            self.assertEqual((await harness.fetch("/plain/1")).status, 404)
+            harness.plane.apply_configuration(configuration(), 4)
+            self.assertEqual((await harness.fetch("/plain/1")).status, 404)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_endpoint_list_may_arrive_before_its_service(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            await harness.serve("later", l1=respond_ok)
+            harness.plane.apply_configuration(
                 configuration(
                     2,
                     routes=[route("late", service="later")],
@@ -526,8 +538,8 @@
                 ),
                 2,
             )
-            self.assertEqual((await site.ask("/late/1")).status, 200)
-            self.assertEqual(len(site.servers["l1"].calls), 1)
-            site.close()
+            self.assertEqual((await harness.fetch("/late/1")).status, 200)
+            self.assertEqual(len(harness.servers["l1"].calls), 1)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/tests/fleet/test_data_plane_route_durations.py
+++ b/tests/fleet/test_data_plane_route_durations.py
@@ -1,4 +1,4 @@
-"""How long the requests of a route take: shares, the longest, and what is too little to tell."""
+"""Statistics of request durations: quantiles, maximum and minimum number of samples."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 )
 
 
-class Durations(unittest.TestCase):
-    def test_nothing_is_told_by_too_few(self) -> None:
+class RouteDurationsTest(unittest.TestCase):
+    def test_no_statistics_with_too_few_samples(self) -> None:
         durations = RouteDurations()
         for count in range(1, MIN_SAMPLES_FOR_MAXIMUM):
             durations.add("a", 1.0)
@@ -23,14 +23,14 @@
         self.assertEqual(durations.maximum_s("a"), 1.0)
         self.assertIsNone(durations.quantile_s("b", 0.5))
 
-    def test_a_share_of_the_newest_ones(self) -> None:
+    def test_quantile_of_most_recent_samples(self) -> None:
         durations = RouteDurations()
         for number in range(1000, 0, -1):
             durations.add("a", float(number))
         self.assertEqual(durations.maximum_s("a"), float(SAMPLES_PER_ROUTE))
         self.assertEqual(durations.quantile_s("a", 0.75), SAMPLES_PER_ROUTE * 0.75 + 1.0)
 
-    def test_routes_that_are_gone_are_forgotten(self) -> None:
+    def test_retain_removes_other_routes(self) -> None:
         durations = RouteDurations()
         for route in ("a", "b"):
             for _ in range(MIN_SAMPLES_FOR_QUANTILE):
--- a/tests/fleet/test_data_plane_shutdown.py
+++ b/tests/fleet/test_data_plane_shutdown.py
@@ -1,433 +1,451 @@
-"""The orderly end: everything that was read is answered, nothing is left in the queue, all within the time."""
+"""Graceful shutdown: every request that was read gets a response within the grace period."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 
-from tests.fleet.data_site import Answer, Call, Client, Site, SiteCase, Talk, until_closed
-from tests.fleet.test_data_plane_streams import events, streaming
-
-
-class Shutdowns(SiteCase):
-    async def end(self, site: Site) -> float:
-        """Shut the plane down; how long it took."""
-        begun = site.loop.time()
-        site.plane.begin_shutdown()
-        self.assertFalse(site.plane.ready())
-        await site.plane.finish_shutdown()
-        return site.loop.time() - begun
-
-    def test_with_nothing_to_do_it_ends_once_nobody_is_sent_here_any_more(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            self.assertAlmostEqual(await self.end(site), 2.5, delta=0.3)
+from tests.fleet.data_site import (
+    Call,
+    Client,
+    DataPlaneHarness,
+    Response,
+    ServerConnection,
+    VirtualTimeTestCase,
+    wait_until_closed,
+)
+from tests.fleet.test_data_plane_streams import events, stream_events
+
+
+class ShutdownTest(VirtualTimeTestCase):
+    async def shut_down(self, harness: DataPlaneHarness) -> float:
+        """Shut down the data plane; return the duration in seconds."""
+        started_at = harness.loop.time()
+        harness.plane.begin_shutdown()
+        self.assertFalse(harness.plane.ready())
+        await harness.plane.finish_shutdown()
+        return harness.loop.time() - started_at
+
+    def test_idle_edge_ends_after_minimum_drain_time(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            self.assertAlmostEqual(await self.shut_down(harness), 2.5, delta=0.3)
             with self.assertRaises(ConnectionRefusedError):
-                await site.client()
-            site.close()
+                await harness.client()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_new_clients_are_served_until_it_ends_and_each_answer_is_the_last_of_its_connection(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            kept = await site.client()
-            await kept.ask()
-            ending = asyncio.ensure_future(self.end(site))
+    def test_new_clients_are_served_with_connection_close(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            reused_client = await harness.client()
+            await reused_client.fetch()
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             for _ in range(20):
                 await asyncio.sleep(0.1)
-                answer = await site.ask()
-                self.assertEqual((answer.status, answer.headers["connection"]), (200, "close"))
-            self.assertEqual((await kept.ask()).headers["connection"], "close")
-            self.assertLess(await ending, 3.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_idle_connections_stay_until_the_platform_knows_and_go_then(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            idle = [await site.client() for _ in range(3)]
+                response = await harness.fetch()
+                self.assertEqual((response.status, response.headers["connection"]), (200, "close"))
+            self.assertEqual((await reused_client.fetch()).headers["connection"], "close")
+            self.assertLess(await shutdown, 3.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_idle_connections_close_after_readiness_checks_failed(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            idle = [await harness.client() for _ in range(3)]
             for client in idle:
-                await client.ask()
-            ending = asyncio.ensure_future(self.end(site))
+                await client.fetch()
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(2.0)
             self.assertFalse(any(client.reader.at_eof() for client in idle))
-            begun = site.loop.time()
+            started_at = harness.loop.time()
             for client in idle:
-                self.assertEqual(await client.ended(), b"")
-            self.assertLess(site.loop.time() - begun, 0.5)
-            await ending
-            site.close()
-
-        self.play(scene)
-
-    def test_a_stream_goes_on_to_its_end(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(40, 0.1))
-            answers = [asyncio.ensure_future(site.ask(path, deadline=15000)) for path in ("/resume/1", "/stream/1")]
+                self.assertEqual(await client.read_until_closed(), b"")
+            self.assertLess(harness.loop.time() - started_at, 0.5)
+            await shutdown
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_streams_in_progress_complete(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(40, 0.1))
+            responses = [
+                asyncio.ensure_future(harness.fetch(path, deadline=15000)) for path in ("/resume/1", "/stream/1")
+            ]
             await asyncio.sleep(0.3)
-            took = await self.end(site)
-            for answer in await asyncio.gather(*answers):
-                self.assertEqual((answer.whole, answer.body), (True, events(1, 40)))
-            self.assertTrue(3.6 < took < 4.2, took)  # 4 s less the 0.3 s before the end began
-            site.close()
-
-        self.play(scene)
-
-    def test_at_the_end_of_the_time_all_is_answered_or_cut(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=until_closed)
-            hangs = asyncio.ensure_future(site.ask(deadline=20000))
+            duration_s = await self.shut_down(harness)
+            for response in await asyncio.gather(*responses):
+                self.assertEqual((response.is_complete, response.body), (True, events(1, 40)))
+            self.assertTrue(
+                3.6 < duration_s < 4.2, duration_s
+            )  # the stream takes 4 s, of which 0.3 s precede the shutdown
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_open_requests_are_aborted_at_end_of_grace_period(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=wait_until_closed)
+            pending_response = asyncio.ensure_future(harness.fetch(deadline=20000))
             await asyncio.sleep(0.01)
-            site.servers["s1"].script = streaming(500, 0.1)
-            stream = asyncio.ensure_future(site.ask("/stream/1", deadline=20000))
+            harness.servers["s1"].script = stream_events(500, 0.1)
+            stream = asyncio.ensure_future(harness.fetch("/stream/1", deadline=20000))
             await asyncio.sleep(0.01)
-            took = await self.end(site)
-            self.assertTrue(3.7 < took < 4.0, took)
-            self.assertEqual((await hangs).status, 504)
-            self.assertFalse((await stream).whole)
-            site.close()
-
-        self.play(scene)
-
-    def test_near_the_end_what_has_not_been_sent_is_told_to_come_back(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=until_closed)
-            site.quota.held = []
-            early = await site.client()
+            duration_s = await self.shut_down(harness)
+            self.assertTrue(3.7 < duration_s < 4.0, duration_s)
+            self.assertEqual((await pending_response).status, 504)
+            self.assertFalse((await stream).is_complete)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_unsent_requests_get_503_near_end_of_grace_period(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=wait_until_closed)
+            harness.quota.deferred_decisions = []
+            early = await harness.client()
             early.send(key="m1", deadline=20000)
-            held = await site.client()
+            idle_client = await harness.client()
             await asyncio.sleep(0.01)
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(3.1)
-            late = await site.client()  # stands in the machine's queue as the last connections are taken
+            late = await harness.client()  # in the kernel's queue when accepting stops
             late.send(key="m1", deadline=20000)
             await asyncio.sleep(0.25)
             for client in (early, late):
-                answer = await client.answer()
-                self.assertEqual(answer.status, 503)
-                self.assertLess(float(answer.headers["retry-after"]), 1.0)
-            self.assertEqual(await held.ended(), b"")
+                response = await client.read_response()
+                self.assertEqual(response.status, 503)
+                self.assertLess(float(response.headers["retry-after"]), 1.0)
+            self.assertEqual(await idle_client.read_until_closed(), b"")
             with self.assertRaises(ConnectionError):
-                await site.client()
-            await ending
-            self.assertFalse(site.calls)
-            site.close()
+                await harness.client()
+            await shutdown
+            self.assertFalse(harness.calls)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_no_request_that_was_read_is_lost_by_clients_that_go_on_to_the_end(self) -> None:
-        async def scene() -> None:
-            async def slow(talk: Talk, call: Call) -> None:
+    def test_no_request_of_persistent_clients_is_lost(self) -> None:
+        async def scenario() -> None:
+            async def slow(conn: ServerConnection, call: Call) -> None:
                 await asyncio.sleep(0.05)
-                talk.answer()
+                conn.respond()
 
-            site = await Site(grace_s=5.0).start(s1=slow, s2=slow)
-            answers: list[Answer] = []
-            cut: list[str] = []
+            harness = await DataPlaneHarness(grace_s=5.0).start(s1=slow, s2=slow)
+            responses: list[Response] = []
+            interrupted: list[str] = []
 
-            async def press(number: int) -> None:
+            async def send_repeatedly(number: int) -> None:
                 client: Client | None = None
                 while True:
                     try:
                         if client is None:
-                            client = await site.client()
-                        answer = await client.ask()
+                            client = await harness.client()
+                        response = await client.fetch()
                     except ConnectionRefusedError:
                         return
                     except (asyncio.IncompleteReadError, ConnectionError):
-                        cut.append(f"client {number}")
+                        interrupted.append(f"client {number}")
                         client = None
                         continue
-                    answers.append(answer)
-                    if answer.headers.get("connection") == "close":
+                    responses.append(response)
+                    if response.headers.get("connection") == "close":
                         client = None
                     await asyncio.sleep(0.01 * (number % 5))
 
-            pressing = [asyncio.ensure_future(press(number)) for number in range(12)]
+            senders = [asyncio.ensure_future(send_repeatedly(number)) for number in range(12)]
             await asyncio.sleep(0.5)
-            took = await self.end(site)
-            self.assertLess(took, 5.0)
+            duration_s = await self.shut_down(harness)
+            self.assertLess(duration_s, 5.0)
             with contextlib.suppress(asyncio.CancelledError):
-                await asyncio.gather(*pressing)
-            self.assertEqual({answer.status for answer in answers} - {200, 503}, set())
-            self.assertFalse(cut)
-            self.assertGreater(len(answers), 200)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_stream_that_comes_late_on_a_kept_connection_is_refused_unrun(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=streaming(35, 0.1))
-            client = await site.client()
+                await asyncio.gather(*senders)
+            self.assertEqual({response.status for response in responses} - {200, 503}, set())
+            self.assertFalse(interrupted)
+            self.assertGreater(len(responses), 200)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_late_stream_on_kept_connection_is_rejected_unexecuted(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=stream_events(35, 0.1))
+            client = await harness.client()
             client.send("/stream/1", deadline=15000)
             await asyncio.sleep(0.3)
-            ending = asyncio.ensure_future(self.end(site))
-            first = await client.answer()  # its head promised that the connection stays open
-            self.assertEqual((first.whole, first.body), (True, events(1, 35)))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
+            first = await client.read_response()  # its head was sent without `Connection: close`
+            self.assertEqual((first.is_complete, first.body), (True, events(1, 35)))
             self.assertNotEqual(first.headers.get("connection"), "close")
-            begun = site.loop.time()
-            late = await client.ask("/stream/2", deadline=15000)
+            started_at = harness.loop.time()
+            late = await client.fetch("/stream/2", deadline=15000)
             self.assertEqual((late.status, late.headers["connection"]), (503, "close"))
             self.assertGreater(float(late.headers["retry-after"]), 0.0)
-            self.assertLess(late.at - begun, 0.05)
-            self.assertEqual(await client.ended(), b"")
-            self.assertLess(await ending, 4.0)
-            self.assertEqual(len(site.calls), 1)
-            site.close()
-
-        self.play(scene)
-
-    def test_what_ends_by_its_deadline_is_taken_late_too(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=streaming(3, 0.1))
-            await site.serve("other", o1=until_closed)
-            hangs = asyncio.ensure_future(site.ask("/other/1", deadline=3600))  # holds the end up
+            self.assertLess(late.at - started_at, 0.05)
+            self.assertEqual(await client.read_until_closed(), b"")
+            self.assertLess(await shutdown, 4.0)
+            self.assertEqual(len(harness.calls), 1)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_late_stream_is_admitted_if_its_deadline_is_early_enough(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=stream_events(3, 0.1))
+            await harness.serve("other", o1=wait_until_closed)
+            pending_response = asyncio.ensure_future(harness.fetch("/other/1", deadline=3600))  # delays the end
             await asyncio.sleep(0.01)
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(2.7)
-            answers = await asyncio.gather(*(site.ask("/stream/1", deadline=wait) for wait in (1000, 1300)))
-            self.assertEqual([(answer.status, answer.whole) for answer in answers], [(200, True), (503, True)])
-            await hangs
-            await ending
-            site.close()
-
-        self.play(scene)
-
-    def test_a_stream_that_comes_early_is_taken_if_such_streams_usually_end_in_time(self) -> None:
-        async def scene() -> None:
-            for pause_s, statuses in ((0.1, {200}), (0.5, {503})):  # 1.2 s and 6 s each, of 4 s
-                site = await Site(grace_s=4.0).start(s1=streaming(12, pause_s))
-                await asyncio.gather(*(site.ask("/stream/1", deadline=15000) for _ in range(8)))
-                ending = asyncio.ensure_future(self.end(site))
+            responses = await asyncio.gather(*(harness.fetch("/stream/1", deadline=wait) for wait in (1000, 1300)))
+            self.assertEqual(
+                [(response.status, response.is_complete) for response in responses], [(200, True), (503, True)]
+            )
+            await pending_response
+            await shutdown
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_early_stream_is_admitted_by_recent_durations(self) -> None:
+        async def scenario() -> None:
+            for pause_s, statuses in ((0.1, {200}), (0.5, {503})):  # streams of 1.2 s and 6 s, grace period of 4 s
+                harness = await DataPlaneHarness(grace_s=4.0).start(s1=stream_events(12, pause_s))
+                await asyncio.gather(*(harness.fetch("/stream/1", deadline=15000) for _ in range(8)))
+                shutdown = asyncio.ensure_future(self.shut_down(harness))
                 await asyncio.sleep(0.5)
-                answers = await asyncio.gather(*(site.ask("/stream/1", deadline=15000) for _ in range(3)))
-                self.assertEqual({answer.status for answer in answers}, statuses)
-                self.assertTrue(all(answer.whole for answer in answers))
-                await ending
-                site.close()
+                responses = await asyncio.gather(*(harness.fetch("/stream/1", deadline=15000) for _ in range(3)))
+                self.assertEqual({response.status for response in responses}, statuses)
+                self.assertTrue(all(response.is_complete for response in responses))
+                await shutdown
+                harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_that_comes_early_is_taken_where_nothing_is_known_of_such_streams(self) -> None:
-        async def scene() -> None:
-            async def asked_after(wait_s: float) -> Answer:
+    def test_early_stream_is_admitted_without_recent_durations(self) -> None:
+        async def scenario() -> None:
+            async def fetch_after(wait_s: float) -> Response:
                 await asyncio.sleep(wait_s)
-                return await site.ask("/stream/1", deadline=15000)
+                return await harness.fetch("/stream/1", deadline=15000)
 
-            site = await Site(grace_s=4.0).start(s1=streaming(12, 0.1))
-            ending = asyncio.ensure_future(self.end(site))
-            answers = await asyncio.gather(*(asked_after(wait_s) for wait_s in (0.0, 1.0, 2.4, 2.6)))
-            self.assertEqual([answer.status for answer in answers], [200, 200, 200, 503])
-            self.assertTrue(all(answer.whole for answer in answers))
-            await ending
-            site.close()
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=stream_events(12, 0.1))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
+            responses = await asyncio.gather(*(fetch_after(wait_s) for wait_s in (0.0, 1.0, 2.4, 2.6)))
+            self.assertEqual([response.status for response in responses], [200, 200, 200, 503])
+            self.assertTrue(all(response.is_complete for response in responses))
+            await shutdown
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_late_stream_of_a_route_that_is_always_short_is_taken(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=8.0).start(s1=streaming(3, 0.1))
+    def test_late_stream_of_short_route_is_admitted(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=8.0).start(s1=stream_events(3, 0.1))
             for _ in range(4):
-                await asyncio.gather(*(site.ask("/stream/1", deadline=15000) for _ in range(8)))
-            site.servers["s1"].script = streaming(40, 0.1)
-            long = asyncio.ensure_future(site.ask("/resume/1", deadline=15000))
+                await asyncio.gather(*(harness.fetch("/stream/1", deadline=15000) for _ in range(8)))
+            harness.servers["s1"].script = stream_events(40, 0.1)
+            long_stream = asyncio.ensure_future(harness.fetch("/resume/1", deadline=15000))
             await asyncio.sleep(0.1)
-            ending = asyncio.ensure_future(self.end(site))
-            site.servers["s1"].script = streaming(3, 0.1)
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
+            harness.servers["s1"].script = stream_events(3, 0.1)
             await asyncio.sleep(3.5)
-            answers = await asyncio.gather(*(site.ask(path, deadline=15000) for path in ("/stream/1", "/resume/1")))
-            self.assertEqual([answer.status for answer in answers], [200, 503])
-            self.assertTrue((await long).whole)
-            await ending
-            site.close()
-
-        self.play(scene)
-
-    def test_what_waits_is_refused_as_soon_as_it_would_not_end_in_time(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=streaming(12, 0.1))
-            await asyncio.gather(*(site.ask("/stream/1", deadline=15000) for _ in range(8)))
-            site.quota.held = []
-            waits = asyncio.ensure_future(site.ask("/stream/1", key="m1", deadline=15000))
+            responses = await asyncio.gather(
+                *(harness.fetch(path, deadline=15000) for path in ("/stream/1", "/resume/1"))
+            )
+            self.assertEqual([response.status for response in responses], [200, 503])
+            self.assertTrue((await long_stream).is_complete)
+            await shutdown
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_waiting_request_is_rejected_when_it_can_not_finish_in_time(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=stream_events(12, 0.1))
+            await asyncio.gather(*(harness.fetch("/stream/1", deadline=15000) for _ in range(8)))
+            harness.quota.deferred_decisions = []
+            waiting_response = asyncio.ensure_future(harness.fetch("/stream/1", key="m1", deadline=15000))
             await asyncio.sleep(0.01)
-            begun = site.loop.time()
-            ending = asyncio.ensure_future(self.end(site))
-            answer = await waits
-            self.assertEqual(answer.status, 503)
-            self.assertAlmostEqual(answer.at - begun, 4.0 - 0.15 - 1.2, delta=0.15)
-            site.quota.held[0](True, 0.0)
-            await ending
-            self.assertEqual(len(site.calls), 8)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_refusal_is_read_whole_by_a_client_that_still_sends_its_body(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=streaming(30, 0.1))
-            await site.serve("other", o1=until_closed)
-            hangs = asyncio.ensure_future(site.ask("/other/1", deadline=20000))  # holds the end up
+            started_at = harness.loop.time()
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
+            response = await waiting_response
+            self.assertEqual(response.status, 503)
+            self.assertAlmostEqual(response.at - started_at, 4.0 - 0.15 - 1.2, delta=0.15)
+            harness.quota.deferred_decisions[0](True, 0.0)
+            await shutdown
+            self.assertEqual(len(harness.calls), 8)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_rejection_reaches_client_that_is_still_sending(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=stream_events(30, 0.1))
+            await harness.serve("other", o1=wait_until_closed)
+            pending_response = asyncio.ensure_future(harness.fetch("/other/1", deadline=20000))  # delays the end
             await asyncio.sleep(0.01)
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(2.8)
-            client = await site.client()
+            client = await harness.client()
             client.send("/stream/1", deadline=15000, body=bytes(200_000))
             client.writer.write(b"POST /stream/2 HTTP/1.1\r\nHost: app.example\r\n")
-            self.assertEqual((await client.answer()).status, 503)
+            self.assertEqual((await client.read_response()).status, 503)
             client.writer.write(b"more of what will not be answered")
-            self.assertEqual(await client.reader.read(), b"")  # an end, no reset
-            await hangs
-            await ending
-            self.assertEqual(len(site.calls), 1)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_second_signal_changes_nothing(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            ending = asyncio.ensure_future(self.end(site))
+            self.assertEqual(await client.reader.read(), b"")  # closed gracefully, not reset
+            await pending_response
+            await shutdown
+            self.assertEqual(len(harness.calls), 1)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_second_begin_shutdown_has_no_effect(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(1.5)
-            site.plane.begin_shutdown()
-            self.assertLess(await ending, 3.0)
-            site.close()
+            harness.plane.begin_shutdown()
+            self.assertLess(await shutdown, 3.0)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_head_half_read_is_read_on_and_answered(self) -> None:
-        async def scene() -> None:
-            site = await Site().start()
-            client = await site.client()
+    def test_partly_received_head_is_completed_and_served(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start()
+            client = await harness.client()
             client.writer.write(b"POST /plain/1 HTTP/1.1\r\nHost: app.example\r\nX-Rosechute-Cre")
             await asyncio.sleep(0.01)
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(2.4)
             client.writer.write(b"dential: k1\r\nX-Rosechute-Request-Id: late\r\nContent-Length: 4\r\n\r\nbo")
             await asyncio.sleep(0.3)
             client.writer.write(b"dy")
-            self.assertEqual((await client.answer()).status, 200)
-            self.assertLess(await ending, 3.5)
-            self.assertEqual(site.calls[0].body, b"body")
-            site.close()
+            self.assertEqual((await client.read_response()).status, 200)
+            self.assertLess(await shutdown, 3.5)
+            self.assertEqual(harness.calls[0].body, b"body")
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_body_half_read_is_read_on_and_its_request_answered(self) -> None:
-        """A deadline counts from the first byte: a stream that began early ends in time, a late one may not."""
+    def test_partly_received_body_is_completed_and_served(self) -> None:
+        """Deadlines count from the first byte: a stream that arrived early ends in time, a late one may not."""
 
-        async def scene() -> None:
-            site = await Site(grace_s=5.0).start()
-            plain, stream = [await site.client() for _ in range(2)]
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=5.0).start()
+            plain, stream = [await harness.client() for _ in range(2)]
             plain.send("/plain/1", body=b"half", length=8, deadline=0)
             stream.send("/stream/1", body=b"half", length=8, deadline=0)
             await asyncio.sleep(0.01)
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             for _ in range(3):
                 await asyncio.sleep(0.9)
                 for client in (plain, stream):
                     client.writer.write(b"x")
-            late_stream = await site.client()  # its connection is new: idle ones are closed by now
+            late_stream = await harness.client()  # a new connection, because idle ones have been closed
             late_stream.send("/stream/1", body=b"halfxxxx", deadline=0)
             await asyncio.sleep(0.1)
             for client in (plain, stream):
                 client.writer.write(b"x")
-            responses = [await client.answer() for client in (plain, stream, late_stream)]
+            responses = [await client.read_response() for client in (plain, stream, late_stream)]
             self.assertEqual([response.status for response in responses], [200, 200, 503])
-            self.assertTrue(responses[1].whole)
-            self.assertEqual([call.body for call in site.calls], [b"halfxxxx"] * 2)
-            self.assertLess(await ending, 4.0)
-            site.close()
+            self.assertTrue(responses[1].is_complete)
+            self.assertEqual([call.body for call in harness.calls], [b"halfxxxx"] * 2)
+            self.assertLess(await shutdown, 4.0)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_request_that_is_sent_again_and_again_gets_a_whole_response(self) -> None:
-        async def scene() -> None:
-            async def declines(talk: Talk, call: Call) -> None:
+    def test_request_in_retries_gets_complete_response(self) -> None:
+        async def scenario() -> None:
+            async def reject_slowly(conn: ServerConnection, call: Call) -> None:
                 await asyncio.sleep(0.3)
-                talk.full()
+                conn.reject_as_full()
 
-            async def breaks(talk: Talk, call: Call) -> None:
+            async def reset_slowly(conn: ServerConnection, call: Call) -> None:
                 await asyncio.sleep(0.3)
-                talk.reset()
+                conn.reset()
 
-            for script, statuses in ((declines, {503}), (breaks, {502})):
-                site = await Site(grace_s=4.0).start(s1=script, s2=script, s3=script)
-                asked = [asyncio.ensure_future(site.ask("/again/1", deadline=15000)) for _ in range(4)]
+            for script, statuses in ((reject_slowly, {503}), (reset_slowly, {502})):
+                harness = await DataPlaneHarness(grace_s=4.0).start(s1=script, s2=script, s3=script)
+                requests = [asyncio.ensure_future(harness.fetch("/again/1", deadline=15000)) for _ in range(4)]
                 await asyncio.sleep(0.1)
-                await self.end(site)
-                answers = await asyncio.gather(*asked)
-                self.assertEqual({answer.status for answer in answers}, statuses)
-                self.assertTrue(all(answer.whole for answer in answers))
-                site.close()
-
-        self.play(scene)
-
-    def test_a_stream_that_breaks_during_the_end_is_still_resumed(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(5, 0.2, then="reset"), s2=streaming(12, 0.2))
-            answers = [asyncio.ensure_future(site.ask("/resume/1")) for _ in range(4)]
+                await self.shut_down(harness)
+                responses = await asyncio.gather(*requests)
+                self.assertEqual({response.status for response in responses}, statuses)
+                self.assertTrue(all(response.is_complete for response in responses))
+                harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_interrupted_stream_is_resumed_during_shutdown(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(
+                s1=stream_events(5, 0.2, then="reset"), s2=stream_events(12, 0.2)
+            )
+            responses = [asyncio.ensure_future(harness.fetch("/resume/1")) for _ in range(4)]
             await asyncio.sleep(0.05)
-            await self.end(site)
-            for answer in await asyncio.gather(*answers):
-                self.assertEqual((answer.whole, answer.body), (True, events(1, 12)))
-            site.close()
+            await self.shut_down(harness)
+            for response in await asyncio.gather(*responses):
+                self.assertEqual((response.is_complete, response.body), (True, events(1, 12)))
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_answer_half_written_to_a_slow_reader_goes_on(self) -> None:
-        async def scene() -> None:
-            async def large(talk: Talk, call: Call) -> None:
-                talk.answer(200, bytes(6_000_000))
+    def test_response_to_slow_reader_completes(self) -> None:
+        async def scenario() -> None:
+            async def send_large_response(conn: ServerConnection, call: Call) -> None:
+                conn.respond(200, bytes(6_000_000))
 
-            site = await Site().start(s1=large)
-            client = await site.client()
+            harness = await DataPlaneHarness().start(s1=send_large_response)
+            client = await harness.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(deadline=20000)
             await asyncio.sleep(0.1)
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(4.0)
-            self.assertFalse(ending.done())
+            self.assertFalse(shutdown.done())
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            answer = await client.answer()
-            self.assertEqual((answer.whole, len(answer.body)), (True, 6_000_000))
-            self.assertLess(await ending, 5.0)
-            site.close()
+            response = await client.read_response()
+            self.assertEqual((response.is_complete, len(response.body)), (True, 6_000_000))
+            self.assertLess(await shutdown, 5.0)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_connection_to_a_server_comes_up_after_the_last_one_was_taken(self) -> None:
-        async def scene() -> None:
-            site = await Site(grace_s=4.0).start(s1=until_closed)
-            hangs = asyncio.ensure_future(site.ask(deadline=20000))  # holds the end up
-            go = asyncio.Event()
-            connect = site.loop.create_connection
+    def test_request_is_not_sent_after_accepting_has_stopped(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness(grace_s=4.0).start(s1=wait_until_closed)
+            pending_response = asyncio.ensure_future(harness.fetch(deadline=20000))  # delays the end
+            connect_allowed = asyncio.Event()
+            connect = harness.loop.create_connection
 
             async def slow(*arguments: object, **more: object) -> object:
-                await go.wait()
+                await connect_allowed.wait()
                 return await connect(*arguments, **more)  # type: ignore[call-overload]
 
-            ending = asyncio.ensure_future(self.end(site))
+            shutdown = asyncio.ensure_future(self.shut_down(harness))
             await asyncio.sleep(3.2)
-            client = await site.client()
-            site.loop.create_connection = slow  # type: ignore[method-assign, assignment]
+            client = await harness.client()
+            harness.loop.create_connection = slow  # type: ignore[method-assign, assignment]
             client.send()
             await asyncio.sleep(0.15)
-            go.set()
-            self.assertEqual((await client.answer()).status, 503)
-            await ending
-            self.assertEqual(((await hangs).status, len(site.calls)), (504, 1))
-            site.close()
-
-        self.play(scene)
-
-    def test_a_term_before_anything_is_known_ends_too(self) -> None:
-        async def scene() -> None:
-            site = Site()
-            await site.plane.start()
-            self.assertLess(await self.end(site), 3.0)
-            site.close()
-
-        self.play(scene)
+            connect_allowed.set()
+            self.assertEqual((await client.read_response()).status, 503)
+            await shutdown
+            self.assertEqual(((await pending_response).status, len(harness.calls)), (504, 1))
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_shutdown_of_unconfigured_edge(self) -> None:
+        async def scenario() -> None:
+            harness = DataPlaneHarness()
+            await harness.plane.start()
+            self.assertLess(await self.shut_down(harness), 3.0)
+            harness.close()
+
+        self.run_scenario(scenario)
--- a/tests/fleet/test_data_plane_streams.py
+++ b/tests/fleet/test_data_plane_streams.py
@@ -1,4 +1,4 @@
-"""Streams through the data plane: passed on as they come, continued where they break, cut where they can't be."""
+"""Streams through the data plane: forwarding, resumption on another server, and truncation."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tests.fleet.data_site import (
     Call,
     Client,
+    DataPlaneHarness,
     Script,
     Server,
-    Site,
-    SiteCase,
-    Talk,
+    ServerConnection,
+    VirtualTimeTestCase,
     configuration,
     event,
     route,
-    until_closed,
+    wait_until_closed,
 )
 
 
@@ -26,257 +26,262 @@
     return b"".join(event(number) for number in range(first, last + 1))
 
 
-def streaming(count: int, pause_s: float = 0.1, then: str = "finish", **more: object) -> Script:
-    """A server that sends events up to `count`, behind the one that it is told, and then ends."""
+def stream_events(count: int, pause_s: float = 0.1, then: str = "finish", **more: object) -> Script:
+    """Return a script that sends the events after `Last-Event-Id` up to `count`, and then ends as `then` says."""
 
-    async def script(talk: Talk, call: Call) -> None:
-        talk.begin(**more)  # type: ignore[arg-type]
+    async def script(conn: ServerConnection, call: Call) -> None:
+        conn.start_stream(**more)  # type: ignore[arg-type]
         for number in range(int(call.headers.get("last-event-id", 0)) + 1, count + 1):
             await asyncio.sleep(pause_s)
-            talk.event(number)
-            await talk.writer.drain()
+            conn.send_event(number)
+            await conn.writer.drain()
         if then == "finish":
-            talk.finish()
+            conn.finish_stream()
         elif then == "reset":
-            await talk.writer.drain()
+            await conn.writer.drain()
             await asyncio.sleep(0.01)
-            talk.reset()
+            conn.reset()
         elif then == "close":
             raise ConnectionError
         elif then == "half":
-            talk.piece(b"id: %d\nda" % (count + 1))
+            conn.send_chunk(b"id: %d\nda" % (count + 1))
             raise ConnectionError
         else:
-            await until_closed(talk, call)
+            await wait_until_closed(conn, call)
 
     return script
 
 
-async def read_head_alone(talk: Talk) -> Call:
-    """A server that answers before it reads a body."""
-    head = await talk.reader.readuntil(b"\r\n\r\n")
-    talk.call = Call(head, asyncio.get_running_loop().time())
-    return talk.call
+async def read_head_only(conn: ServerConnection) -> Call:
+    """Read a request without its body, so that the server responds before it has read the body."""
+    head = await conn.reader.readuntil(b"\r\n\r\n")
+    conn.call = Call(head, asyncio.get_running_loop().time())
+    return conn.call
 
 
-class Streams(SiteCase):
-    def test_head_and_events_are_passed_on_as_they_come(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(4, 0.4))
+class StreamTest(VirtualTimeTestCase):
+    def test_head_and_events_are_forwarded_as_they_arrive(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(4, 0.4))
             for path in ("/stream/1", "/resume/1"):
-                client = await site.client()
-                begun = site.loop.time()
+                client = await harness.client()
+                started_at = harness.loop.time()
                 client.send(path)
-                status, headers = await client.head()
+                status, headers = await client.read_head()
                 self.assertEqual((status, headers["content-type"]), (200, "text/event-stream"))
                 self.assertEqual(headers["x-rosechute-server-stamp"], "stamp-1")
-                self.assertLess(site.loop.time() - begun, 0.05)
+                self.assertLess(harness.loop.time() - started_at, 0.05)
                 for number in range(1, 5):
-                    self.assertEqual(await client.piece(), event(number))
-                    self.assertAlmostEqual(site.loop.time() - begun, 0.4 * number, delta=0.05)
-                self.assertEqual(await client.piece(), b"")
-                answer = await client.ask(path)  # the connection goes on
-                self.assertEqual(answer.body, events(1, 4))
-            self.assertEqual(site.servers["s1"].connections, 1)
-            site.close()
-
-        self.play(scene)
-
-    def test_an_event_in_pieces_comes_whole_where_it_may_be_resumed(self) -> None:
-        async def scene() -> None:
-            async def script(talk: Talk, call: Call) -> None:
-                talk.begin()
+                    self.assertEqual(await client.read_chunk(), event(number))
+                    self.assertAlmostEqual(harness.loop.time() - started_at, 0.4 * number, delta=0.05)
+                self.assertEqual(await client.read_chunk(), b"")
+                response = await client.fetch(path)  # the connection is reused
+                self.assertEqual(response.body, events(1, 4))
+            self.assertEqual(harness.servers["s1"].connections, 1)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_resumable_stream_forwards_complete_events_only(self) -> None:
+        async def scenario() -> None:
+            async def script(conn: ServerConnection, call: Call) -> None:
+                conn.start_stream()
                 for data in (b"id: 1\nda", b"ta: a\n", b"\nid: 2\ndata: b\n\nid", b": 3\ndata: c\n\n"):
                     await asyncio.sleep(0.1)
-                    talk.piece(data)
-                talk.finish()
+                    conn.send_chunk(data)
+                conn.finish_stream()
 
-            site = await Site().start(s1=script)
-            client = await site.client()
+            harness = await DataPlaneHarness().start(s1=script)
+            client = await harness.client()
             client.send("/resume/1")
-            await client.head()
-            pieces = [await client.piece() for _ in range(3)]
+            await client.read_head()
+            pieces = [await client.read_chunk() for _ in range(3)]
             self.assertEqual(pieces, [b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", b"id: 3\ndata: c\n\n", b""])
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_broken_stream_goes_on_at_another_server(self) -> None:
-        async def scene() -> None:
+    def test_interrupted_stream_is_resumed_on_another_server(self) -> None:
+        async def scenario() -> None:
             for then in ("reset", "close", "half"):
-                site = await Site().start(
-                    s1=streaming(3, then=then, stamp="stamp-1"), s2=streaming(6, stamp="stamp-1")
+                harness = await DataPlaneHarness().start(
+                    s1=stream_events(3, then=then, stamp="stamp-1"), s2=stream_events(6, stamp="stamp-1")
                 )
                 for _ in range(4):
-                    answer = await site.ask("/resume/1", id=f"r-{then}-{site.loop.time()}")
-                    self.assertEqual((answer.status, answer.whole, answer.body), (200, True, events(1, 6)), then)
-                resumed = [call for call in site.calls if "last-event-id" in call.headers]
+                    response = await harness.fetch("/resume/1", id=f"r-{then}-{harness.loop.time()}")
+                    self.assertEqual(
+                        (response.status, response.is_complete, response.body), (200, True, events(1, 6)), then
+                    )
+                resumed = [call for call in harness.calls if "last-event-id" in call.headers]
                 self.assertTrue(resumed)
                 self.assertEqual({call.headers["last-event-id"] for call in resumed}, {"3"})
                 self.assertTrue(all(call.headers["x-rosechute-expect-instance"] == "s2" for call in resumed))
-                site.close()
+                harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_head_and_stamp_are_those_of_the_first_server(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(
-                s1=streaming(2, then="reset", stamp="of-s1"),
-                s2=streaming(2, then="reset", stamp="of-s2"),
-                s3=streaming(9, stamp="of-s3"),
+    def test_resumed_stream_keeps_head_of_first_server(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(
+                s1=stream_events(2, then="reset", stamp="of-s1"),
+                s2=stream_events(2, then="reset", stamp="of-s2"),
+                s3=stream_events(9, stamp="of-s3"),
             )
             for _ in range(6):
-                answer = await site.ask("/resume/1")
-                first = next(call for call in reversed(site.calls) if "last-event-id" not in call.headers)
+                response = await harness.fetch("/resume/1")
+                first = next(call for call in reversed(harness.calls) if "last-event-id" not in call.headers)
                 expected = "of-" + first.headers["x-rosechute-expect-instance"]
-                self.assertEqual(answer.headers["x-rosechute-server-stamp"], expected)
-            site.close()
+                self.assertEqual(response.headers["x-rosechute-server-stamp"], expected)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_client_that_takes_its_stream_up_is_passed_on_as_it_came(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(9))
-            answer = await site.ask("/resume/1", "Last-Event-Id: 5")
-            self.assertEqual(answer.body, events(6, 9))
-            self.assertEqual(site.calls[0].headers["last-event-id"], "5")
-            site.close()
+    def test_last_event_id_of_client_is_forwarded(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(9))
+            response = await harness.fetch("/resume/1", "Last-Event-Id: 5")
+            self.assertEqual(response.body, events(6, 9))
+            self.assertEqual(harness.calls[0].headers["last-event-id"], "5")
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_that_breaks_before_its_first_event_is_asked_for_as_it_came(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(0, then="reset"), s2=streaming(7))
+    def test_stream_interrupted_before_first_event_keeps_last_event_id(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(0, then="reset"), s2=stream_events(7))
             for _ in range(3):
-                answer = await site.ask("/resume/1", "Last-Event-Id: 5")
-                self.assertEqual((answer.whole, answer.body), (True, events(6, 7)))
-            self.assertEqual({call.headers["last-event-id"] for call in site.calls}, {"5"})
-            site.close()
+                response = await harness.fetch("/resume/1", "Last-Event-Id: 5")
+                self.assertEqual((response.is_complete, response.body), (True, events(6, 7)))
+            self.assertEqual({call.headers["last-event-id"] for call in harness.calls}, {"5"})
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_that_breaks_behind_its_last_event_is_ended_by_another_server(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(4, then="reset"), s2=streaming(4))
+    def test_stream_interrupted_after_last_event_is_completed(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(4, then="reset"), s2=stream_events(4))
             for _ in range(3):
-                answer = await site.ask("/resume/1")
-                self.assertEqual((answer.whole, answer.body), (True, events(1, 4)))
-            site.close()
+                response = await harness.fetch("/resume/1")
+                self.assertEqual((response.is_complete, response.body), (True, events(1, 4)))
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_without_chunks_is_whole_only_behind_a_whole_event_and_a_close(self) -> None:
-        async def scene() -> None:
+    def test_close_delimited_stream_is_complete_after_event_and_close(self) -> None:
+        async def scenario() -> None:
             for path in ("/stream/1", "/resume/1"):
                 for end in ("close", "reset", "inside an event"):
 
-                    async def unframed(talk: Talk, call: Call) -> None:
-                        talk.writer.write(talk.head(200, "Content-Type: text/event-stream"))
+                    async def unframed(conn: ServerConnection, call: Call) -> None:
+                        conn.writer.write(conn.serialize_head(200, "Content-Type: text/event-stream"))
                         for number in (1, 2):
                             await asyncio.sleep(0.1)
-                            talk.writer.write(event(number))
-                            await talk.writer.drain()
+                            conn.writer.write(event(number))
+                            await conn.writer.drain()
                         if end == "inside an event":  # noqa: B023
-                            talk.writer.write(b"id: 3\nda")
+                            conn.writer.write(b"id: 3\nda")
                         await asyncio.sleep(0.1)
                         if end == "reset":  # noqa: B023
-                            talk.reset()
+                            conn.reset()
                         raise ConnectionError
 
-                    site = await Site().start(s1=unframed)
-                    answer = await site.ask(path)
-                    self.assertEqual((answer.status, answer.whole), (200, end == "close"), (path, end))
-                    self.assertTrue(answer.body.startswith(events(1, 2)))
+                    harness = await DataPlaneHarness().start(s1=unframed)
+                    response = await harness.fetch(path)
+                    self.assertEqual((response.status, response.is_complete), (200, end == "close"), (path, end))
+                    self.assertTrue(response.body.startswith(events(1, 2)))
                     if path == "/resume/1":
-                        self.assertEqual(answer.body, events(1, 2))
-                    site.close()
+                        self.assertEqual(response.body, events(1, 2))
+                    harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_that_begins_before_its_request_is_out_is_none(self) -> None:
-        """Nothing of it is passed on, and its connection is not used again: the rest of the body is due there."""
+    def test_stream_before_end_of_request_gives_502(self) -> None:
+        """The stream is not forwarded; its connection is not reused, as the rest of the body would have to follow."""
 
-        async def scene() -> None:
-            async def early(talk: Talk, call: Call) -> None:
-                talk.begin()
+        async def scenario() -> None:
+            async def respond_early(conn: ServerConnection, call: Call) -> None:
+                conn.start_stream()
                 for number in (1, 2):
-                    talk.event(number)
+                    conn.send_event(number)
                     await asyncio.sleep(0.1)
-                talk.finish()
+                conn.finish_stream()
 
             body = b"x" * 200_000
             for path in ("/stream/1", "/resume/1"):
-                site = await Site(memory_mb=66).start(s1=early)
-                with mock.patch.object(Talk, "read", read_head_alone):
-                    client = await site.client()
+                harness = await DataPlaneHarness(memory_mb=66).start(s1=respond_early)
+                with mock.patch.object(ServerConnection, "read", read_head_only):
+                    client = await harness.client()
                     head = (
                         b"POST %s HTTP/1.1\r\nHost: app.example\r\nX-Rosechute-Request-Id: b\r\n"
                         b"X-Rosechute-Credential: k1\r\nContent-Length: 200000\r\n\r\n" % path.encode()
                     )
                     client.writer.write(head + body[:150_000])
-                    answer = await client.answer()
-                self.assertEqual((answer.status, answer.whole, answer.body), (502, True, b""))
+                    response = await client.read_response()
+                self.assertEqual((response.status, response.is_complete, response.body), (502, True, b""))
                 await asyncio.sleep(0.1)
-                server = site.plane.pool.find("s1")
+                server = harness.plane.pool.find("s1")
                 assert server is not None
                 self.assertEqual(
-                    (server.open_count, len(site.plane.front.requests), site.plane.budget.used), (0, 0, 0)
+                    (server.open_count, len(harness.plane.client_listener.requests), harness.plane.budget.used),
+                    (0, 0, 0),
                 )
-                site.close()
+                harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_that_may_not_be_resumed_is_cut_promptly(self) -> None:
-        async def scene() -> None:
+    def test_non_resumable_stream_is_truncated_promptly(self) -> None:
+        async def scenario() -> None:
             for then in ("reset", "close", "half"):
-                site = await Site().start(s1=streaming(3, then=then), s2=streaming(3, then=then))
-                begun = site.loop.time()
-                answer = await site.ask("/stream/1")
-                self.assertFalse(answer.whole, then)
-                self.assertTrue(answer.body.startswith(events(1, 3)))
-                self.assertLess(answer.at - begun, 0.4)
-                self.assertEqual(len(site.calls), 1)
-                site.close()
-
-        self.play(scene)
-
-    def test_a_stream_that_nobody_can_go_on_with_is_cut(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(3, then="reset"))
-            answer = await site.ask("/resume/1")
-            self.assertEqual((answer.whole, answer.body), (False, events(1, 3)))
-            site.close()
-
-        self.play(scene)
-
-    def test_the_continuation_has_to_have_the_same_weights(self) -> None:
-        async def scene() -> None:
-            async def other_version(talk: Talk, call: Call) -> None:
+                harness = await DataPlaneHarness().start(
+                    s1=stream_events(3, then=then), s2=stream_events(3, then=then)
+                )
+                started_at = harness.loop.time()
+                response = await harness.fetch("/stream/1")
+                self.assertFalse(response.is_complete, then)
+                self.assertTrue(response.body.startswith(events(1, 3)))
+                self.assertLess(response.at - started_at, 0.4)
+                self.assertEqual(len(harness.calls), 1)
+                harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_stream_is_truncated_without_another_server(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(3, then="reset"))
+            response = await harness.fetch("/resume/1")
+            self.assertEqual((response.is_complete, response.body), (False, events(1, 3)))
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_stream_is_not_resumed_with_other_weights(self) -> None:
+        async def scenario() -> None:
+            async def respond_other_version(conn: ServerConnection, call: Call) -> None:
                 if "expect-version" in call.headers:
-                    talk.answer(421, b"", "X-Rosechute-Instance-Id: " + talk.server.id, stamp=None)
+                    conn.respond(421, b"", "X-Rosechute-Instance-Id: " + conn.server.id, stamp=None)
                 else:
-                    await streaming(6)(talk, call)
+                    await stream_events(6)(conn, call)
 
-            async def first(talk: Talk, call: Call) -> None:
-                talk.begin("Versions: 4")
-                talk.piece(event(1) + event(2, version=5))
+            async def first(conn: ServerConnection, call: Call) -> None:
+                conn.start_stream("Versions: 4")
+                conn.send_chunk(event(1) + event(2, version=5))
                 await asyncio.sleep(0.1)
-                talk.reset()
+                conn.reset()
 
-            site = await Site().start(s1=first, s2=other_version)
-            while not site.servers["s1"].calls:
-                answer = await site.ask("/resume/1")
-            self.assertFalse(answer.whole)
-            resumed = site.servers["s2"].calls[-1]
+            harness = await DataPlaneHarness().start(s1=first, s2=respond_other_version)
+            while not harness.servers["s1"].calls:
+                response = await harness.fetch("/resume/1")
+            self.assertFalse(response.is_complete)
+            resumed = harness.servers["s2"].calls[-1]
             self.assertEqual(resumed.headers["expect-version"], "5")
-            site.close()
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_server_that_falls_silent_is_left_for_another_one_in_time(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(2, then="silence"), s2=streaming(5))
-            site.plane.apply_configuration(
+    def test_inactive_server_is_replaced_before_client_timeout(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(2, then="silence"), s2=stream_events(5))
+            harness.plane.apply_configuration(
                 configuration(
                     2,
                     routes=[
@@ -293,145 +298,147 @@
                 2,
             )
             for _ in range(3):
-                client = await site.client()
+                client = await harness.client()
                 client.send("/resume/1", deadline=15000)
-                await client.head()
-                heard, body = site.loop.time(), b""
-                while piece := await client.piece():
-                    self.assertLess(site.loop.time() - heard, 4.0)
-                    heard = site.loop.time()
+                await client.read_head()
+                last_received_at, body = harness.loop.time(), b""
+                while piece := await client.read_chunk():
+                    self.assertLess(harness.loop.time() - last_received_at, 4.0)
+                    last_received_at = harness.loop.time()
                     body += piece
                 self.assertEqual(body, events(1, 5))
-            self.assertTrue(site.servers["s1"].closed)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_server_that_falls_silent_is_kept_while_no_other_one_may_go_on(self) -> None:
-        """Found: a stream whose only server paused for long was cut a quarter of its client's patience too early."""
-
-        async def scene() -> None:
-            async def pauses(talk: Talk, call: Call) -> None:
-                talk.begin()
-                talk.event(1)
-                await asyncio.sleep(3.5)  # of the 4 s that its client bears
-                talk.event(2)
-                talk.finish()
-
-            site = await Site().start(s1=pauses)
-            for service_budget in (True, False):
-                if not service_budget:  # another server is there, but a further attempt is not affordable
-                    await site.serve("svc", s1=pauses, s2=pauses)
-                    site.plane._dispatcher.apply_retry_budget(
-                        msgspec.structs.replace(site.settings.bounds, retry_budget_ratio=0.0, retry_slack=0), 1
+            self.assertTrue(harness.servers["s1"].closed)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_inactive_server_is_kept_without_alternative(self) -> None:
+        """Regression: a stream whose only server paused was truncated after 75 percent of the client's time-out."""
+
+        async def scenario() -> None:
+            async def pause_stream(conn: ServerConnection, call: Call) -> None:
+                conn.start_stream()
+                conn.send_event(1)
+                await asyncio.sleep(3.5)  # the client's time-out is 4 s
+                conn.send_event(2)
+                conn.finish_stream()
+
+            harness = await DataPlaneHarness().start(s1=pause_stream)
+            for has_single_server in (True, False):
+                if not has_single_server:  # there is another server, but no retry budget
+                    await harness.serve("svc", s1=pause_stream, s2=pause_stream)
+                    harness.plane._dispatcher.apply_retry_budget(
+                        msgspec.structs.replace(harness.settings.bounds, retry_budget_ratio=0.0, retry_slack=0), 1
                     )
-                answer = await site.ask("/resume/1")
-                self.assertEqual((answer.whole, answer.body), (True, events(1, 2)))
-            self.assertEqual(len(site.calls), 1)
-            site.close()
+                response = await harness.fetch("/resume/1")
+                self.assertEqual((response.is_complete, response.body), (True, events(1, 2)))
+            self.assertEqual(len(harness.calls), 1)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_silent_server_is_left_as_soon_as_another_one_may_go_on(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(2, then="silence"))
-            client = await site.client()
+    def test_inactive_server_is_replaced_once_another_is_available(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(2, then="silence"))
+            client = await harness.client()
             client.send("/resume/1", deadline=5000)
-            await client.head()
+            await client.read_head()
             for number in (1, 2):
-                self.assertEqual(await client.piece(), event(number))
-            heard = site.loop.time()
-            await asyncio.sleep(3.3)  # a server was wanted from 2.95 s on
-            await self._join(site, "s2", streaming(5))
-            self.assertEqual(await client.piece(), event(3))
-            self.assertLess(site.loop.time() - heard, 4.0)
-            site.close()
+                self.assertEqual(await client.read_chunk(), event(number))
+            last_received_at = harness.loop.time()
+            await asyncio.sleep(3.3)  # another server has been requested since 2.95 s
+            await self._add_server(harness, "s2", stream_events(5))
+            self.assertEqual(await client.read_chunk(), event(3))
+            self.assertLess(harness.loop.time() - last_received_at, 4.0)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     @staticmethod
-    async def _join(site: Site, name: str, script: Script) -> None:
-        """One more server of the service."""
-        server = Server(site, name, script)
+    async def _add_server(harness: DataPlaneHarness, name: str, script: Script) -> None:
+        """Add a server to the service."""
+        server = Server(harness, name, script)
         await server.start()
-        site.servers[name] = server
-        site.list(*(each.entry for each in site.servers.values()))
-
-    def test_a_stream_that_never_begins_is_answered_for_before_its_client_gives_up(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=until_closed)
-            begun = site.loop.time()
-            answer = await site.ask("/stream/1")
-            self.assertEqual(answer.status, 504)
-            self.assertTrue(3.8 < answer.at - begun < 4.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_a_client_that_leaves_ends_the_servers_work_at_once(self) -> None:
-        async def scene() -> None:
-            for leave in (Client.close, Client.reset):
-                site = await Site().start(s1=streaming(50))
-                client = await site.client()
+        harness.servers[name] = server
+        harness.apply_list(*(each.entry for each in harness.servers.values()))
+
+    def test_stream_that_never_starts_gives_504(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=wait_until_closed)
+            started_at = harness.loop.time()
+            response = await harness.fetch("/stream/1")
+            self.assertEqual(response.status, 504)
+            self.assertTrue(3.8 < response.at - started_at < 4.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_client_disconnect_ends_the_servers_work(self) -> None:
+        async def scenario() -> None:
+            for disconnect in (Client.close, Client.reset):
+                harness = await DataPlaneHarness().start(s1=stream_events(50))
+                client = await harness.client()
                 client.send("/stream/1")
-                await client.head()
-                await client.piece()
-                leave(client)
+                await client.read_head()
+                await client.read_chunk()
+                disconnect(client)
                 await asyncio.sleep(0.25)
-                self.assertEqual(len(site.servers["s1"].closed), 1)
-                self.assertFalse(site.plane.front.requests)
-                site.close()
+                self.assertEqual(len(harness.servers["s1"].closed), 1)
+                self.assertFalse(harness.plane.client_listener.requests)
+                harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_client_that_reads_nothing_holds_a_bounded_part_of_the_response(self) -> None:
-        async def scene() -> None:
-            async def flood(talk: Talk, call: Call) -> None:
-                talk.begin()
+    def test_memory_is_bounded_for_client_that_does_not_read(self) -> None:
+        async def scenario() -> None:
+            async def send_large_stream(conn: ServerConnection, call: Call) -> None:
+                conn.start_stream()
                 for number in range(1, 4000):
-                    talk.piece(b"id: %d\ndata: %s\n\n" % (number, b"x" * 4000))
-                    await talk.writer.drain()
-                talk.finish()
+                    conn.send_chunk(b"id: %d\ndata: %s\n\n" % (number, b"x" * 4000))
+                    await conn.writer.drain()
+                conn.finish_stream()
 
-            site = await Site(memory_mb=118).start(s1=flood)
+            harness = await DataPlaneHarness(memory_mb=118).start(s1=send_large_stream)
             for path in ("/stream/1", "/resume/1"):
-                client = await site.client()
+                client = await harness.client()
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.send(path)
                 await asyncio.sleep(2.0)
-                held = sum(connection.unsent() for connection in site.plane.front.listener.connections)
+                held = sum(
+                    connection.unsent_bytes() for connection in harness.plane.client_listener.listener.connections
+                )
                 self.assertLess(held, 1 << 20)
-                self.assertLess(site.plane.budget.used, 1 << 20)
+                self.assertLess(harness.plane.budget.used, 1 << 20)
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-                answer = await client.answer()
-                self.assertTrue(answer.whole)
-                self.assertEqual(answer.body.count(b"id: "), 3999)
-            site.close()
+                response = await client.read_response()
+                self.assertTrue(response.is_complete)
+                self.assertEqual(response.body.count(b"id: "), 3999)
+            harness.close()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stream_that_brings_events_goes_on_past_the_routes_time_and_to_the_clients(self) -> None:
-        """Found: streams were cut in their middle at the route's time, though their clients still read them."""
+    def test_active_stream_continues_until_client_deadline(self) -> None:
+        """Regression: streams were truncated at the route's time-out although their clients still read them."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             for path in ("/stream/1", "/resume/1"):
-                site = await Site().start(s1=streaming(70, 0.1))
-                answer = await site.ask(path, deadline=8000)
-                self.assertEqual((answer.whole, answer.body), (True, events(1, 70)))
-                self.assertGreater(int(site.calls[0].headers["x-rosechute-deadline-ms"]), 7900)
-                site.servers["s1"].script = streaming(500, 0.1)
-                begun = site.loop.time()
-                answer = await site.ask(path, deadline=8000)
-                self.assertFalse(answer.whole)
-                self.assertTrue(7.9 < answer.at - begun < 8.0)
-                site.close()
-
-        self.play(scene)
-
-    def test_the_routes_time_cuts_a_stream_that_brings_nothing(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(0, then="silence"))
-            site.plane.apply_configuration(
+                harness = await DataPlaneHarness().start(s1=stream_events(70, 0.1))
+                response = await harness.fetch(path, deadline=8000)
+                self.assertEqual((response.is_complete, response.body), (True, events(1, 70)))
+                self.assertGreater(int(harness.calls[0].headers["x-rosechute-deadline-ms"]), 7900)
+                harness.servers["s1"].script = stream_events(500, 0.1)
+                started_at = harness.loop.time()
+                response = await harness.fetch(path, deadline=8000)
+                self.assertFalse(response.is_complete)
+                self.assertTrue(7.9 < response.at - started_at < 8.0)
+                harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_inactive_stream_ends_at_route_timeout(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(0, then="silence"))
+            harness.plane.apply_configuration(
                 configuration(
                     2,
                     routes=[
@@ -440,19 +447,19 @@
                 ),
                 2,
             )
-            begun = site.loop.time()
-            answer = await site.ask("/slow/1", deadline=60000)
-            self.assertFalse(answer.whole)
-            self.assertTrue(4.8 < answer.at - begun < 5.0)
-            site.close()
-
-        self.play(scene)
-
-    def test_success_without_a_stamp_is_none(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=streaming(3, stamp=None))
-            answer = await site.ask("/stream/1")
-            self.assertEqual(answer.status, 502)
-            site.close()
-
-        self.play(scene)
+            started_at = harness.loop.time()
+            response = await harness.fetch("/slow/1", deadline=60000)
+            self.assertFalse(response.is_complete)
+            self.assertTrue(4.8 < response.at - started_at < 5.0)
+            harness.close()
+
+        self.run_scenario(scenario)
+
+    def test_success_without_stamp_gives_502(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_events(3, stamp=None))
+            response = await harness.fetch("/stream/1")
+            self.assertEqual(response.status, 502)
+            harness.close()
+
+        self.run_scenario(scenario)
--- a/tests/fleet/test_data_plane_uvloop.py
+++ b/tests/fleet/test_data_plane_uvloop.py
@@ -1,4 +1,4 @@
-"""The data plane on the event loop that processes run on, in real time: nothing here waits for a timer."""
+"""The data plane on uvloop, the event loop of the processes, in real time and without waiting for timers."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 
 import uvloop
 
-from tests.fleet.data_site import Call, Site, Talk, event, plain
+from tests.fleet.data_site import Call, DataPlaneHarness, ServerConnection, event, respond_ok
 from tests.fleet.test_data_plane_streams import events
 
 
-async def at_once(talk: Talk, call: Call) -> None:
-    """A stream whose events come one behind the other, and that breaks once in its middle."""
-    talk.begin()
+async def stream_without_pause(conn: ServerConnection, call: Call) -> None:
+    """Send events without pauses; server s1 interrupts each new stream once."""
+    conn.start_stream()
     first = int(call.headers.get("last-event-id", 0)) + 1
     for number in range(first, 21):
-        if number == 10 and first == 1 and talk.server.id == "s1":
-            talk.piece(event(number)[:7])
-            await talk.writer.drain()
+        if number == 10 and first == 1 and conn.server.id == "s1":
+            conn.send_chunk(event(number)[:7])
+            await conn.writer.drain()
             raise ConnectionError
-        talk.event(number)
-        await talk.writer.drain()
-    talk.finish()
+        conn.send_event(number)
+        await conn.writer.drain()
+    conn.finish_stream()
 
 
-class OnUvloop(unittest.TestCase):
-    def test_requests_streams_and_an_end(self) -> None:
-        async def scene() -> None:
-            site = await Site().start(s1=at_once, s2=at_once)
-            await site.serve("other", o1=plain)
+class UvloopTest(unittest.TestCase):
+    def test_requests_streams_and_shutdown(self) -> None:
+        async def scenario() -> None:
+            harness = await DataPlaneHarness().start(s1=stream_without_pause, s2=stream_without_pause)
+            await harness.serve("other", o1=respond_ok)
             for _ in range(10):
-                answer = await site.ask("/resume/1")
-                self.assertEqual((answer.whole, answer.body), (True, events(1, 20)))
-                answer = await site.ask("/other/1", body=b"b" * 100000)
-                self.assertEqual(answer.status, 200)
-            self.assertTrue(any("last-event-id" in call.headers for call in site.calls))
-            client = await site.client()
+                response = await harness.fetch("/resume/1")
+                self.assertEqual((response.is_complete, response.body), (True, events(1, 20)))
+                response = await harness.fetch("/other/1", body=b"b" * 100000)
+                self.assertEqual(response.status, 200)
+            self.assertTrue(any("last-event-id" in call.headers for call in harness.calls))
+            client = await harness.client()
             client.send("/other/1")
             client.reset()
-            site.plane.begin_shutdown()
-            self.assertFalse(site.plane.ready())
-            self.assertEqual((await site.ask("/other/1")).headers["connection"], "close")
-            site.close()
+            harness.plane.begin_shutdown()
+            self.assertFalse(harness.plane.ready())
+            self.assertEqual((await harness.fetch("/other/1")).headers["connection"], "close")
+            harness.close()
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(asyncio.wait_for(scene(), 30.0))
+            runner.run(asyncio.wait_for(scenario(), 30.0))
--- a/tests/fleet/test_distribution_days.py
+++ b/tests/fleet/test_distribution_days.py
@@ -127,7 +127,7 @@
         aside = world.edge[:3]
         world.cut([leader, *aside], [*self.others(world, leader), *world.edge[3:]], LONG_CUT_S)
         self.use(world, 8.0)
-        served = world.counted.share_served(world.now - 1.0, world.now)
+        served = world.counted.admitted_share(world.now - 1.0, world.now)
         self.assertGreater(served, 0.0)
         for machine in aside:
             self.assertGreater(world.confirmed_age(machine), PAST_LEASES_S)  # keys are refused there by now
--- a/tests/fleet/test_distribution_fencing.py
+++ b/tests/fleet/test_distribution_fencing.py
@@ -267,9 +267,12 @@
 
 
 GUARDS: tuple[tuple[Plant, str], ...] = (
-    (lease_is_not_checked_before_an_answer, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
-    (reading_of_another_term_counts, f"{READER}.test_a_reading_that_started_in_an_earlier_term_is_dropped"),
-    (reading_counts_without_the_lease, f"{READER}.test_a_reading_is_delivered_only_if_the_lease_is_still_held"),
+    (
+        lease_is_not_checked_before_an_answer,
+        f"{CORE}.test_after_lease_expiry_during_suspension_no_answer_as_leader_and_no_tokens",
+    ),
+    (reading_of_another_term_counts, f"{READER}.test_list_read_in_an_earlier_term_is_discarded"),
+    (reading_counts_without_the_lease, f"{READER}.test_list_is_delivered_only_if_the_lease_is_still_held"),
     (
         lists_of_earlier_terms_are_sent,
         f"{MESSAGE_ORDER}.EarlierTermTest.test_a_list_of_an_earlier_term_is_given_to_no_subscriber",
@@ -278,7 +281,7 @@
         lists_of_earlier_terms_are_sent,
         f"{MESSAGE_ORDER}.EarlierTermTest.test_a_list_of_an_earlier_term_is_neither_fetched_nor_reported",
     ),
-    (a_follower_grants_tokens, f"{CORE}.test_after_a_freeze_no_answer_as_leader_and_no_tokens"),
+    (a_follower_grants_tokens, f"{CORE}.test_after_lease_expiry_during_suspension_no_answer_as_leader_and_no_tokens"),
     (
         members_of_an_earlier_term_are_kept,
         f"{MESSAGE_ORDER}.EarlierTermTest.test_the_members_of_an_earlier_term_are_forgotten",
@@ -303,31 +306,31 @@
         confirmed_whatever_is_applied,
         f"{MESSAGE_ORDER}.ConfirmationTest.test_nothing_is_confirmed_while_a_newer_one_is_missing",
     ),
-    (a_core_machine_reports_no_age, f"{CORE}.test_a_leader_answers_as_one"),
+    (a_core_machine_reports_no_age, f"{CORE}.test_renewal_answer_of_the_leader"),
     (a_core_machine_reports_no_age, f"{DAYS}.CutOffLeaderTest.test_edges_are_cut_off_with_it"),
     (older_configurations_are_applied, f"{DAYS}.ManyChangesTest.test_hundreds_of_changes_between_losses"),
     (older_lists_are_applied, f"{MESSAGE_ORDER}.ListOrderTest.test_an_older_snapshot_changes_nothing"),
-    (the_edge_forgets_its_lease, f"{TERMS}.Keys.test_a_request_that_waited_is_not_sent_once_the_lease_has_ended"),
+    (the_edge_forgets_its_lease, f"{TERMS}.CredentialTest.test_waiting_request_is_not_sent_after_lease_expiry"),
     (
         token_lifetimes_count_from_the_arrival,
         "tests.fleet.test_distribution_token_cache.TokenCacheTest.test_tokens_expire_a_lifetime_after_the_request",
     ),
-    (any_answer_grants, f"{LEASES}.ReportTest.test_only_the_answer_to_the_newest_report_counts"),
+    (any_answer_grants, f"{LEASES}.ReportTest.test_only_the_answer_to_the_newest_report_is_applied"),
     (
         reports_of_any_term_are_accepted,
-        f"{LEASES}.ReportTest.test_a_report_of_another_term_is_answered_with_the_term_only",
+        f"{LEASES}.ReportTest.test_report_of_another_term_is_answered_with_the_term_only",
     ),
-    (overtaken_reports_are_accepted, f"{LEASES}.NewLeaderTest.test_an_overtaken_report_is_ignored"),
-    (a_restarted_edge_is_the_same_owner, f"{LEASES}.RateLeasesTest.test_a_restarted_edge_is_another_owner"),
+    (overtaken_reports_are_accepted, f"{LEASES}.NewLeaderTest.test_outdated_report_is_ignored"),
+    (a_restarted_edge_is_the_same_owner, f"{LEASES}.RateLeasesTest.test_restarted_edge_is_another_owner"),
     (
         a_new_leader_assumes_that_nothing_is_leased,
-        f"{LEASES}.NewLeaderTest.test_until_leases_are_known_only_the_part_that_is_never_leased",
+        f"{LEASES}.NewLeaderTest.test_only_the_unleased_part_is_issued_until_leases_are_known",
     ),
     (
         a_new_leader_starts_with_full_buckets,
-        f"{LEASES}.NewLeaderTest.test_until_leases_are_known_only_the_part_that_is_never_leased",
+        f"{LEASES}.NewLeaderTest.test_only_the_unleased_part_is_issued_until_leases_are_known",
     ),
-    (a_rate_lease_never_ends, f"{LEASES}.RateLeaseTest.test_the_end_empties_the_bucket"),
+    (a_rate_lease_never_ends, f"{LEASES}.RateLeaseTest.test_expiry_empties_the_bucket"),
     (
         core_machines_at_new_addresses_are_ignored,
         f"{DAYS}.ReplacedTest.test_every_core_machine_is_replaced_and_edges_follow",
--- a/tests/fleet/test_planted_control_machine.py
+++ b/tests/fleet/test_planted_control_machine.py
@@ -38,7 +38,7 @@
 from rosechute.messages.link_pool import LinkPool
 from rosechute.messages.link_server import LinkServer
 
-from .data_site import SiteCase
+from .data_site import VirtualTimeTestCase
 from .test_control_core_report import reported_replica
 
 GIVE_UP_S = 30.0  # of the simulated clock
@@ -70,7 +70,7 @@
         await asyncio.sleep(0.01)
 
 
-class RunningMachine(SiteCase):
+class RunningMachine(VirtualTimeTestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -98,7 +98,7 @@
             """Whether the disk syncs, in a thread and so in real time."""
             return machine._writer is not None and machine._writer.oldest_pending_since() is not None
 
-        asyncio.get_running_loop()._jump.has_background_work = is_writing  # type: ignore[attr-defined]
+        asyncio.get_running_loop()._virtual_selector.has_background_work = is_writing  # type: ignore[attr-defined]
         await machine.start()
         return machine
 
@@ -168,7 +168,7 @@
             self.assertEqual(identity.peer_address, self.settings.core_link_address)
             await machine.stop()
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_it_keeps_committed_writes_over_a_restart(self) -> None:
         async def scene() -> None:
@@ -181,7 +181,7 @@
             self.assertEqual((report.config_version, report.term > 1), (4, True))
             await again.stop()
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_it_stops_completely(self) -> None:
         async def scene() -> None:
@@ -204,7 +204,7 @@
             self.assertEqual(ticks, [])
             self.assertTrue(machine._task is not None and machine._task.done())
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_it_leaves_no_connection_open(self) -> None:
         async def scene() -> None:
@@ -224,7 +224,7 @@
             other.close()
             await runner.cleanup()
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_it_ends_before_its_records_are_loaded(self) -> None:
         async def scene() -> None:
@@ -232,7 +232,7 @@
             await machine.stop()
             self.assertIsNone(machine.report())
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_it_reads_the_list_while_it_leads(self) -> None:
         async def scene() -> None:
@@ -249,7 +249,7 @@
             self.assertEqual(self.lists, read)
             await runner.cleanup()
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_a_disk_that_cannot_be_read_is_tried_again(self) -> None:
         async def scene() -> None:
@@ -268,7 +268,7 @@
             self.assertGreater(failed[1] - failed[0], 0.1, "after a pause")
             await machine.stop()
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_messages_of_core_machines_reach_the_replica_once_there_is_one(self) -> None:
         async def scene() -> None:
@@ -280,7 +280,7 @@
             machine._links._on_frame(None, MessageKind.COORDINATION, message.SerializeToString())
             self.assertEqual(received, [message])
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_messages_over_links(self) -> None:
         async def scene() -> None:
@@ -298,7 +298,7 @@
             pool.close()
             await machine.stop()
 
-        self.play(scene)
+        self.run_scenario(scene)
 
 
 OWN = MachineIdentity("a", "core-a", "z", "10.0.0.1:8367", "10.0.0.1:7500")
@@ -318,7 +318,7 @@
 SEEDS = (("10.0.0.1:8367", "10.0.0.1:7500"), ("10.0.0.2:8367", "10.0.0.2:7500"))
 
 
-class MachineParts(SiteCase):
+class MachineParts(VirtualTimeTestCase):
     """What ties the parts of a machine together, with fakes that record their calls."""
 
     def setUp(self) -> None:
@@ -375,7 +375,7 @@
             self.machine._writer = None
             self.assertIsNone(self.machine.report())
 
-        self.play(scene)
+        self.run_scenario(scene)
 
     def test_how_long_the_oldest_record_waits_is_reported(self) -> None:
         self.load()
@@ -513,4 +513,4 @@
             self.assertEqual(self.machine._runtime.tick.call_count, 3)
             self.machine._next_tick.cancel()
 
-        self.play(scene)
+        self.run_scenario(scene)
--- a/tests/fleet/test_planted_data_plane_requests.py
+++ b/tests/fleet/test_planted_data_plane_requests.py
@@ -36,7 +36,7 @@
 from rosechute.proxy.http1.connection import Reply
 from rosechute.routing.model import AttemptResult, RejectReason, Send
 
-from .data_site import SiteCase, configuration, event, route
+from .data_site import VirtualTimeTestCase, configuration, event, route
 
 NOW = 1000.0
 ID = (b"x-rosechute-request-id", b"id-1")
@@ -97,13 +97,13 @@
         self.begun: tuple[int, Any, Any] | None = None
         self.passed = b""
         self.ended: bool | None = None
-        self.gone = False  # for `look`
+        self.gone = False  # for `check_disconnected`
         self.takes_answers = True
 
     def answer(self, message: Any, status: int, body: bytes, headers: Any) -> None:
         self.answers.append((status, body, dict(headers)))
 
-    def begin_answer(self, message: Any, status: int, headers: Any, length: Any, source: Any) -> bool:
+    def begin_response(self, message: Any, status: int, headers: Any, length: Any, source: Any) -> bool:
         if self.takes_answers:
             self.begun = (status, length, source)
         return self.takes_answers
@@ -111,10 +111,10 @@
     def pass_on(self, message: Any, data: bytes) -> None:
         self.passed += data
 
-    def end_answer(self, message: Any, whole: bool) -> None:
+    def end_response(self, message: Any, whole: bool) -> None:
         self.ended = whole
 
-    def look(self) -> bool:
+    def check_disconnected(self) -> bool:
         return self.gone
 
 
@@ -138,7 +138,7 @@
         self.stream: Body | None = None
         self.complete = True
         self.began = self.came = NOW
-        self.told: dict[bytes, bytes] | None = None
+        self.headers_by_name: dict[bytes, bytes] | None = None
 
     def all(self, name: bytes) -> list[bytes]:
         return [value for key, value in self.headers if key == name]
@@ -1308,7 +1308,7 @@
 
     def test_headers_that_were_read_already(self) -> None:
         message = Message()
-        message.told = {b"host": b"app.example", ID[0]: b"id-9", b"x-rosechute-credential": b"k1"}
+        message.headers_by_name = {b"host": b"app.example", ID[0]: b"id-9", b"x-rosechute-credential": b"k1"}
         self.assertEqual(admit(message).request_id, b"id-9")
 
     def test_keys(self) -> None:
@@ -1571,7 +1571,7 @@
 
     def __init__(self) -> None:
         self.connections: list[str] = []
-        self.leaving: list[str] = []
+        self.lingering: list[str] = []
         self.accepting, self.is_sending, self.is_busy = True, False, False
         self.closed_at: list[float] = []
 
@@ -1585,7 +1585,7 @@
         self.closed_at.append(asyncio.get_running_loop().time())
 
 
-class ShutdownFinishTest(SiteCase):
+class ShutdownFinishTest(VirtualTimeTestCase):
     """The end itself, on a clock that moves by itself."""
 
     def finish(
@@ -1605,7 +1605,7 @@
             took.append(loop.time() - begun)
             listener.closed_at = [at - begun for at in listener.closed_at]
 
-        self.play(scene)
+        self.run_scenario(scene)
         return took[0], front
 
     def test_nothing_is_open(self) -> None:
@@ -1624,7 +1624,7 @@
 
     def test_a_client_that_did_not_read_its_last_response(self) -> None:
         listener = Listener()
-        listener.connections = listener.leaving = ["a"]
+        listener.connections = listener.lingering = ["a"]
         took, _ = self.finish(listener)
         self.assertAlmostEqual(took, 2.8, delta=0.04)
         took, _ = self.finish(listener, 2.6)
--- a/tests/fleet/test_policy_variants.py
+++ b/tests/fleet/test_policy_variants.py
@@ -1,4 +1,4 @@
-"""The variants of the policy trials fit the sources: every text that a variant replaces stands there exactly once."""
+"""Every text that a variant of the policy trials replaces occurs exactly once in the sources."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_processes_edge.py
+++ b/tests/fleet/test_processes_edge.py
@@ -1,4 +1,4 @@
-"""The program of an edge machine as a process on loopback: signals, readiness, settings, its end."""
+"""Tests of an edge process on loopback: signals, readiness, reload of settings, shutdown."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.fleet.test_distribution_loopback import Core, free_ports
 
 HOST = "127.0.0.5"
-WITHIN_S = 30.0
+TIMEOUT_S = 30.0
 ROOT = Path(__file__).parents[2]
 
 
-async def program(settings: Path) -> asyncio.subprocess.Process:
-    """An edge process."""
+async def start_edge(settings: Path) -> asyncio.subprocess.Process:
+    """Start an edge process."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -35,11 +35,11 @@
     )
 
 
-class EdgeProgramTest(unittest.IsolatedAsyncioTestCase):
+class EdgeProcessTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / "node.json"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = Path(directory.name) / "node.json"
         front, readiness, first, second = free_ports(HOST, 4)
         self.front, self.readiness = f"{HOST}:{front}", f"{HOST}:{readiness}"
         self.settings = {
@@ -55,9 +55,9 @@
             "bounds": {"grace_s": 4},
             "unknown": {"x": None},
         }
-        self.write()
+        self.write_settings()
         self.core = Core(f"127.0.0.6:{min(first, second)}")
-        self.process = await program(self.path)
+        self.process = await start_edge(self.path)
 
     async def asyncTearDown(self) -> None:
         self.core.server.close()
@@ -65,25 +65,25 @@
             self.process.kill()
         await self.process.communicate()
 
-    def write(self) -> None:
+    def write_settings(self) -> None:
         self.path.write_bytes(msgspec.json.encode(self.settings))
 
-    async def line(self, part: str) -> None:
-        """Wait for a line of the log."""
+    async def wait_for_log(self, text: str) -> None:
+        """Wait for a log line that contains this text."""
         assert self.process.stderr is not None
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 line = await self.process.stderr.readline()
                 self.assertTrue(line, "the process ended")
-                if part in line.decode():
+                if text in line.decode():
                     return
 
-    async def status(self) -> int:
-        async with aiohttp.ClientSession() as session, session.get(f"http://{self.readiness}/readiness") as answer:
-            return answer.status
+    async def readiness_status(self) -> int:
+        async with aiohttp.ClientSession() as session, session.get(f"http://{self.readiness}/readiness") as response:
+            return response.status
 
-    async def ends(self) -> int:
-        async with asyncio.timeout(WITHIN_S):
+    async def wait_for_exit(self) -> int:
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.process.wait()
 
     async def start_core(self) -> None:
@@ -96,63 +96,66 @@
         name = value["services"][0]["name"]
         publisher.endpoint_list_read(now, [ListedServer("i-1", name, "127.0.0.9:80", "z", 4, True)])
 
-    async def test_ready_with_a_configuration_and_servers_and_unready_at_its_end(self) -> None:
-        await self.line("edge started")
-        self.assertEqual(await self.status(), 503)
+    async def test_readiness_holds_from_configuration_and_servers_until_shutdown(self) -> None:
+        await self.wait_for_log("edge started")
+        self.assertEqual(await self.readiness_status(), 503)
         await self.start_core()
-        await self.line("in force")
-        async with asyncio.timeout(WITHIN_S):
-            while await self.status() != 200:
+        await self.wait_for_log("in force")
+        async with asyncio.timeout(TIMEOUT_S):
+            while await self.readiness_status() != 200:
                 await asyncio.sleep(0)
         self.process.send_signal(signal.SIGTERM)
-        await self.line("edge shutting down")
-        self.assertEqual(await self.status(), 503)
-        self.assertEqual(await self.ends(), 0)
+        await self.wait_for_log("edge shutting down")
+        self.assertEqual(await self.readiness_status(), 503)
+        self.assertEqual(await self.wait_for_exit(), 0)
 
-    async def test_it_ends_by_signals_in_any_order_also_before_it_knows_anything(self) -> None:
-        await self.line("edge started")
+    async def test_repeated_signals_shut_down_an_edge_without_configuration(self) -> None:
+        await self.wait_for_log("edge started")
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             self.process.send_signal(number)
-        await self.line("edge shutting down")
-        self.assertEqual(await self.status(), 503)
+        await self.wait_for_log("edge shutting down")
+        self.assertEqual(await self.readiness_status(), 503)
         self.process.send_signal(signal.SIGHUP)
-        self.assertEqual(await self.ends(), 0)
+        self.assertEqual(await self.wait_for_exit(), 0)
 
-    async def test_settings_are_read_again(self) -> None:
-        await self.line("edge started")
+    async def test_settings_are_reloaded_on_sighup_and_on_change(self) -> None:
+        await self.wait_for_log("edge started")
         self.settings["seeds"] = ["127.0.0.7:1"]
-        self.write()
+        self.write_settings()
         self.process.send_signal(signal.SIGHUP)
-        await self.line("settings changed")
+        await self.wait_for_log("settings changed")
         self.path.write_bytes(b"{")
         self.process.send_signal(signal.SIGHUP)
-        await self.line("WARNING")
+        await self.wait_for_log("WARNING")
         self.settings["seeds"] = ["127.0.0.6:1"]
-        self.write()
-        await self.line("settings changed")
+        self.write_settings()
+        await self.wait_for_log("settings changed")
 
-    async def test_a_signal_before_it_listens(self) -> None:
-        """SIGHUP may come at any time; the interpreter itself is given the time to start."""
-        async with asyncio.timeout(WITHIN_S):
-            while not self.ignores_hangup() and self.process.returncode is None:
+    async def test_sighup_during_start_is_ignored(self) -> None:
+        """A SIGHUP that arrives before the handlers are installed must not end the process.
+
+        The signal is sent once the process ignores SIGHUP; until then the interpreter itself is starting.
+        """
+        async with asyncio.timeout(TIMEOUT_S):
+            while not self.ignores_sighup() and self.process.returncode is None:
                 await asyncio.sleep(0)
         self.process.send_signal(signal.SIGHUP)
-        await self.line("edge started")
+        await self.wait_for_log("edge started")
 
-    def ignores_hangup(self) -> bool:
-        """As the kernel tells it."""
+    def ignores_sighup(self) -> bool:
+        """Return whether the kernel lists SIGHUP among the signals that the process ignores."""
         status = Path(f"/proc/{self.process.pid}/status").read_text(encoding="utf-8")
         ignored = next((line for line in status.splitlines() if line.startswith("SigIgn")), "SigIgn: 0")
         return bool(int(ignored.split()[1], 16) & 1 << (signal.SIGHUP - 1))
 
-    async def test_unusable_settings_end_it(self) -> None:
-        await self.line("edge started")
+    async def test_unusable_settings_end_the_process(self) -> None:
+        await self.wait_for_log("edge started")
         self.process.kill()
-        await self.ends()
+        await self.wait_for_exit()
         broken = self.path.with_name("broken.json")
         broken.write_bytes(b'{"node_name": 5}')
-        process = await program(broken)
-        async with asyncio.timeout(WITHIN_S):
+        process = await start_edge(broken)
+        async with asyncio.timeout(TIMEOUT_S):
             _, errors = await process.communicate()
         self.assertEqual(process.returncode, 2)
         self.assertIn(b"node_name", errors)
--- a/tests/fleet/test_processes_logs.py
+++ b/tests/fleet/test_processes_logs.py
@@ -11,8 +11,8 @@
 from rosechute.processes import logs
 
 
-class Logs(unittest.TestCase):
-    """Which events are logged, and how."""
+class LoggingTest(unittest.TestCase):
+    """Format of log lines and selection by level."""
 
     def setUp(self) -> None:
         self.stream = io.StringIO()
@@ -21,13 +21,13 @@
     def lines(self) -> list[str]:
         return self.stream.getvalue().splitlines()
 
-    def test_one_line_an_event(self) -> None:
+    def test_each_event_is_one_line(self) -> None:
         logs.configure_logging(stream=self.stream)
         logger.info("first\nsecond {}", 3)
         (line,) = self.lines()
         self.assertRegex(line, r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3} INFO \S+ first\\nsecond 3$")
 
-    def test_an_exception_is_logged_in_the_same_line(self) -> None:
+    def test_exception_is_logged_in_the_same_line(self) -> None:
         logs.configure_logging(stream=self.stream)
         try:
             raise ValueError("no\nport")
@@ -41,7 +41,7 @@
         logger.info("body {}", '{"a": {0}}')
         self.assertTrue(self.lines()[0].endswith('body {"a": {0}}'))
 
-    def test_level(self) -> None:
+    def test_environment_overrides_the_configured_level(self) -> None:
         for environment, configured, level in (
             ("", "", "INFO"),
             ("", "warning", "WARNING"),
@@ -55,7 +55,7 @@
             ):
                 self.assertEqual(logs.configure_logging(configured, self.stream), level)
 
-    def test_below_the_level_nothing_is_written(self) -> None:
+    def test_events_below_the_level_are_dropped(self) -> None:
         logs.configure_logging("ERROR", self.stream)
         logger.warning("quiet")
         self.assertEqual(self.lines(), [])
--- a/tests/fleet/test_processes_metrics.py
+++ b/tests/fleet/test_processes_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a process as text: their form, and that every one of both programs can be read."""
+"""Unit tests of the metrics: text format, and that each metric of an edge and a core can be read."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from rosechute.routing.tuning import RouterTuning
 
 LINE = re.compile(r'^[a-z_]+(\{[a-z_]+="[^"\n]*"(,[a-z_]+="[^"\n]*")*\})? -?[0-9.e+-]+$')
-DEPLOY = Path(__file__).resolve().parents[2] / "deploy" / "system.toml"
-PAGE = Path(__file__).resolve().parents[2] / "docs" / "fleet" / "metrics.md"
+DEPLOYMENT_FILE = Path(__file__).resolve().parents[2] / "deploy" / "system.toml"
+METRICS_PAGE = Path(__file__).resolve().parents[2] / "docs" / "fleet" / "metrics.md"
 
 
 def settings() -> ProcessSettings:
@@ -36,7 +36,7 @@
     return ProcessSettings(node_name="n", ip="127.0.0.1", zone="z", port_range=(7500, 7515), listen=listen)
 
 
-class FormTest(unittest.TestCase):
+class TextFormatTest(unittest.TestCase):
     def test_labels_are_escaped_and_sorted(self) -> None:
         family = Family("things_total", "Things.", ("kind",), lambda: {('b"\\\n',): 2.0, ("a",): 1.5})
         self.assertEqual(
@@ -45,11 +45,11 @@
             'rosechute_things_total{kind="a"} 1.5\nrosechute_things_total{kind="b\\"\\\\\\n"} 2\n',
         )
 
-    def test_what_is_not_known_is_left_out(self) -> None:
+    def test_unknown_value_is_omitted(self) -> None:
         text = render([Family("age", "Age.", (), single(lambda: float("nan")))])
         self.assertEqual(text, "# HELP rosechute_age Age.\n# TYPE rosechute_age gauge\n")
 
-    def test_a_family_that_fails_costs_the_others_nothing(self) -> None:
+    def test_failing_family_does_not_affect_the_others(self) -> None:
         def broken() -> dict[tuple[str, ...], float]:
             raise ZeroDivisionError
 
@@ -57,68 +57,68 @@
         self.assertNotIn("bad", text)
         self.assertIn("rosechute_good 1\n", text)
 
-    def test_counts(self) -> None:
+    def test_counts_are_kept_by_event_and_kind(self) -> None:
         counts = Counts()
         counts.add("event", "kind")
         counts.add("event", "kind", 2.5)
         self.assertEqual((counts.of("event"), counts.of("another")), ({"kind": 3.5}, {}))
 
 
-class ProgramsTest(IsolatedAsyncioTestCase):
-    """Both programs' figures, before anything has happened and after a request."""
+class ProcessMetricsTest(IsolatedAsyncioTestCase):
+    """Metrics of both processes, before any event and after a request."""
 
-    def check(self, families: list[Family]) -> str:
+    def check_families(self, families: list[Family]) -> str:
         names = [family.name for family in families]
         self.assertEqual(len(names), len(set(names)))
         text = render(families)
-        self.assertEqual(text.count("# TYPE"), len(families), "every family could be read")
+        self.assertEqual(text.count("# TYPE"), len(families), "a family could not be read")
         for line in text.splitlines():
             if not line.startswith("#"):
                 self.assertRegex(line, LINE)
-        page = PAGE.read_text(encoding="utf-8")
+        page = METRICS_PAGE.read_text(encoding="utf-8")
         for name in names:
             self.assertIn(f"`rosechute_{name}`", page)
         return text
 
-    async def test_edge(self) -> None:
+    async def test_edge_metrics_are_readable_and_documented(self) -> None:
         loop = asyncio.get_running_loop()
         router = Router(random.random, RouterTuning())
         links = EdgeLinks(loop, settings(), 1, lambda action: None)
         freshness: Any = SimpleNamespace(confirmed_at=lambda: 0.0)
         plane = DataPlane(loop, settings(), router, links.quota, freshness)
         families = edge_families(loop, plane, router, links)
-        self.check(families)
+        self.check_families(families)
         router.apply_limits(0.0, "llm", 10, 1)
         router.apply_servers(0.0, "llm", [ServerEntry("i", "a:1", "z", 8, True)])
         parts = (PromptPart("p", 10), PromptPart("o", 90))
         router.route(0.0, RoutingRequest(1, "llm", "r", 0, 9.0, 1.0, 0.0, 1, False, True, "m", parts, 100, 5))
-        text = self.check(families)
+        text = self.check_families(families)
         self.assertIn('rosechute_prompt_tokens_total{state="read"} 100', text)
         self.assertIn('rosechute_servers{service="llm",state="up"} 1', text)
         self.assertIn("rosechute_prefix_affinity_selections_total{pick=", text)
 
-    async def test_core(self) -> None:
+    async def test_core_metrics_are_readable_and_documented(self) -> None:
         machine = CoreMachine(settings())
-        text = self.check(core_families(machine))
-        self.assertNotIn("rosechute_leader_term 0", text, "not known before the records are loaded")
+        text = self.check_families(core_families(machine))
+        self.assertNotIn("rosechute_leader_term 0", text, "unknown until the records are loaded")
 
-    async def test_served_at_its_port(self) -> None:
+    async def test_metrics_are_served_on_their_port(self) -> None:
         server = MetricsServer("127.0.0.1", 0, [Family("one", "One.", (), single(lambda: 1.0))])
         await server.start()
         assert server._runner is not None
         ((_, port),) = [address[:2] for address in server._runner.addresses]
-        async with aiohttp.ClientSession() as session, session.get(f"http://127.0.0.1:{port}{PATH}") as answer:
-            self.assertEqual(answer.status, 200)
-            self.assertIn("rosechute_one 1", await answer.text())
+        async with aiohttp.ClientSession() as session, session.get(f"http://127.0.0.1:{port}{PATH}") as response:
+            self.assertEqual(response.status, 200)
+            self.assertIn("rosechute_one 1", await response.text())
         await server.stop()
 
-    async def test_a_port_that_is_taken_costs_the_metrics_only(self) -> None:
+    async def test_unavailable_address_does_not_prevent_the_start(self) -> None:
         server = MetricsServer("203.0.113.1", 1, [])
         await server.start()
         await server.stop()
 
-    def test_the_deploy_file_names_the_ports(self) -> None:
-        roles = tomllib.loads(DEPLOY.read_text(encoding="utf-8"))["roles"]
+    def test_deployment_file_names_the_ports(self) -> None:
+        roles = tomllib.loads(DEPLOYMENT_FILE.read_text(encoding="utf-8"))["roles"]
         self.assertEqual(roles["edge"]["metrics"], f"{EDGE_PORT}{PATH}")
         self.assertEqual(roles["core"]["metrics"], f"{CORE_PORT}{PATH}")
 
--- a/tests/fleet/test_processes_settings_watch.py
+++ b/tests/fleet/test_processes_settings_watch.py
@@ -1,4 +1,4 @@
-"""Unit tests of `processes.settings_watch`, which the core and the edge program share."""
+"""Unit tests of `processes.settings_watch`, which the core and the edge process share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def setUpModule() -> None:
-    logger.disable("rosechute.processes.settings_watch")  # it warns of invalid files
+    logger.disable("rosechute.processes.settings_watch")  # some tests write invalid files, which are logged
 
 
 def tearDownModule() -> None:
@@ -33,7 +33,7 @@
         self.watch = SettingsWatch(load_settings(self.path).unwrap(), self.path, self.applied.append)
 
     def write(self, **changed: object) -> None:
-        """Write the file with a modification time of its own, however fast writes follow each other."""
+        """Write the settings file with some fields changed."""
         settings = {
             "node_name": "n",
             "ip": "10.0.0.1",
@@ -42,14 +42,15 @@
             "port_range": [7500, 7515],
             "listen": {"front": "10.0.0.1:80", "readiness": "10.0.0.1:81"},
         }
-        self.text(json.dumps(settings | changed))
+        self.write_text(json.dumps(settings | changed))
 
-    def text(self, text: str) -> None:
+    def write_text(self, text: str) -> None:
+        """Write the file with a distinct modification time, however fast writes follow each other."""
         Path(self.path).write_text(text, encoding="utf-8")
         self.writes += 1
         os.utime(self.path, ns=(self.writes * 10**9, self.writes * 10**9))
 
-    def test_a_changed_file_is_applied_once(self) -> None:
+    def test_changed_file_is_applied_once(self) -> None:
         self.watch.reload_if_changed()
         self.assertEqual(self.applied, [])
         self.write(zone="b")
@@ -58,28 +59,28 @@
         self.assertEqual([each.zone for each in self.applied], ["b"])
         self.assertEqual(self.watch.settings.zone, "b")
 
-    def test_a_change_between_loading_and_watching_is_read(self) -> None:
+    def test_change_between_loading_and_watching_is_applied(self) -> None:
         settings = load_settings(self.path).unwrap()
         self.write(zone="b")
         watch = SettingsWatch(settings, self.path, self.applied.append)
         watch.reload_if_changed()
         self.assertEqual([each.zone for each in self.applied], ["b"])
 
-    def test_a_signal_reads_it_again_and_the_same_settings_change_nothing(self) -> None:
+    def test_reload_of_equal_settings_applies_nothing(self) -> None:
         self.watch.reload()
         self.write(zone="a")
         self.watch.reload()
         self.assertEqual(self.applied, [])
 
-    def test_a_file_that_cannot_be_used_changes_nothing_until_it_can(self) -> None:
-        self.text('{"node_name": ')
+    def test_invalid_file_is_ignored_until_it_is_valid(self) -> None:
+        self.write_text('{"node_name": ')
         self.watch.reload_if_changed()
         self.assertEqual((self.applied, self.watch.settings.zone), ([], "a"))
         self.write(zone="c")
         self.watch.reload_if_changed()
         self.assertEqual(self.watch.settings.zone, "c")
 
-    def test_a_file_that_is_gone_changes_nothing(self) -> None:
+    def test_missing_file_is_ignored(self) -> None:
         os.unlink(self.path)
         self.assertEqual(file_version(self.path), NO_FILE)
         self.watch.reload_if_changed()
