--- a/tests/test_operated.py
+++ b/tests/test_operated.py
@@ -1,4 +1,4 @@
-"""An operator's file at work on loopback: limits, bounds, SIGHUP, and what operators get to see."""
+"""Sidecar with an operator's file on loopback: limits, timeouts, reload and the report on routes."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 import time
 
 import pytest
-from backend import ROOT, SINK, Client, Server, dump, line, listing, ok, operate
+from backend import LOG_WRITER, ROOT, Client, Server, dump, line, listing, ok, operate
 from samples import file, route
 
 from rosechute.load_balancing import Settings
@@ -23,7 +23,7 @@
 
 
 def platform(**changes):
-    """Classes with limits that no slow machine meets."""
+    """Return settings whose limits suit slow machines."""
     raw = {
         "classes": [
             {
@@ -53,8 +53,8 @@
     return {**raw, **changes}
 
 
-class Running:
-    """A sidecar with a file, in this process."""
+class RunningSidecar:
+    """Sidecar with an operator's file, in this process."""
 
     def __init__(self, path, *lines, raw=None):
         self.path, self.lines, self.raw = path, lines, raw or platform()
@@ -94,7 +94,7 @@
         return {row["route"]: row for row in json.loads(text)["routes"]}
 
     def replace(self, text, raw=None):
-        """What SIGHUP does once both files have been read."""
+        """Replace the file and reconfigure the sidecar, as a reload does."""
         self.path.write_text(text)
         config = (
             self.config
@@ -106,39 +106,38 @@
         self.sidecar.reconfigure(config, self.policy.prepare(config))
 
 
-def play(tmp_path, text, scene, script=ok, raw=None):
-    """Run a scene with a server, under several names so that the module has room, and a sidecar that goes by this
-    file."""
+def play(tmp_path, text, scenario, script=ok, raw=None):
+    """Run a scenario with a sidecar that uses this file, and one server under four names for retries."""
     import uvloop
 
     path = tmp_path / "routes.toml"
     path.write_text(text)
 
-    async def whole():
+    async def run():
         async with (
             asyncio.timeout(LIMIT_S),
             Server(script) as server,
-            Running(path, *(line(f"s{i}", server.port) for i in range(4)), raw=raw) as running,
+            RunningSidecar(path, *(line(f"s{i}", server.port) for i in range(4)), raw=raw) as running,
         ):
-            await scene(running, server)
+            await scenario(running, server)
 
     try:
-        uvloop.run(whole())
+        uvloop.run(run())
     finally:
-        SINK.flush()
+        LOG_WRITER.flush()
 
 
-def hasty():
-    """Classes that aim for less, so that a short time-out is not without hope from the start."""
+def short_aim_settings():
+    """Return settings with shorter target times, so that a short timeout can be met."""
     return platform(classes=[{**each, "onTimeNs": 200 * MS} for each in platform()["classes"]])
 
 
-def free(**keys):
+def free_route(**keys):
     return route(**{"path": '"/free"', **keys})
 
 
-def held():
-    """A server's script that answers once it is told to."""
+def gated_server():
+    """Return an event and a server script that answers after the event is set."""
     gate = asyncio.Event()
 
     async def script(talk, call):
@@ -148,34 +147,34 @@
     return gate, script
 
 
-def test_a_rate_refuses_at_once_and_says_when_to_return(tmp_path):
-    async def scene(running, server):
+def test_rate_limit_refuses_at_once_with_retry_after(tmp_path):
+    async def scenario(running, server):
         assert (await running.ask())[0] == 200
         start = time.monotonic()
         status, headers, _ = await running.ask()
         assert status == 503 and time.monotonic() - start < 1.0
-        assert headers["retry-after"] == "1.000"  # an hour is more than the settings let it say
+        assert headers["retry-after"] == "1.000"  # limited by maxRetryAfterNs; the real wait is an hour
         row = (await running.routes())["r"]
         assert row["refused"]["rate"] == 1 and row["ended"]["served"] == 1 and row["tokens_left"] == 0
         assert row["limits"]["rate"].startswith("one in 1h")
         assert len(server.calls) == 1 and (await running.ask("guarded"))[0] == 200
 
-    play(tmp_path, file(free(rate="{ per_h = 1 }")), scene)
+    play(tmp_path, file(free_route(rate="{ per_h = 1 }")), scenario)
 
 
-def test_one_tenants_rate_is_not_anothers(tmp_path):
-    async def scene(running, server):
+def test_rate_limits_of_tenants_are_separate(tmp_path):
+    async def scenario(running, server):
         first = [(await running.ask(tenant="acme"))[0] for _ in range(4)]
         assert first == [200, 200, 503, 503]
         assert (await running.ask(tenant="umbrella"))[0] == 200
         other = [(await running.ask(tenant=f"made-up-{i}"))[0] for i in range(4)]
-        assert other == [200, 200, 503, 503]  # tenants nobody knows are counted together
+        assert other == [200, 200, 503, 503]  # unknown tenants share one limit
 
-    play(tmp_path, file(free(rate="{ per_h = 2, burst = 2 }", limit_by='"tenant"')), scene)
+    play(tmp_path, file(free_route(rate="{ per_h = 2, burst = 2 }", limit_by='"tenant"')), scenario)
 
 
-def test_those_that_wait_go_in_order_as_places_come_free(tmp_path):
-    async def scene(running, server):
+def test_queued_requests_are_admitted_in_order(tmp_path):
+    async def scenario(running, server):
         gate = asyncio.Event()
 
         async def script(talk, call):
@@ -194,12 +193,12 @@
         gate.set()
         assert [(await each)[0] for each in asking[:3]] == [200, 200, 200]
 
-    play(tmp_path, file(free(max_in_flight=1, max_waiting=2)), scene)
+    play(tmp_path, file(free_route(max_in_flight=1, max_waiting=2)), scenario)
 
 
-def test_a_wait_in_vain_ends_as_a_refusal_in_time(tmp_path):
-    async def scene(running, server):
-        gate, server.script = held()
+def test_queued_request_is_refused_before_its_deadline(tmp_path):
+    async def scenario(running, server):
+        gate, server.script = gated_server()
         first = asyncio.ensure_future(running.ask())
         while not server.calls:
             await asyncio.sleep(0.005)
@@ -211,14 +210,14 @@
         row = (await running.routes())["r"]
         assert row["refused"]["waited"] == 1 and len(server.calls) == 1
 
-    play(tmp_path, file(free(max_in_flight=1, max_waiting=2)), scene)
+    play(tmp_path, file(free_route(max_in_flight=1, max_waiting=2)), scenario)
 
 
-def test_a_body_too_long_to_hold_does_not_wait_without_end(tmp_path):
-    """It is not read on while it waits for its place, so only its guard can end that."""
+def test_queued_request_with_a_large_body_is_refused_in_time(tmp_path):
+    """The body is not read while the request is queued, so only the fallback timer can end the wait."""
 
-    async def scene(running, server):
-        gate, server.script = held()
+    async def scenario(running, server):
+        gate, server.script = gated_server()
         client = Client(*await asyncio.open_connection("127.0.0.1", running.port))
         first = asyncio.ensure_future(client.ask("single_shot", body=b"x"))
         while not server.calls:
@@ -235,12 +234,12 @@
         gate.set()
         assert (await first)[0] == 200 and len(server.calls) == 1
 
-    play(tmp_path, file(route(path='"/single_shot"', max_in_flight=1, max_waiting=2)), scene)
+    play(tmp_path, file(route(path='"/single_shot"', max_in_flight=1, max_waiting=2)), scenario)
 
 
-def test_a_client_that_leaves_while_it_waits_frees_its_place(tmp_path):
-    async def scene(running, server):
-        gate, server.script = held()
+def test_disconnected_client_frees_its_place_in_the_queue(tmp_path):
+    async def scenario(running, server):
+        gate, server.script = gated_server()
         first = asyncio.ensure_future(running.ask())
         second = asyncio.ensure_future(running.ask())
         while (await running.routes())["r"]["waiting"] != 1:
@@ -254,55 +253,55 @@
         gate.set()
         assert (await first)[0] == 200 and len(server.calls) == 1
 
-    play(tmp_path, file(free(max_in_flight=1, max_waiting=2)), scene)
+    play(tmp_path, file(free_route(max_in_flight=1, max_waiting=2)), scenario)
 
 
-def test_the_time_out_of_a_route_ends_a_request_that_its_class_would_wait_for(tmp_path):
-    async def scene(running, server):
-        _, server.script = held()
+def test_route_timeout_ends_a_request_before_its_class_would(tmp_path):
+    async def scenario(running, server):
+        _, server.script = gated_server()
         start = time.monotonic()
         status, _, _ = await running.ask("guarded")
         assert status in (502, 503, 504) and 0.2 < time.monotonic() - start < 2.5
         assert float(server.calls[0].headers["X-Timeout"]) < 0.31
 
-    play(tmp_path, file(route(path='"/guarded"', timeout='"300ms"', attempts=1)), scene, raw=hasty())
+    play(tmp_path, file(route(path='"/guarded"', timeout='"300ms"', attempts=1)), scenario, raw=short_aim_settings())
 
 
-def test_a_second_copy_answers_where_the_first_hangs(tmp_path):
+def test_second_copy_answers_if_the_first_hangs(tmp_path):
     import uvloop
 
     async def hangs(talk, call):
         await asyncio.sleep(LIMIT_S)
 
     path = tmp_path / "routes.toml"
-    path.write_text(file(free(second_copy_after='"60ms"', attempts=2)))
+    path.write_text(file(free_route(second_copy_after='"60ms"', attempts=2)))
 
-    async def whole():
+    async def run():
         async with asyncio.timeout(LIMIT_S), Server(hangs) as slow, Server(ok) as fast:
-            async with Running(path, line("s1", slow.port), line("s2", fast.port)) as running:
+            async with RunningSidecar(path, line("s1", slow.port), line("s2", fast.port)) as running:
                 times = []
                 for _ in range(6):
                     start = time.monotonic()
                     assert (await running.ask())[0] == 200
                     times.append(time.monotonic() - start)
-                assert slow.calls and max(times) < 2.5  # without copies: three seconds and more
+                assert slow.calls and max(times) < 2.5  # without second copies: at least three seconds
             assert len(slow.calls) + len(fast.calls) <= 12
 
-    uvloop.run(whole())
+    uvloop.run(run())
 
 
-def test_a_file_replaced_while_its_routes_have_waiting_and_open_calls(tmp_path):
-    async def scene(running, server):
-        gate, server.script = held()
+def test_file_is_replaced_with_queued_and_open_requests(tmp_path):
+    async def scenario(running, server):
+        gate, server.script = gated_server()
         asking = [asyncio.ensure_future(running.ask()) for _ in range(4)]
         while (await running.routes())["r"]["waiting"] != 2:
             await asyncio.sleep(0.005)
-        running.replace(file(free(max_in_flight=3, max_waiting=2)))
+        running.replace(file(free_route(max_in_flight=3, max_waiting=2)))
         while len(server.calls) != 3:
             await asyncio.sleep(0.005)
-        running.replace(file(free(max_in_flight=1, max_waiting=2)))  # under what is in flight
+        running.replace(file(free_route(max_in_flight=1, max_waiting=2)))  # less than the number in flight
         assert (await running.routes())["r"]["in_flight"] == 3
-        running.replace(file())  # no route any more: those that wait may go
+        running.replace(file())  # without a route, queued requests are admitted
         while len(server.calls) != 4:
             await asyncio.sleep(0.005)
         gate.set()
@@ -310,22 +309,22 @@
         while await running.routes():
             await asyncio.sleep(0.005)
 
-    play(tmp_path, file(free(max_in_flight=2, max_waiting=2)), scene)
+    play(tmp_path, file(free_route(max_in_flight=2, max_waiting=2)), scenario)
 
 
-def test_a_file_that_can_not_be_taken_changes_nothing(tmp_path):
-    async def scene(running, server):
+def test_invalid_file_changes_nothing(tmp_path):
+    async def scenario(running, server):
         before = await running.routes()
-        for text in (file(free(path='"/single_shot"', second_copy_after='"1s"')), "version = 1\n[[route", ""):
+        for text in (file(free_route(path='"/single_shot"', second_copy_after='"1s"')), "version = 1\n[[route", ""):
             with pytest.raises(ValueError):
                 running.replace(text)
         assert (await running.routes()).keys() == before.keys() and (await running.ask())[0] == 200
 
-    play(tmp_path, file(free(max_in_flight=2)), scene)
+    play(tmp_path, file(free_route(max_in_flight=2)), scenario)
 
 
-def test_a_tenant_renamed_in_the_settings_needs_the_file_to_follow(tmp_path):
-    async def scene(running, server):
+def test_renamed_tenant_requires_a_change_of_the_file(tmp_path):
+    async def scenario(running, server):
         renamed = platform(projects=[{"name": "acme-ltd"}, {"name": "umbrella"}])
         with pytest.raises(ValueError, match="did you mean 'acme-ltd'"):
             running.replace(running.path.read_text(), renamed)
@@ -334,23 +333,23 @@
         assert (await running.ask(tenant="acme-ltd"))[0] == 200
         assert (await running.routes())["r"]["taken"] == 2
 
-    play(tmp_path, file(free(tenant='"acme"', max_in_flight=2)), scene)
+    play(tmp_path, file(free_route(tenant='"acme"', max_in_flight=2)), scenario)
 
 
-def test_a_stricter_class_keeps_its_form_and_is_sent_once(tmp_path):
-    async def scene(running, server):
+def test_stricter_class_keeps_its_request_form_and_is_sent_once(tmp_path):
+    async def scenario(running, server):
         async def fails(talk, call):
             await talk.answer(500)
 
         server.script = fails
-        assert (await running.ask("guarded"))[0] == 502  # with its key, as clients know it
+        assert (await running.ask("guarded"))[0] == 502  # still with the idempotency key
         assert len(server.calls) == 1
 
-    play(tmp_path, file('[[class]]\nname = "guarded"\nrepeat = "single_shot"\n'), scene)
+    play(tmp_path, file('[[class]]\nname = "guarded"\nrepeat = "single_shot"\n'), scenario)
 
 
-def test_a_path_of_its_own_takes_the_class_of_its_route(tmp_path):
-    async def scene(running, server):
+def test_path_of_a_route_gets_the_class_of_the_route(tmp_path):
+    async def scenario(running, server):
         client = Client(*await asyncio.open_connection("127.0.0.1", running.port))
         await client.send(b"GET /api/v1/rooms/7?x=1 HTTP/1.1\r\nHost: a\r\nX-Request-ID: one\r\n\r\n")
         assert (await client.answer())[0] == 200
@@ -358,36 +357,36 @@
         assert (await client.answer())[0] == 404
         assert [call.target for call in server.calls] == ["/api/v1/rooms/7?x=1"]
 
-    play(tmp_path, file(route(path='"/api/v1/rooms/{id}"', class_='"free"')), scene)
+    play(tmp_path, file(route(path='"/api/v1/rooms/{id}"', class_='"free"')), scenario)
 
 
-def test_what_lanes_have_spent_goes_over_with_the_takeover(tmp_path):
-    async def scene(running, server):
+def test_used_rate_is_handed_over_by_the_takeover(tmp_path):
+    async def scenario(running, server):
         assert (await running.ask())[0] == 200
         state = running.sidecar.state()
         path = tmp_path / "routes.toml"
-        async with Running(path, *running.lines) as other:
+        async with RunningSidecar(path, *running.lines) as other:
             other.sidecar.adopt(json.loads(json.dumps(state)))
             assert (await other.ask())[0] == 503
 
-    play(tmp_path, file(free(rate="{ per_h = 1 }")), scene)
+    play(tmp_path, file(free_route(rate="{ per_h = 1 }")), scenario)
 
 
-def test_without_a_file_there_is_no_page():
+def test_route_report_is_missing_without_a_file():
     from backend import play as plain
     from backend import sidecar
 
-    async def scene():
+    async def scenario():
         async with sidecar() as world:
             assert (await world.operate("GET /routes"))[0] == 404
             assert (await world.operate("PUT /routes"))[0] == 405
 
-    plain(scene)
+    plain(scenario)
 
 
-def test_a_bad_file_ends_the_start_with_all_that_is_wrong(tmp_path):
+def test_invalid_file_fails_the_start_with_all_problems(tmp_path):
     path = tmp_path / "routes.toml"
-    path.write_text(file(free(attempts=9, timeout='"9h"')))
+    path.write_text(file(free_route(attempts=9, timeout='"9h"')))
     config = Config(
         "n0", Address("127.0.0.1", 0), Address("127.0.0.1", 1), 7, 1024, listing(), Settings.parse(platform())
     )
@@ -396,13 +395,13 @@
 
 
 @pytest.mark.parametrize("bad", ["file", "configuration"])
-def test_sighup_takes_both_files_or_neither(tmp_path, bad):
-    """The whole process: `rosechute run` with a file that is replaced, once badly and once well."""
+def test_sighup_applies_both_files_or_neither(tmp_path, bad):
+    """Run `rosechute run` as a process, with an invalid and then a valid replacement of its files."""
 
-    async def scene():
+    async def scenario():
         async with asyncio.timeout(LIMIT_S), Server(ok) as server:
             config, routes = tmp_path / "config.json", tmp_path / "routes.toml"
-            told = {
+            platform_file = {
                 "name": "n0",
                 "listen": "127.0.0.1:0",
                 "discovery": "127.0.0.1:1",
@@ -414,10 +413,10 @@
             }
             with contextlib.closing(__import__("socket").socket()) as made:
                 made.bind(("127.0.0.1", 0))
-                told["control"] = f"127.0.0.1:{made.getsockname()[1]}"
-            control = int(told["control"].rpartition(":")[2])
-            config.write_bytes(dump(told))
-            routes.write_text(file('[log]\nformat = "json"\n', free(max_in_flight=2)))
+                platform_file["control"] = f"127.0.0.1:{made.getsockname()[1]}"
+            control = int(platform_file["control"].rpartition(":")[2])
+            config.write_bytes(dump(platform_file))
+            routes.write_text(file('[log]\nformat = "json"\n', free_route(max_in_flight=2)))
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -436,7 +435,7 @@
                 while True:
                     text = await process.stderr.readline()
                     assert text, "the log ended"
-                    if not json.loads(text)["event"].startswith("discovery."):  # there is none
+                    if not json.loads(text)["event"].startswith("discovery."):  # discovery is not running
                         return json.loads(text)
 
             async def limit():
@@ -446,17 +445,17 @@
             try:
                 assert (await event())["event"] == "process.listening"
                 if bad == "file":
-                    routes.write_text(file(free(max_in_flight=0, attempts=99)))
+                    routes.write_text(file(free_route(max_in_flight=0, attempts=99)))
                 else:
-                    routes.write_text(file(free(max_in_flight=5)))
+                    routes.write_text(file(free_route(max_in_flight=5)))
                     config.write_text("{}")
                 process.send_signal(signal.SIGHUP)
-                said = await event()
-                assert said["event"] == "reload.old_configuration_kept" and await limit() == "2"
+                log_event = await event()
+                assert log_event["event"] == "reload.old_configuration_kept" and await limit() == "2"
                 if bad == "file":
-                    assert "max_in_flight" in said["reason"]  # of form, so the proof has not been asked yet
-                config.write_bytes(dump(told))
-                routes.write_text(file(free(max_in_flight=5)))
+                    assert "max_in_flight" in log_event["reason"]  # a format error, so the later checks have not run
+                config.write_bytes(dump(platform_file))
+                routes.write_text(file(free_route(max_in_flight=5)))
                 process.send_signal(signal.SIGHUP)
                 assert (await event())["event"] == "reload.taken" and await limit() == "5"
                 process.send_signal(signal.SIGTERM)
@@ -466,4 +465,4 @@
                     process.kill()
                     await process.wait()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_other_deployment.py
+++ b/tests/test_other_deployment.py
@@ -1,4 +1,4 @@
-"""A small day of a deployment in which every name, limit and form differs: nothing goes by the names of another."""
+"""A deployment in which every name, limit and form differs: no code depends on the names of another deployment."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from rosechute.sidecar.discovery import read_listing
 
-OTHER = {
+CHANGED_SETTINGS = {
     "classes": [
         {"name": "zx-9", "onTimeNs": 7 * 10**8, "hardLimitNs": 14 * 10**8, "repeat": "single_shot", "credit": 0.5},
         {"name": "q", "onTimeNs": 31 * 10**8, "hardLimitNs": 62 * 10**8, "repeat": "free", "credit": 40.0},
@@ -41,8 +41,8 @@
 }
 
 
-def test_a_day_with_every_name_and_limit_changed():
-    async def scene():
+def test_requests_are_handled_with_every_name_and_limit_changed():
+    async def scenario():
         ran: list[tuple[str, str]] = []
         fail = asyncio.Event()
 
@@ -59,13 +59,13 @@
                 line("α", a.port, zone="7", type="kind two", group=4),
                 line("b b", b.port, zone="7", type="", group=9),
             ]
-            async with sidecar(*lines, raw=OTHER) as world:
+            async with sidecar(*lines, raw=CHANGED_SETTINGS) as world:
                 client = await world.client()
                 key = {"Idempotency_Key": "k", "X_Tenant_Id": "one & two"}
                 assert (await client.ask("zx-9", "r1", timeout="1.2"))[::2] == (200, b"r1")
                 assert (await client.ask("q", "r2", method="GET"))[::2] == (200, b"r2")
                 assert (await client.ask("Zeile_3", "r3", **key))[::2] == (200, b"r3")
-                assert (await (await world.client()).ask("hold-desk"))[0] == 404  # a name of somewhere else
+                assert (await (await world.client()).ask("hold-desk"))[0] == 404  # a class of another deployment
                 assert (await (await world.client()).ask("q", method="POST"))[0] == 405
                 assert (await (await world.client()).ask("zx-9", Idempotency_Key="k"))[0] == 400
                 fail.set()
@@ -74,12 +74,14 @@
                 assert (await (await world.client()).ask("q", "f", method="GET"))[0] == 503
                 assert (await (await world.client()).ask("Zeile_3", "g", **key))[0] in (502, 503)
                 count = [sum(rid == name for _, rid in ran) for name in "ufg"]
-                assert count[0] == 1 and count[1] == 2 and 1 <= count[2] <= 2  # as the classes and attempts allow
+                assert (
+                    count[0] == 1 and count[1] == 2 and 1 <= count[2] <= 2
+                )  # as the repeat modes and maxAttempts allow
                 drained = listing(*[{**each, "status": "DRAINING"} for each in lines], index=2)
-                world.sidecar._told(read_listing(drained, world.sidecar._settings))
+                world.sidecar._on_discovery(read_listing(drained, world.sidecar._settings))
                 status, headers, _ = await (await world.client()).ask("q", "d", method="GET", timeout="0.5")
                 assert status == 503 and "retry-after" not in headers
-                told = await world.figures()
-                assert told['node_success_total{tier="Zeile_3"}'] == 1
+                metrics = await world.figures()
+                assert metrics['node_success_total{tier="Zeile_3"}'] == 1
 
-    play(scene)
+    play(scenario)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, readiness, SIGTERM, exit codes."""
+"""The sidecar as a process: configuration, readiness, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     }
 
 
-def written(tmp_path, raw):
+def write_config(tmp_path, raw):
     path = tmp_path / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw), encoding="utf-8")
     return {"NODE_CONFIG": str(path)}
@@ -43,8 +43,8 @@
         return sock.getsockname()[1]
 
 
-def test_single_variables_win(tmp_path):
-    env = {**written(tmp_path, config()), "NODE_LISTEN": "127.0.0.2:80", "NODE_NAME": "n9"}
+def test_environment_variables_override_the_file(tmp_path):
+    env = {**write_config(tmp_path, config()), "NODE_LISTEN": "127.0.0.2:80", "NODE_NAME": "n9"}
     made = load(env)
     assert made.listen == ("127.0.0.2", 80) and made.name == "n9" and made.seed == 255
 
@@ -77,9 +77,9 @@
         (config(settings=settings(reporting={"how": "mail"})), "settings.reporting.how"),
     ],
 )
-def test_bad_configuration_names_its_key(tmp_path, raw, key):
+def test_invalid_configuration_names_its_key(tmp_path, raw, key):
     with pytest.raises(ConfigError, match=key) as caught:
-        load(written(tmp_path, raw))
+        load(write_config(tmp_path, raw))
     assert "\n" not in str(caught.value)
 
 
@@ -89,8 +89,8 @@
     )
 
 
-async def end_seen(client):
-    """Look until the process has seen its signal: the headers of the first answer that is a no."""
+async def wait_until_stopping(client):
+    """Poll readiness until it fails after the signal; return the headers of that response."""
     while True:
         await client.send(b"GET /-/ready HTTP/1.1\r\nHost: app\r\n\r\n")
         status, headers, _ = await client.answer()
@@ -98,64 +98,64 @@
             return headers
 
 
-async def logged(process):
-    """The next line of the log that is not about a discovery that is not there."""
-    while b"event=discovery." in (said := await process.stderr.readline()):
+async def next_log_line(process):
+    """Return the next log line that is not about the missing discovery."""
+    while b"event=discovery." in (log_line := await process.stderr.readline()):
         pass
-    return said
+    return log_line
 
 
-def test_bad_configuration_exits_with_2_and_one_line(tmp_path):
-    async def scene():
-        process = await start(written(tmp_path, config(seed="xyz")))
+def test_invalid_configuration_exits_with_2_and_one_line(tmp_path):
+    async def scenario():
+        process = await start(write_config(tmp_path, config(seed="xyz")))
         _, errors = await process.communicate()
         assert process.returncode == 2 and errors.count(b"\n") == 1 and b"seed" in errors
 
-    play(scene)
+    play(scenario)
 
 
-def test_sigterm_answers_what_was_taken_and_still_takes_what_comes(tmp_path):
-    async def scene():
-        came, go = asyncio.Event(), asyncio.Event()
+def test_sigterm_answers_open_requests_and_still_accepts_new_ones(tmp_path):
+    async def scenario():
+        received, proceed = asyncio.Event(), asyncio.Event()
 
         async def slow(talk: Conversation, call: Call) -> None:
             if call.headers["x-request-id"] == "slow":
-                came.set()
-                await go.wait()
+                received.set()
+                await proceed.wait()
             await talk.answer(200, b"done")
 
         port = free_port()
         async with Server(slow) as server:
             raw = config(listen=f"127.0.0.1:{port}", known=listing(line("s1", server.port)))
-            process = await start(written(tmp_path, raw))
-            assert b"listening" in await logged(process)
+            process = await start(write_config(tmp_path, raw))
+            assert b"listening" in await next_log_line(process)
             clients = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(3)]
             taken = asyncio.ensure_future(clients[0].ask("single_shot", "slow"))
-            await came.wait()
+            await received.wait()
             process.send_signal(signal.SIGTERM)
-            assert (await end_seen(clients[1]))["connection"] == "close"
+            assert (await wait_until_stopping(clients[1]))["connection"] == "close"
             late = Client(*await asyncio.open_connection("127.0.0.1", port))
             status, headers, _ = await late.ask("single_shot", "late")
             assert status == 200 and headers["connection"] == "close"
             assert await clients[2].reader.read() == b""  # an idle connection is closed
-            go.set()
+            proceed.set()
             assert (await taken)[2] == b"done"
             assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_file_read_again_wins_over_the_variable_that_held_at_the_start(tmp_path):
-    """The bench and the platform leave NODE_DISCOVERY as it was: it must not hide the file's new address."""
-    env = {**written(tmp_path, config(discovery="127.0.0.1:7")), "NODE_DISCOVERY": "127.0.0.1:5"}
+def test_reloaded_file_overrides_the_environment_variable(tmp_path):
+    """NODE_DISCOVERY keeps its value from the start, and must not override a new address in the file."""
+    env = {**write_config(tmp_path, config(discovery="127.0.0.1:7")), "NODE_DISCOVERY": "127.0.0.1:5"}
     assert load(env).discovery == ("127.0.0.1", 5)
-    assert load(env, again=True).discovery == ("127.0.0.1", 7)
+    assert load(env, is_reload=True).discovery == ("127.0.0.1", 7)
 
 
-def test_sighup_moves_to_the_new_discovery_and_a_bad_file_changes_nothing(tmp_path):
-    """Found: SIGHUP killed the process. The new discovery may count its versions from lower."""
+def test_sighup_switches_discovery_and_an_invalid_file_changes_nothing(tmp_path):
+    """Regression test: SIGHUP killed the process. Versions of the new discovery may be lower."""
 
-    async def scene():
+    async def scenario():
         port, asked = free_port(), {"old": asyncio.Queue(), "new": asyncio.Queue()}
 
         def place(name: str, answer: dict):
@@ -182,46 +182,46 @@
                 discovery=f"127.0.0.1:{old.port}",
                 settings=settings(discovery="subscribe", invariants={"mustAskInNs": 10**9}),
             )
-            env = {**written(tmp_path, raw), "NODE_DISCOVERY": f"127.0.0.1:{old.port}"}
+            env = {**write_config(tmp_path, raw), "NODE_DISCOVERY": f"127.0.0.1:{old.port}"}
             process = await start(env)
-            assert b"listening" in await logged(process)
+            assert b"listening" in await next_log_line(process)
             while "wait_ms=0" in await asked["old"].get():
-                pass  # the watch is on
+                pass  # the watch is running
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             assert (await client.ask())[0] == 200 and len(one.calls) == 1
 
-            written(tmp_path, "{")
+            write_config(tmp_path, "{")
             process.send_signal(signal.SIGHUP)
-            assert b"old_configuration_kept" in await logged(process)
+            assert b"old_configuration_kept" in await next_log_line(process)
             assert (await client.ask())[0] == 200 and len(one.calls) == 2
 
-            written(tmp_path, {**raw, "discovery": f"127.0.0.1:{new.port}"})
+            write_config(tmp_path, {**raw, "discovery": f"127.0.0.1:{new.port}"})
             process.send_signal(signal.SIGHUP)
-            assert b"reload.taken" in await logged(process)
-            assert await asked["new"].get() == "/api/targets"  # the whole list first
-            assert "after=3&" in await asked["new"].get()  # and on with its own numbers
+            assert b"reload.taken" in await next_log_line(process)
+            assert await asked["new"].get() == "/api/targets"  # the complete list first
+            assert "after=3&" in await asked["new"].get()  # then its own versions
             assert (await client.ask())[0] == 200 and len(two.calls) == 1
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_sighup_at_the_very_start_does_not_kill(tmp_path):
-    async def scene():
-        process = await start(written(tmp_path, config()))
-        while process.returncode is None:  # from the first moment that the program has set it aside
+def test_sighup_during_start_does_not_kill(tmp_path):
+    async def scenario():
+        process = await start(write_config(tmp_path, config()))
+        while process.returncode is None:  # until the process ignores or handles SIGHUP
             status = Path(f"/proc/{process.pid}/status").read_text()
             masks = dict(text.split(":\t") for text in status.splitlines() if text.startswith("Sig"))
             if (int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)) & 1:
                 break
             await asyncio.sleep(0)
         process.send_signal(signal.SIGHUP)
-        assert b"listening" in await logged(process)
+        assert b"listening" in await next_log_line(process)
         process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -233,30 +233,30 @@
         (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM),
     ],
 )
-def test_signals_in_any_order_end_it_once_and_lose_nothing(tmp_path, signals):
-    async def scene():
-        came, go = asyncio.Event(), asyncio.Event()
+def test_signals_in_any_order_stop_once_and_lose_no_request(tmp_path, signals):
+    async def scenario():
+        received, proceed = asyncio.Event(), asyncio.Event()
 
         async def slow(talk: Conversation, call: Call) -> None:
-            came.set()
-            await go.wait()
+            received.set()
+            await proceed.wait()
             await talk.answer(200, b"done")
 
         port = free_port()
         async with Server(slow) as server:
             raw = config(listen=f"127.0.0.1:{port}", known=listing(line("s1", server.port)))
-            process = await start(written(tmp_path, raw))
-            assert b"listening" in await logged(process)
+            process = await start(write_config(tmp_path, raw))
+            assert b"listening" in await next_log_line(process)
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             taken = asyncio.ensure_future(client.ask("single_shot", "slow"))
-            await came.wait()
+            await received.wait()
             for number in signals:
                 process.send_signal(number)
             visitor = Client(*await asyncio.open_connection("127.0.0.1", port))
-            await end_seen(visitor)
-            go.set()
+            await wait_until_stopping(visitor)
+            proceed.set()
             assert (await taken)[2] == b"done"
             _, errors = await asyncio.wait_for(process.communicate(), LIMIT_S)
             assert process.returncode == 0 and b"Traceback" not in errors
 
-    play(scene)
+    play(scenario)
--- a/tests/test_proof_property.py
+++ b/tests/test_proof_property.py
@@ -1,7 +1,7 @@
-"""For any file that the proof accepts, and whatever servers do, no rule is broken.
+"""Property: no accepted operator file breaks a safety rule, whatever the servers do.
 
-Files are drawn with unsafe values in them; what the proof lets through is played with the real core, module
-and limiter against scripted servers, and judged by the platform's classes alone.
+Generated files contain unsafe values. Accepted files run with the real core, load balancer and limiter against
+scripted servers, and the outcome is checked against the platform's classes alone.
 """
 
 import pytest
@@ -10,8 +10,8 @@
 from hypothesis.errors import NoSuchExample
 from samples import MS, file, proven, route, site
 from samples import settings as platform
-from simulated import Play
-from simulated import Site as Simulated
+from simulated import AttemptScript
+from simulated import SimulatedSidecar as Simulated
 
 from rosechute.load_balancing import How
 from rosechute.sidecar.operator_configuration import proof
@@ -21,17 +21,17 @@
 NAMES = ("hold-desk", "confirm-booking", "list-rooms")
 CAUSES = ["connect-failed", "full", "reset", "error", "timeout"]
 TIMES = st.sampled_from(["20ms", "50ms", "100ms", "300ms", "499ms", "500ms", "800ms", "1.2s", "1.3s", "2.5s"])
-# A connect that takes its time, and a window that is short, are where repeats land too late.
+# Slow connects and short windows are the cases in which retries are sent too late.
 PLATFORM = platform(limits={"connectTimeoutNs": 250 * MS})
 
 
 def maybe(strategy):
-    return st.none() | st.none() | strategy  # mostly left out, or hardly any file would be good
+    return st.none() | st.none() | strategy  # mostly None; otherwise hardly any file would be valid
 
 
 @st.composite
 def texts(draw):
-    """A file, often unsafe."""
+    """Draw an operator file, often an unsafe one."""
     tables = []
     for name in draw(st.lists(st.sampled_from(NAMES), max_size=2, unique=True)):
         keys = {
@@ -69,7 +69,7 @@
 
 
 PLAYS = st.builds(
-    Play,
+    AttemptScript,
     st.sampled_from([0.0, 1.0, 200.0, 249.0, 300.0]),
     st.sampled_from([1.0, 20.0, 120.0, 480.0, 900.0, 3000.0]),
     st.sampled_from([How.OK, How.OK, How.ERROR, How.FULL, How.RESET, How.TIMEOUT, How.CONNECT_FAILED]),
@@ -78,7 +78,7 @@
 
 @st.composite
 def events(draw):
-    """Requests, drains and crashes."""
+    """Draw requests, drains and crashes."""
     asks = draw(
         st.lists(
             st.tuples(st.integers(0, 1500), st.sampled_from(NAMES), st.integers(0, 1), st.sampled_from(["", "k1"])),
@@ -92,7 +92,7 @@
 
 
 def accepted(text, without=None):
-    """What the proof lets through, or None."""
+    """Return the checked file, or None if it is rejected."""
     try:
         return proven(text, site(), without)
     except FileError:
@@ -100,7 +100,7 @@
 
 
 def broken(found, plays, happens):
-    """The rules that a run of this file breaks."""
+    """Return the rules that a run with this file breaks."""
     made = PLATFORM
     from dataclasses import replace
 
@@ -116,7 +116,7 @@
     for at, server in crashes:
         run.crash(at, f"s{server}")
     run.run(12.0)
-    return run.broken_rules()
+    return run.rule_violations()
 
 
 TIGHT = file(
@@ -126,21 +126,25 @@
 COPIED = file(route(path='"/confirm-booking/*"', attempts=3, second_copy_after='"50ms"', try_timeout='"300ms"'))
 
 
-NORMAL = (Play(),)
+NORMAL = (AttemptScript(),)
 
 
 @given(texts(), st.lists(PLAYS, min_size=1, max_size=12), events())
-@example(TIGHT, [Play(0, 490, How.ERROR), Play(249, 20)], ([(0, "confirm-booking", 0, "")], [], []))
-@example(COPIED, [Play(0, 3000), Play(0, 100, How.ERROR)], ([(0, "confirm-booking", 0, "")], [], []))
-@example(COPIED, [Play(0, 300, How.TIMEOUT)], ([(0, "confirm-booking", 0, "")], [(60, 0)], [(100, 1), (100, 2)]))
+@example(TIGHT, [AttemptScript(0, 490, How.ERROR), AttemptScript(249, 20)], ([(0, "confirm-booking", 0, "")], [], []))
+@example(
+    COPIED, [AttemptScript(0, 3000), AttemptScript(0, 100, How.ERROR)], ([(0, "confirm-booking", 0, "")], [], [])
+)
+@example(
+    COPIED, [AttemptScript(0, 300, How.TIMEOUT)], ([(0, "confirm-booking", 0, "")], [(60, 0)], [(100, 1), (100, 2)])
+)
 @settings(max_examples=300, suppress_health_check=[HealthCheck.filter_too_much, HealthCheck.too_slow])
-def test_no_file_that_is_accepted_breaks_a_rule(text, plays, happens):
+def test_no_accepted_file_breaks_a_rule(text, plays, happens):
     found = accepted(text)
     if found is not None:
         assert broken(found, plays, happens) == []
 
 
-def test_the_drawn_files_are_neither_all_good_nor_all_bad():
+def test_generated_files_include_valid_and_invalid_ones():
     seen = {True: 0, False: 0}
 
     @given(texts())
@@ -153,8 +157,8 @@
 
 
 @pytest.mark.parametrize("check", [proof.check_path_class, proof.check_class_stricter])
-def test_without_one_check_a_rule_is_broken(check):
-    """The same search finds a breach at once where a check of the proof is left out."""
+def test_omitting_a_check_lets_a_rule_be_broken(check):
+    """The same search finds a violation when a check is omitted."""
 
     def breach(drawn):
         text, plays, happens = drawn
@@ -166,11 +170,11 @@
         breach,
         settings=settings(max_examples=20_000, derandomize=True, database=None, phases=[Phase.generate]),
     )
-    assert accepted(found[0]) is None  # the whole proof refuses that file
+    assert accepted(found[0]) is None  # all checks together reject that file
 
 
-def test_the_judge_sees_what_is_planted():
-    """A judge that finds nothing proves nothing: each rule is broken on purpose and noticed."""
+def test_rule_checker_detects_planted_violations():
+    """Guards against a checker that never reports anything: each rule is broken on purpose and must be reported."""
 
     def run(plant, plays=NORMAL):
         made = Simulated(PLATFORM, list(plays), 4, 7)
@@ -178,12 +182,12 @@
         made.run(0.001)
         plant[0](made, ask)
         made.run(12.0)
-        return " ".join(made.broken_rules())
+        return " ".join(made.rule_violations())
 
-    from simulated import Ending, Sent
+    from simulated import Ending, SentAttempt
 
     def again(at_ms, server):
-        return lambda made, ask: made.servers.sent.append(Sent(ask, server, round(at_ms * MS), None))
+        return lambda made, ask: made.servers.sent.append(SentAttempt(ask, server, round(at_ms * MS), None))
 
     assert "must not run twice" in run((again(5, "s1"), "hold-desk"))
     assert "after its window" in run((again(5200, "s1"), "confirm-booking"))
@@ -192,23 +196,23 @@
 
     def to_all_groups(made, ask):
         for server in ("s0", "s2"):
-            made.servers.sent.append(Sent(ask, server, 5 * MS, None))
+            made.servers.sent.append(SentAttempt(ask, server, 5 * MS, None))
 
     assert "another group" in run((to_all_groups, "confirm-booking"))
 
     def drained(made, ask):
         made.drained["s1"] = 0
-        made.servers.sent.append(Sent(ask, "s1", 400 * MS, 500 * MS, False))
+        made.servers.sent.append(SentAttempt(ask, "s1", 400 * MS, 500 * MS, False))
 
     assert "a server that drains" in run((drained, "list-rooms"))
 
     def refused(made, ask):
-        made.servers.sent.append(Sent(ask, "s1", MS // 2, MS // 2, True))
+        made.servers.sent.append(SentAttempt(ask, "s1", MS // 2, MS // 2, True))
         made.core._answer(ask.tid, Ending.REFUSED)
 
-    assert "refused though it may have run" in run((refused, "hold-desk"), [Play(50, 20)])
+    assert "refused though it may have run" in run((refused, "hold-desk"), [AttemptScript(50, 20)])
 
 
-def test_finding_nothing_is_told():
+def test_find_raises_without_a_match():
     with pytest.raises(NoSuchExample):
         find(st.integers(0, 3), lambda n: n > 3, settings=settings(derandomize=True, database=None))
--- a/tests/test_quick.py
+++ b/tests/test_quick.py
@@ -1,4 +1,4 @@
-"""Whole plain messages read without the parser: the same as with it, and nothing that it would refuse."""
+"""The fast path for ordinary messages: same results as the parser, and nothing that the parser would reject."""
 
 import asyncio
 
@@ -10,20 +10,20 @@
 
 from rosechute.proxy.http1 import quick
 
-MOST = 1 << 16
+LIMIT = 1 << 16
 
 
-class Parsed:
-    """What the parser makes of a message."""
+class ParserResult:
+    """The parser's result for a message."""
 
     def __init__(self, kind, data):
-        self.fields, self.body, self.url, self.whole, self.messages = [], b"", b"", False, 0
+        self.fields, self.body, self.url, self.is_complete, self.messages = [], b"", b"", False, 0
         self.parser = kind(self)
-        self.wrong = False
+        self.is_rejected = False
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.wrong = True
+            self.is_rejected = True
 
     def on_message_begin(self):
         self.messages += 1
@@ -38,8 +38,8 @@
         self.body += body
 
     def on_message_complete(self):
-        self.whole = True
-        self.keep = self.parser.should_keep_alive()
+        self.is_complete = True
+        self.keeps_alive = self.parser.should_keep_alive()
 
 
 NAMES = st.sampled_from(
@@ -89,8 +89,8 @@
 @st.composite
 def messages(draw, first):
     fields = draw(st.lists(st.tuples(NAMES, VALUES, ENDS), max_size=5))
-    usual = draw(st.booleans())
-    text = b"Host: a\r\n" if usual else b""
+    has_host = draw(st.booleans())
+    text = b"Host: a\r\n" if has_host else b""
     text += b"".join(name + b":" + value + end for name, value, end in fields)
     return draw(first) + text + b"\r\n" + draw(st.sampled_from([b"", b"abc", b"abcd", b"GET / HTTP/1.1\r\n\r\n"]))
 
@@ -125,33 +125,33 @@
 @example(b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 @example(b"GET /a HTTP/1.1\r\nHost: a\r\nConnection: keep-alive\r\n\r\n")
 @example(b"GET /a HTTP/1.1\r\nHost: a\r\nX-Request-ID: 7\r\nCookie: key=1\r\n\r\n")
-def test_a_request_that_is_taken_is_read_as_the_parser_reads_it(data):
-    found = quick.request(data, MOST, MOST)
-    if found is None:
+def test_fast_path_request_matches_the_parser(data):
+    accepted = quick.request(data, LIMIT, LIMIT)
+    if accepted is None:
         return
-    seen = Parsed(httptools.HttpRequestParser, data)
-    assert seen.whole and not seen.wrong and seen.messages == 1 and seen.keep
-    method, target, fields, told, body = found
-    assert (fields, body, target) == (seen.fields, seen.body, seen.url)
-    assert method == seen.parser.get_method() and seen.parser.get_http_version() == "1.1"
-    assert told == dict(seen.fields) and len(told) == len(seen.fields)
+    parsed = ParserResult(httptools.HttpRequestParser, data)
+    assert parsed.is_complete and not parsed.is_rejected and parsed.messages == 1 and parsed.keeps_alive
+    method, target, fields, fields_by_name, body = accepted
+    assert (fields, body, target) == (parsed.fields, parsed.body, parsed.url)
+    assert method == parsed.parser.get_method() and parsed.parser.get_http_version() == "1.1"
+    assert fields_by_name == dict(parsed.fields) and len(fields_by_name) == len(parsed.fields)
 
 
 @given(messages(REPLIES))
 @example(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Server-Load: {}\r\n\r\nabc")
-def test_an_answer_that_is_taken_is_read_as_the_parser_reads_it(data):
-    found = quick.reply(data, MOST, MOST)
-    if found is None:
+def test_fast_path_response_matches_the_parser(data):
+    accepted = quick.reply(data, LIMIT, LIMIT)
+    if accepted is None:
         return
-    seen = Parsed(httptools.HttpResponseParser, data)
-    assert seen.whole and not seen.wrong and seen.messages == 1 and seen.keep
-    assert found == (seen.fields, seen.body) and seen.parser.get_status_code() == 200
+    parsed = ParserResult(httptools.HttpResponseParser, data)
+    assert parsed.is_complete and not parsed.is_rejected and parsed.messages == 1 and parsed.keeps_alive
+    assert accepted == (parsed.fields, parsed.body) and parsed.parser.get_status_code() == 200
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_left_to_the_parser_or_read_as_it_does(data):
-    assert quick.request(b"GET /a HTTP/1.1\r\n" + data, MOST, MOST) is None or b"\r\n\r\n" in data
-    assert quick.reply(b"HTTP/1.1 200 OK\r\n" + data, MOST, MOST) is None or b"\r\n\r\n" in data
+def test_fast_path_needs_a_complete_head(data):
+    assert quick.request(b"GET /a HTTP/1.1\r\n" + data, LIMIT, LIMIT) is None or b"\r\n\r\n" in data
+    assert quick.reply(b"HTTP/1.1 200 OK\r\n" + data, LIMIT, LIMIT) is None or b"\r\n\r\n" in data
 
 
 @pytest.mark.parametrize(
@@ -168,19 +168,19 @@
         b"GET /a HTTP/1.1\r\nHost: a\r\n",
     ],
 )
-def test_what_is_out_of_the_ordinary_is_left_to_the_parser(data):
-    assert quick.request(data, MOST, MOST) is None
+def test_unusual_request_is_left_to_the_parser(data):
+    assert quick.request(data, LIMIT, LIMIT) is None
 
 
-def test_sizes_are_kept_to():
+def test_fast_path_respects_size_limits():
     body = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n" + b"x" * 9
-    assert quick.request(body, MOST, 9) and not quick.request(body, MOST, 8) and not quick.request(body, 20, 9)
+    assert quick.request(body, LIMIT, 9) and not quick.request(body, LIMIT, 8) and not quick.request(body, 20, 9)
 
 
-def test_both_ways_take_turns_on_one_connection():
-    """A request in pieces, one whole, two at once and one whole again: each is answered, in order."""
+def test_fast_path_and_parser_alternate_on_one_connection():
+    """A request in pieces, a complete one, two in one write and two single ones are answered in order."""
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, sidecar(*(line(f"s{i}", server.port) for i in range(4))) as world:
             client: Client = await world.client()
 
@@ -201,4 +201,4 @@
                 await client.send(asking(names[5]))
                 assert [(await client.answer())[2] for _ in range(2)] == names[4:6]
 
-    play(scene)
+    play(scenario)
--- a/tests/test_races_ends.py
+++ b/tests/test_races_ends.py
@@ -1,4 +1,7 @@
-"""Orders at a process's end, on the list, and between a server's answer and our next request; see docs/races.md."""
+"""Races at the end of the process, on the server list, and between a response and the next request on its connection.
+
+See docs/races.md.
+"""
 
 from __future__ import annotations
 
@@ -8,49 +11,50 @@
 
 import pytest
 from backend import Server, dump, line, listing, ok, play, settings, sidecar
-from peers import Gated, Raw, request, until
+from peers import GatedServer, Raw, request, until
 from test_servers import GOOD, outcomes
 from test_watch import Registry
 
 from rosechute.load_balancing import Defer, Directory, How, Settings
-from rosechute.load_balancing.rules import SILENCE_NS, Balancer
+from rosechute.load_balancing.rules import MAX_RESUBSCRIBE_PAUSE_NS, Balancer
 from rosechute.proxy.core.address import Address
 from rosechute.proxy.http1 import upstream as upstream_side
 from rosechute.proxy.http1.client import ClientConnection
 from rosechute.proxy.http1.upstream import Upstream
 from rosechute.sidecar import sidecar as process
-from rosechute.sidecar.discovery import SILENT_S, read_listing
+from rosechute.sidecar.discovery import WATCH_GRACE_S, read_listing
 
 
-def ends_soon(monkeypatch, accepting: float = 0.05, live_on: float = 0.3) -> None:
+def shorten_shutdown(monkeypatch, accepting: float = 0.05, live_on: float = 0.3) -> None:
     monkeypatch.setattr(process, "KEEP_ACCEPTING_S", accepting)
-    monkeypatch.setattr(process, "LIVE_ON_S", live_on)
+    monkeypatch.setattr(process, "MAX_STOP_S", live_on)
 
 
 @pytest.mark.parametrize(("cls", "status"), [("single_shot", b"504"), ("guarded", b"504"), ("free", b"503")])
-def test_a_request_whose_client_waits_for_longer_than_the_process_lives_is_answered(monkeypatch, cls, status):
-    """Found on the short days of another deployment: deadlines of 4 s, and the process was gone after 3.45 s with
-    requests open that it had taken before SIGTERM."""
-    ends_soon(monkeypatch)
-
-    async def scene():
-        async with Gated() as server, sidecar(line("s1", server.port)) as world:
+def test_open_request_is_answered_before_the_process_ends(monkeypatch, cls, status):
+    """With deadlines of 4 s, the process ended after 3.45 s while requests were open that it had accepted before
+    SIGTERM.
+    """
+    shorten_shutdown(monkeypatch)
+
+    async def scenario():
+        async with GatedServer() as server, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port).connect()
             await client.send(request(cls, timeout=5))
-            await server.came.acquire()  # and its server hangs
+            await server.arrivals.acquire()  # the server does not respond
             reading = asyncio.ensure_future(client.read())
             await world.sidecar.stop()
-            assert not world.sidecar.core.calls or all(c.over for c in world.sidecar.core.calls.values())
+            assert not world.sidecar.core.calls or all(c.is_over for c in world.sidecar.core.calls.values())
             assert (await reading).startswith(b"HTTP/1.1 " + status)
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_request_in_order_is_answered_before_the_end(monkeypatch):
-    ends_soon(monkeypatch)
+def test_queued_request_is_answered_before_the_process_ends(monkeypatch):
+    shorten_shutdown(monkeypatch)
 
-    async def scene():
-        async with sidecar() as world:  # no server is there to take it
+    async def scenario():
+        async with sidecar() as world:  # without servers
             client = await Raw(world.port).connect()
             await client.send(request("single_shot", timeout=5))
             reading = asyncio.ensure_future(client.read())
@@ -58,87 +62,87 @@
             await world.sidecar.stop()
             assert (await reading).startswith(b"HTTP/1.1 503")
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("size", [60_000, 8 << 20])
-def test_an_answer_half_taken_by_a_slow_reader_goes_on_past_the_end(monkeypatch, size):
-    """Found on reading: the process left with part of the answer in its own memory."""
-    ends_soon(monkeypatch, live_on=0.1)
+def test_response_to_a_slow_reader_is_completed_past_the_end(monkeypatch, size):
+    """The process ended with a part of the response in its own memory; found by code review."""
+    shorten_shutdown(monkeypatch, live_on=0.1)
 
-    async def scene():
-        async def large(talk, call):
-            await talk.answer(200, b"x" * size)
+    async def scenario():
+        async def large(conversation, call):
+            await conversation.answer(200, b"x" * size)
 
         async with Server(large) as server, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port, receive=4096).connect()
             await client.send(request())
             await until(lambda: server.calls)
-            held = world.sidecar._listener
+            sidecar_listener = world.sidecar._listener
             if size > 1 << 20:
-                await until(held.sending)
+                await until(sidecar_listener.sending)
             else:
                 await until(lambda: not world.sidecar.core.calls)
             loop = asyncio.get_running_loop()
             stopping = asyncio.ensure_future(world.sidecar.stop())
             late = loop.time() + 0.05 + 0.1
             await until(lambda: stopping.done() or loop.time() > late + 0.1)
-            assert stopping.done() != held.sending()
+            assert stopping.done() != sidecar_listener.sending()
             answer = await client.read()
             assert len(answer.partition(b"\r\n\r\n")[2]) == size
             await stopping
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_connection_that_has_just_come_up_is_not_closed_before_it_can_ask():
-    """Found on reading: at the end of a process what had said nothing yet was closed with the idle ones."""
+def test_new_connection_is_not_closed_before_its_first_request():
+    """At the end of the process, new connections were closed like idle ones; found by code review."""
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
-            held = world.sidecar._listener
+            sidecar_listener = world.sidecar._listener
             client = await Raw(world.port).connect()
-            await until(lambda: held.silent)
-            held.last_requests()
-            held.close()
+            await until(lambda: sidecar_listener.new)
+            sidecar_listener.disable_keep_alive()
+            sidecar_listener.close()
             await client.send(request(rid="late"))
             assert (await client.read()).endswith(b"late")
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_that_closes_is_not_taken_along_by_a_reset():
-    """Closing with bytes unread resets the connection; what the client has not read by then is lost."""
+def test_last_response_is_not_lost_to_a_reset():
+    """A close with unread data resets the connection, and the client loses what it has not read."""
 
-    async def scene():
-        async with Gated() as server, sidecar(line("s1", server.port)) as world:
-            world.sidecar._listener.last_requests()
+    async def scenario():
+        async with GatedServer() as server, sidecar(line("s1", server.port)) as world:
+            world.sidecar._listener.disable_keep_alive()
             client = await Raw(world.port).connect()
             await client.send(request("single_shot", rid="whole"))
-            await server.came.acquire()
+            await server.arrivals.acquire()
             connection = next(iter(world.sidecar._listener.connections))
-            connection._transport.pause_reading()  # as if its bytes came in this very turn
+            connection._transport.pause_reading()  # as if the data arrived in the same turn of the loop
             await client.send(b"GET /half HTTP/1.1\r\n")
-            await until(lambda: not connection.quiet())
-            server.let.release()
+            await until(lambda: not connection.has_no_unread_data())
+            server.permits.release()
             assert (await client.read()).endswith(b"whole")
             assert not connection._transport.is_closing() or connection not in world.sidecar._listener.connections
 
-    play(scene)
+    play(scenario)
 
 
-# --- attempts and answers
+# --- attempts and responses
 
 
-def test_an_answer_before_the_request_was_out_serves_nobody():
-    """Found on reading: a server begins with the last byte, so an answer before it is another request's."""
+def test_response_before_the_end_of_the_request_is_rejected():
+    """Servers begin after the last byte, so an earlier response belongs to another request; found by code review."""
 
-    async def scene():
+    async def scenario():
         class Early(Server):
             async def _serve(self, reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(GOOD)
-                await asyncio.Event().wait()  # and reads no further
+                await asyncio.Event().wait()  # reads no further
 
         async with Early(ok) as server:
             loop = asyncio.get_running_loop()
@@ -152,12 +156,12 @@
             ).start()
             assert await done == (How.CONNECT_FAILED, None)
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.plain
-def test_what_comes_unasked_on_a_new_connection_is_no_answer(monkeypatch):
-    """Found on reading: bytes that stand in the kernel as the first request is written."""
+def test_unsolicited_data_on_a_new_connection_is_no_response(monkeypatch):
+    """Unread data in the kernel when the first request is written; found by code review."""
     connect = Upstream.connect
 
     async def unread(self, address):
@@ -169,42 +173,42 @@
 
     monkeypatch.setattr(Upstream, "connect", unread)
 
-    async def scene():
+    async def scenario():
         class Eager(Server):
             async def _serve(self, reader, writer):
                 writer.write(GOOD)
                 await super()._serve(reader, writer)
 
         monkeypatch.setattr("test_servers.Server", Eager)
-        found, _ = await outcomes(lambda talk, call: asyncio.Event().wait())
+        found, _ = await outcomes(lambda conversation, call: asyncio.Event().wait())
         assert found == [(How.CONNECT_FAILED, b"")]
 
-    play(scene)
+    play(scenario)
 
 
 # --- the list
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts():
-    """Found on reading: it was noticed as late as what it missed counted, and then a pause for a failed call came."""
+def test_silent_watch_is_reopened_before_missed_updates_matter():
+    """It was noticed only when missed updates mattered, and then a failure pause followed; found by code review."""
 
-    async def scene():
+    async def scenario():
         raw = settings(discovery="subscribe", invariants={"mustAskInNs": 10**9})
-        registry = Registry(503, 503, listing())  # failures before have made the pause longer
+        registry = Registry(503, 503, listing())  # the failures have increased the pause
         async with Server(registry) as place, sidecar(discovery=place.port, raw=raw):
             for _ in range(3):
                 await registry.asked.get()
-            _, query, at = await registry.asked.get()  # and says nothing more
+            _, query, at = await registry.asked.get()  # gets no response
             wait = int(query["wait_ms"][0]) / 1e3
             _, query, again = await registry.asked.get()
             assert query["wait_ms"] == ["0"] and wait > 0
-            assert wait + SILENT_S <= again - at < wait + 2.0
+            assert wait + WATCH_GRACE_S <= again - at < wait + 2.0
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_pushed_list_that_falls_silent_is_opened_anew_at_once():
-    async def scene():
+def test_silent_push_subscription_is_reopened_at_once():
+    async def scenario():
         raw = settings(discovery="automatic", invariants={"mustAskInNs": 10**9})
         registry = Registry(listing())
         async with Server(registry) as agent, sidecar(discovery=agent.port, raw=raw):
@@ -213,10 +217,10 @@
             _, _, again = await registry.asked.get()
             assert again - at < int(query["wait_ms"][0]) / 1e3 + 2.0
 
-    play(scene)
+    play(scenario)
 
 
-def test_the_pause_before_a_silent_watch_is_opened_anew_does_not_grow():
+def test_pause_before_reopening_a_silent_watch_does_not_grow():
     raw = settings(discovery="subscribe", invariants={"mustAskInNs": 60 * 10**9})
     balancer = Balancer(Settings.parse(raw), 1, 0)
     balancer.handle(0, Directory("SAVED"))
@@ -225,11 +229,11 @@
     balancer.handle(4, Directory("FULL"))
     for now in (5, 6, 7, 8):
         pauses = [a.in_ns for a in balancer.handle(now, Directory("SILENT")) if isinstance(a, Defer)]
-        assert len(pauses) == 1 and pauses[0] <= SILENCE_NS + 1
+        assert len(pauses) == 1 and pauses[0] <= MAX_RESUBSCRIBE_PAUSE_NS + 1
 
 
-def test_a_discovery_that_does_not_wait_is_not_called_as_fast_as_it_answers():
-    async def scene():
+def test_discovery_that_answers_at_once_is_polled_at_a_limited_rate():
+    async def scenario():
         raw = settings(discovery="subscribe", invariants={"mustAskInNs": 4 * 10**9})
         nothing = listing(index=1, snapshot=False)
         registry = Registry(listing(), *[nothing] * 100)
@@ -237,14 +241,14 @@
             for _ in range(3):
                 _, _, first = await registry.asked.get()
             _, _, second = await registry.asked.get()
-            assert 0.09 <= second - first < 0.2  # a watch goes on for 0.2 s
+            assert 0.09 <= second - first < 0.2  # a watch lasts for 0.2 s
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize("bad", [503, None, b"{not json", dump([1]), dump({"index": "x", "endpoints": []})])
-def test_a_bad_list_leaves_the_good_one_in_use_and_the_log_says_so_once(bad, capfd):
-    async def scene():
+def test_invalid_list_keeps_the_previous_one_and_is_logged_once(bad, capfd):
+    async def scenario():
         async with Server(ok) as server:
             raw = settings(discovery="subscribe", invariants={"mustAskInNs": 10**9})
             registry = Registry(
@@ -260,21 +264,21 @@
                 assert (await (await world.client()).ask())[0] == 200
                 for _ in range(2):
                     await registry.asked.get()
-                assert world.sidecar._index == 4
+                assert world.sidecar._list_version == 4
 
-    play(scene)
-    said = capfd.readouterr().err
-    assert said.count("event=discovery.lost") == 1 and said.count("event=discovery.back") == 1
+    play(scenario)
+    log_output = capfd.readouterr().err
+    assert log_output.count("event=discovery.lost") == 1 and log_output.count("event=discovery.back") == 1
 
 
 # --- memory
 
 
-def test_a_request_leaves_nothing_behind_in_memory():
-    """Found on the long day: compiled, each answer left a bytes object behind, 9 MB in 15 minutes."""
+def test_requests_leak_no_memory():
+    """When compiled, each response leaked a bytes object, 9 MB in 15 minutes."""
 
-    async def scene():
-        # So few descriptors that none is opened ahead: a connection more is no part of what a request leaves behind.
+    async def scenario():
+        # With so few descriptors, no connection is opened ahead, whose memory would count as leaked.
         async with Server(ok) as server, sidecar(line("s1", server.port), sockets=36) as world:
             client = await world.client()
 
@@ -282,83 +286,83 @@
                 for _ in range(number):
                     assert (await client.ask())[0] == 200
                 server.calls.clear()
-                world.sidecar.core._ids.clear()  # they stay for twice a deadline
+                world.sidecar.core._ids.clear()  # ids are kept for twice a deadline
                 gc.collect()
                 return sys.getallocatedblocks()
 
             before = await ask(300)
-            most = 600
-            assert await ask(most) - before < most / 4
+            count = 600
+            assert await ask(count) - before < count / 4
 
-    play(scene)
+    play(scenario)
 
 
-def test_connections_are_of_the_compiled_class_where_that_is_asked_for(request):
-    """The leak above shows in compiled modules alone: this says which ones it was looked for in."""
+def test_connection_class_is_compiled_iff_requested(request):
+    """The leak above occurs in compiled modules only, so the tests must run with the modules that were asked for."""
     compiled = not hasattr(ClientConnection.answer, "__code__")
     assert compiled == bool(request.config.getoption("--compiled"))
 
 
-def test_a_second_answer_that_comes_late_is_never_the_next_requests(monkeypatch):
-    """Found on reading: the next request went out at once, and what then came late was taken for its answer."""
-    monkeypatch.setattr(upstream_side, "REST_S", 0.5)
+def test_late_duplicate_response_is_not_taken_for_the_next_response(monkeypatch):
+    """The next request was sent at once, and late data was taken for its response; found by code review."""
+    monkeypatch.setattr(upstream_side, "QUIET_TIME_S", 0.5)
 
-    async def scene():
+    async def scenario():
         late, asked = asyncio.Event(), asyncio.Event()
 
-        async def script(talk, call):
+        async def script(conversation, call):
             rid = call.headers["x-request-id"].encode()
             if rid == b"first":
-                await talk.answer(200, rid)
+                await conversation.answer(200, rid)
                 await asyncio.wait(
                     [asyncio.ensure_future(e.wait()) for e in (late, asked)], return_when=asyncio.FIRST_COMPLETED
                 )
-                await talk.answer(200, rid)  # once more: late, or on the heels of the next request
+                await conversation.answer(200, rid)  # the duplicate: late, or right after the next request
             else:
                 asked.set()
                 await asyncio.sleep(0.02)
-                await talk.answer(200, rid)
+                await conversation.answer(200, rid)
 
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             assert (await client.ask("single_shot", rid="first"))[2] == b"first"
             asking = asyncio.ensure_future(client.ask("single_shot", rid="second"))
-            await until(lambda: any(c.out for c in world.sidecar.core.calls.values()))
+            await until(lambda: any(c.in_flight for c in world.sidecar.core.calls.values()))
             late.set()
             assert (await asking)[2] == b"second"
             assert server.connections == 2
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_call_that_ends_while_its_connection_rests_gives_it_back(monkeypatch):
-    monkeypatch.setattr(upstream_side, "REST_S", 30.0)
+def test_call_cancelled_in_the_quiet_time_returns_its_connection(monkeypatch):
+    monkeypatch.setattr(upstream_side, "QUIET_TIME_S", 30.0)
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await Raw(world.port).connect()
             assert (await (await world.client()).ask("single_shot"))[0] == 200
             await client.send(request("single_shot"))
-            await until(lambda: any(c.out for c in world.sidecar.core.calls.values()))
+            await until(lambda: any(c.in_flight for c in world.sidecar.core.calls.values()))
             client.close()
             await until(lambda: not world.sidecar.core.calls)
-            assert [len(t.idle) for t in world.sidecar._upstream._targets.values()] == [1]
+            assert [len(t.idle) for t in world.sidecar._upstream._pools.values()] == [1]
             assert len(server.calls) == 1
 
-    play(scene)
+    play(scenario)
 
 
-def test_nothing_goes_to_a_server_that_begins_to_drain_while_its_connection_rests(monkeypatch):
-    monkeypatch.setattr(upstream_side, "REST_S", 0.2)
+def test_no_request_is_sent_if_the_server_drains_in_the_quiet_time(monkeypatch):
+    monkeypatch.setattr(upstream_side, "QUIET_TIME_S", 0.2)
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             assert (await client.ask("single_shot"))[0] == 200
             asking = asyncio.ensure_future(client.ask("single_shot", timeout="1"))
-            await until(lambda: any(c.out for c in world.sidecar.core.calls.values()))
+            await until(lambda: any(c.in_flight for c in world.sidecar.core.calls.values()))
             drains = listing(line("s1", server.port, status="DRAINING"), index=2)
-            world.sidecar._told(read_listing(drains, world.sidecar._settings))
+            world.sidecar._on_discovery(read_listing(drains, world.sidecar._settings))
             assert (await asking)[0] == 503 and len(server.calls) == 1
 
-    play(scene)
+    play(scenario)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,10 +1,10 @@
-"""Routes: the table finds what a look at every route would, and its cost does not follow their number."""
+"""Routing table: lookups agree with a linear search, and their cost does not depend on the number of routes."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosechute.sidecar.route_matching.pattern import decoded, parse
+from rosechute.sidecar.route_matching.pattern import decode_unreserved, parse
 from rosechute.sidecar.route_matching.table import Match, Table, ambiguous
 
 PARTS = st.sampled_from(["a", "b", "{x}", "c"])
@@ -45,9 +45,9 @@
     st.sampled_from([None, b"t1", b"t2", b"t3"]),
     st.dictionaries(st.sampled_from([b"h1", b"h2", b"h3"]), VALUES),
 )
-def test_the_table_agrees_with_a_look_at_every_route(routes, parts, method, tenant, headers):
+def test_table_agrees_with_linear_search(routes, parts, method, tenant, headers):
     kept = []
-    for match in routes:  # as the proof has it: none that is ambiguous
+    for match in routes:  # accepted files contain no ambiguous routes
         if not list(ambiguous([*kept, match])):
             kept.append(match)
     path = b"/a" + b"".join(b"/" + part for part in parts)
@@ -58,35 +58,35 @@
 
 
 @given(st.lists(matches(), min_size=2, max_size=8))
-def test_ambiguous_pairs_are_those_that_overlap_and_are_equal_in_order(routes):
+def test_ambiguous_pairs_overlap_and_have_equal_order(routes):
     pairs = {
         (i, j)
         for i, one in enumerate(routes)
         for j, two in enumerate(routes)
         if i < j and one.order == two.order and one.overlaps(two)
     }
-    told = set(ambiguous(routes))
-    assert told <= pairs and bool(told) == bool(pairs)
+    pairs_found = set(ambiguous(routes))
+    assert pairs_found <= pairs and bool(pairs_found) == bool(pairs)
 
 
 class Counting(dict):
-    looks = 0
+    lookups = 0
 
     def get(self, *key):
-        Counting.looks += 1
+        Counting.lookups += 1
         return super().get(*key)
 
 
-def test_the_work_of_a_look_up_does_not_follow_the_number_of_routes():
-    def looks(count):
+def test_lookup_cost_does_not_depend_on_the_number_of_routes():
+    def lookups(count):
         table = Table((Match(parse(f"/a/r{i}/{{id}}")), i) for i in range(count))
         for node in walk(table._root):
             node.literals = Counting(node.literals)
-        Counting.looks = 0
+        Counting.lookups = 0
         assert table.find(b"GET", f"/a/r{count - 1}/7".encode(), None, {}) == count - 1
-        return Counting.looks
+        return Counting.lookups
 
-    assert looks(1) == looks(2000)
+    assert lookups(1) == lookups(2000)
 
 
 def walk(node):
@@ -104,7 +104,7 @@
     assert table.find(b"GET", b"/b", None, {b"x-kind": b"77"}) == 77
 
 
-def test_order_path_before_method_before_tenant_before_headers():
+def test_precedence_is_path_method_tenant_headers():
     names = [
         ("/a/*", None, None, 0),
         ("/a/{x}", None, None, 0),
@@ -137,12 +137,16 @@
         ("/a/%c3%b6", b"/a/%C3%B6", True),
     ],
 )
-def test_paths(pattern, path, fit):
+def test_path_matching(pattern, path, fit):
     assert (Table([(Match(parse(pattern)), 1)]).find(b"GET", path, None, {}) == 1) is fit
 
 
 @given(st.binary(max_size=40))
-def test_any_bytes_can_be_looked_up(path):
+def test_lookup_accepts_any_bytes(path):
     table = Table([(Match(parse("/a/{x}/*")), 1), (Match(parse("/a/b")), 2)])
     assert table.find(b"GET", path, None, {}) in (None, 1, 2)
-    assert decoded(decoded(path)) == decoded(path) or b"%25" in decoded(path) or b"%" in path
+    assert (
+        decode_unreserved(decode_unreserved(path)) == decode_unreserved(path)
+        or b"%25" in decode_unreserved(path)
+        or b"%" in path
+    )
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""What servers may send the sidecar: spoilt answers, more than was asked for, and load reports."""
+"""Invalid responses, unsolicited data and load reports of servers."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from rosechute.load_balancing import How
 from rosechute.proxy.core.address import Address
-from rosechute.proxy.http1.backend import load as _load
+from rosechute.proxy.http1.backend import parse_load
 from rosechute.proxy.http1.connection import Connection
 from rosechute.proxy.http1.upstream import Upstream
 
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
 
-def says(*parts: bytes):
-    async def script(talk: Conversation, call: Call) -> None:
+def respond_with(*parts: bytes):
+    async def script(conversation: Conversation, call: Call) -> None:
         for part in parts:
-            talk.writer.write(part)
-            await talk.writer.drain()
+            conversation.writer.write(part)
+            await conversation.writer.drain()
         await asyncio.sleep(60)  # the connection stays open
 
     return script
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         b"\xcf\xe7LaO\x99\xdbq\r\n\r\n",
         b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood",
@@ -64,14 +64,14 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
     ],
 )
-def test_a_spoilt_answer_is_known_early_and_blames_nobody(spoilt):
-    """Found: waited for until the client's time was up, or told as a reset, which halves a budget."""
+def test_invalid_response_is_detected_early_and_blames_no_server(invalid):
+    """It was awaited until the client's deadline, or reported as a reset, which halves a server's budget."""
 
-    async def scene():
-        found, _ = await outcomes(says(spoilt), stall_s=0.2)
+    async def scenario():
+        found, _ = await outcomes(respond_with(invalid), stall_s=0.2)
         assert found == [(How.CANCELLED, b"")]
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -84,41 +84,41 @@
         ((GOOD[:20], GOOD[20:50], GOOD[50:]), 1),
     ],
 )
-def test_a_good_answer_is_served_whatever_follows_it(parts, connections):
-    """Found: noise behind a good answer turned it into a reset. What follows answers nobody."""
+def test_valid_response_is_served_whatever_follows_it(parts, connections):
+    """Garbage after a valid response turned it into a reset. Data that follows belongs to no request."""
 
-    async def scene():
-        async def script(talk: Conversation, call: Call) -> None:
+    async def scenario():
+        async def script(conversation: Conversation, call: Call) -> None:
             for part in parts:
-                talk.writer.write(part)
-                await talk.writer.drain()
+                conversation.writer.write(part)
+                await conversation.writer.drain()
 
         found, server = await outcomes(script, number=2)
         assert found == [(How.OK, b"good")] * 2 and server.connections == connections
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_larger_than_promised_is_served():
-    """Found: real answers of 350 KB were taken for spoilt, a fifth of all."""
+def test_response_larger_than_expected_is_served():
+    """Valid responses of 350 KB, a fifth of all, were taken for invalid ones."""
 
-    async def scene():
+    async def scenario():
         body = b"x" * 350_000
-        found, _ = await outcomes(says(b"HTTP/1.1 200 OK\r\nContent-Length: 350000\r\n\r\n" + body))
+        found, _ = await outcomes(respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 350000\r\n\r\n" + body))
         assert found == [(How.OK, body)]
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_spoilt_answer_is_repeated_only_if_free():
-    async def scene():
-        noise = says(b"\xcf\xe7LaO\x99\xdbq\r\n\r\n")
+def test_invalid_response_is_retried_only_for_free_class():
+    async def scenario():
+        noise = respond_with(b"\xcf\xe7LaO\x99\xdbq\r\n\r\n")
         for cls, expected in (("single_shot", (502, 1)), ("free", (503, 2))):
             async with Server(noise) as bad, sidecar(line("s1", bad.port), line("s2", bad.port)) as world:
                 status, _, _ = await (await world.client()).ask(cls)
                 assert (status, len(bad.calls)) == expected
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -135,16 +135,16 @@
         b"{" * 5000,
     ],
 )
-def test_a_load_report_that_cannot_be_one_is_dropped_whole(text):
-    """It would draw all calls to one server, or keep them away."""
-    assert _load(text) == {}
-    assert _load(b'{"inflight": 2, "queue": 0.5, "note": "x"}') == {"inflight": 2.0, "queue": 0.5}
+def test_invalid_load_report_is_ignored(text):
+    """It could attract all calls to one server, or keep all away."""
+    assert parse_load(text) == {}
+    assert parse_load(b'{"inflight": 2, "queue": 0.5, "note": "x"}') == {"inflight": 2.0, "queue": 0.5}
 
 
-def test_a_connection_lost_before_its_task_resumes_does_not_count_for_good(monkeypatch):
-    """Found on reading: the count leaked until no room was left."""
+def test_connection_lost_before_its_task_resumes_is_not_counted(monkeypatch):
+    """The count of connections leaked until the limit was reached; found by code review."""
 
-    async def scene():
+    async def scenario():
         loop = asyncio.get_running_loop()
         upstream = Upstream(loop, 10**9, 10**10, 10)
 
@@ -156,9 +156,9 @@
 
         monkeypatch.setattr(upstream, "loop", Loop())
         assert isinstance(await upstream.connect(Address("127.0.0.1", 1)), Connection)
-        assert not upstream._open and not upstream._dialling
+        assert not upstream._connections and not upstream._opening
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.plain
@@ -170,10 +170,10 @@
         (ValueError("odd"), How.CONNECT_FAILED),
     ],
 )
-def test_every_failed_connect_ends_its_attempt_and_own_want_blames_nobody(monkeypatch, capfd, error, how):
-    """Found: EMFILE was told as a failed connect, and muted healthy servers one after the other."""
+def test_failed_connect_ends_its_attempt_and_local_shortage_blames_no_server(monkeypatch, capfd, error, how):
+    """EMFILE was reported as a failed connect, which excluded healthy servers one after the other."""
 
-    async def scene():
+    async def scenario():
         upstream = Upstream(asyncio.get_running_loop(), 10**9, 10**10, 10)
         upstream.update("s1", Address("127.0.0.1", 1), 0, True)
 
@@ -185,11 +185,11 @@
         upstream.exchange("s1", lambda: b"", 5.0, lambda how, _: done.set_result(how)).start()
         assert await done is how
 
-    play(scene)
+    play(scenario)
 
 
-def test_closing_with_unsent_bytes_to_a_silent_peer_comes_to_an_end():
-    async def scene():
+def test_close_with_unsent_data_to_a_silent_peer_finishes():
+    async def scenario():
         listening = socket.create_server(("127.0.0.1", 0))
         lost = asyncio.Event()
         _, connection = await asyncio.get_running_loop().create_connection(
@@ -200,22 +200,22 @@
         await lost.wait()
         listening.close()
 
-    play(scene)
+    play(scenario)
 
 
-def test_probes_of_one_server_are_shared_by_the_calls_that_wait():
-    """Found: a probe for each call and server; in a storm probes fed on themselves."""
+def test_waiting_calls_share_one_probe_per_server():
+    """Each call probed each server, so that probes multiplied under overload."""
 
-    async def scene():
+    async def scenario():
         go, probes = asyncio.Event(), []
 
-        async def script(talk: Conversation, call: Call) -> None:
+        async def script(conversation: Conversation, call: Call) -> None:
             if call.target == "/-/load":
                 probes.append(call)
                 await go.wait()
-                await talk.answer(200, b'{"inflight": 0, "queue": 0}')
+                await conversation.answer(200, b'{"inflight": 0, "queue": 0}')
             else:
-                await talk.answer(200, b"done")
+                await conversation.answer(200, b"done")
 
         async with Server(script) as server:
             raw = settings(reporting={"how": "probe"}, limits={"mayProbe": True})
@@ -227,4 +227,4 @@
                 go.set()
                 assert [(await asking)[0] for asking in asks] == [200] * 8
 
-    play(scene)
+    play(scenario)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways: whole and in order, in bounded memory, and every way in which one can break."""
+"""Streaming of long bodies in both directions: completeness, bounded memory, and failures."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from backend import IDS, Call, Client, Conversation, Server, line, ok, play, sidecar
 
 from rosechute.load_balancing import How, Response
-from rosechute.proxy.core.flow import CEILING, FLOOR, Body, Budget
+from rosechute.proxy.core.flow import MAX_SHARE_BYTES, MIN_SHARE_BYTES, Body, Budget
 from rosechute.proxy.http1 import client as client_side
 from rosechute.proxy.http1 import upstream as server_side
 
 MB = 1 << 20
 
 
-def noise(size: int, seed: int = 1) -> bytes:
+def random_bytes(size: int, seed: int = 1) -> bytes:
     return random.Random(seed).randbytes(size)
 
 
@@ -35,25 +35,25 @@
     return framed + b"0\r\nX-Request-ID: trailer\r\n\r\n"
 
 
-async def read_body(talk: Conversation, call: Call) -> bytes:
-    """What a server gets, in either framing."""
+async def read_body(conversation: Conversation, call: Call) -> bytes:
+    """Return a request body as the server receives it, in either framing."""
     if call.headers.get("Transfer-Encoding") != "chunked":
         return call.body
     body = b""
-    while size := int((await talk.reader.readline()).split(b";")[0], 16):
-        body += await talk.reader.readexactly(size)
-        assert await talk.reader.readline() == b"\r\n"
-    assert await talk.reader.readline() == b"\r\n"
+    while size := int((await conversation.reader.readline()).split(b";")[0], 16):
+        body += await conversation.reader.readexactly(size)
+        assert await conversation.reader.readline() == b"\r\n"
+    assert await conversation.reader.readline() == b"\r\n"
     return body
 
 
-async def digest(talk: Conversation, call: Call) -> None:
-    body = await read_body(talk, call)
-    await talk.answer(200, hashlib.sha256(body).hexdigest().encode())
+async def respond_with_digest(conversation: Conversation, call: Call) -> None:
+    body = await read_body(conversation, call)
+    await conversation.answer(200, hashlib.sha256(body).hexdigest().encode())
 
 
-async def told(client: Client) -> tuple[int, dict[str, str], bytes]:
-    """An answer in any framing."""
+async def read_response(client: Client) -> tuple[int, dict[str, str], bytes]:
+    """Return a response in any framing."""
     lines = (await client.reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {k.lower(): v for k, v in (text.split(": ", 1) for text in lines[1:] if text)}
     status = int(lines[0].split(" ")[1])
@@ -71,12 +71,12 @@
 
 @pytest.mark.parametrize("size", [0, 1, 70_000, 900_000, 3 * MB, 9 * MB])
 @pytest.mark.parametrize("chunk", [None, 7_777, 200_000])
-def test_a_body_of_any_size_and_framing_comes_whole(size, chunk):
-    async def scene():
-        body = noise(size)
-        async with Server(digest) as server, sidecar(line("s1", server.port)) as world:
+def test_request_body_of_any_size_and_framing_is_forwarded_complete(size, chunk):
+    async def scenario():
+        body = random_bytes(size)
+        async with Server(respond_with_digest) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
-            for _ in range(2):  # the connection is good for a next one
+            for _ in range(2):  # the connection can be reused
                 sent = body if chunk is None else chunks(body, chunk)
                 await client.send(head(size if chunk is None else None) + sent)
                 status, headers, answer = await client.answer()
@@ -84,25 +84,25 @@
                 assert "connection" not in headers
             assert world.sidecar._budget.used == 0
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.plain
 @pytest.mark.parametrize("memory_mb", [46, 192])
-def test_bodies_in_pieces_between_slow_peers_come_whole(memory_mb):
-    """Many at once, with pauses on both sides, in little memory and in much."""
+def test_concurrent_bodies_between_slow_peers_are_complete(memory_mb):
+    """Concurrent bodies with pauses on both sides, with little memory and with much."""
 
-    async def scene():
+    async def scenario():
         rng = random.Random(memory_mb)
 
-        async def slow(talk: Conversation, call: Call) -> None:
+        async def slow(conversation: Conversation, call: Call) -> None:
             if rng.random() < 0.5:
                 await asyncio.sleep(rng.random() * 0.3)  # the kernel's buffers fill up
-            await digest(talk, call)
+            await respond_with_digest(conversation, call)
 
         async def one(world, number: int) -> None:
             size = rng.choice([100, 65_537, 300_000, 2 * MB, 4 * MB])
-            body, chunked = noise(size, number), rng.random() < 0.5
+            body, chunked = random_bytes(size, number), rng.random() < 0.5
             sent = head(None if chunked else size)
             sent += chunks(body, rng.choice([999, 70_000])) if chunked else body
             client = await world.client()
@@ -122,81 +122,82 @@
         async with Server(slow) as server:
             lines = [line(f"s{i}", server.port) for i in range(8)]
             async with sidecar(*lines, memory_mb=memory_mb) as world:
-                world.sidecar.core.module._shed = lambda *_: False  # so many at once look like a jam
+                # So many concurrent requests would be taken for an overload.
+                world.sidecar.core.module._should_shed = lambda *_: False
                 await asyncio.gather(*(one(world, number) for number in range(12)))
                 assert statuses == [200] * 12
                 assert world.sidecar._budget.used == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_read_that_tips_a_body_over_its_share_is_not_parsed_twice(monkeypatch):
-    """Found on the bench: the part of a read before the tip went out again behind it."""
+def test_read_that_exceeds_the_budget_share_is_not_parsed_twice(monkeypatch):
+    """The part of a read before the limit was reached was forwarded twice."""
 
-    async def scene():
-        body = noise(FLOOR * 3)
-        async with Server(digest) as server, sidecar(line("s1", server.port)) as world:
-            world.sidecar._budget.total = 0  # no more than the floor for anybody
+    async def scenario():
+        body = random_bytes(MIN_SHARE_BYTES * 3)
+        async with Server(respond_with_digest) as server, sidecar(line("s1", server.port)) as world:
+            world.sidecar._budget.total = 0  # each body gets only the minimum
             client = await world.client()
             await client.send(head(len(body)) + body)  # one read, several pieces
             status, _, answer = await client.answer()
             assert (status, answer.decode()) == (200, hashlib.sha256(body).hexdigest())
 
-    play(scene)
+    play(scenario)
 
 
-# --- answers ----------------------------------------------------------------------------------------
+# --- responses ----------------------------------------------------------------------------------------
 
 
-def long_answer(body: bytes, framing: str, cut: int | None = None):
-    async def script(talk: Conversation, call: Call) -> None:
+def respond_in_framing(body: bytes, framing: str, cut: int | None = None):
+    async def script(conversation: Conversation, call: Call) -> None:
         lines = {
             "length": f"Content-Length: {len(body)}",
             "chunked": "Transfer-Encoding: chunked",
             "end": "Connection: close",
         }
-        talk.writer.write(f"HTTP/1.1 200 OK\r\n{lines[framing]}\r\nX-Odd: kept\r\n\r\n".encode())
+        conversation.writer.write(f"HTTP/1.1 200 OK\r\n{lines[framing]}\r\nX-Odd: kept\r\n\r\n".encode())
         sent = chunks(body, 50_000) if framing == "chunked" else body
-        talk.writer.write(sent if cut is None else sent[:cut])
-        await talk.writer.drain()
+        conversation.writer.write(sent if cut is None else sent[:cut])
+        await conversation.writer.drain()
         if cut is not None:
-            talk.reset()
+            conversation.reset()
         elif framing == "end":
-            talk.writer.close()
+            conversation.writer.close()
 
     return script
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "end"])
 @pytest.mark.parametrize("size", [10, 70_000, 5 * MB])
-def test_an_answer_of_any_size_and_framing_comes_whole(framing, size):
-    async def scene():
-        body = noise(size)
-        async with Server(long_answer(body, framing)) as server, sidecar(line("s1", server.port)) as world:
+def test_response_of_any_size_and_framing_is_forwarded_complete(framing, size):
+    async def scenario():
+        body = random_bytes(size)
+        async with Server(respond_in_framing(body, framing)) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             for _ in range(2):
                 await client.send(head(2) + b"hi")
-                status, headers, answer = await told(client)
+                status, headers, answer = await read_response(client)
                 assert status == 200 and answer == body and headers["x-odd"] == "kept"
-                if size != 70_000:  # where it depends on the pieces that it comes in
+                if size != 70_000:  # there it depends on the sizes of the reads
                     assert ("transfer-encoding" in headers) == (size > 70_000 and framing != "length")
             stats = await world.figures()
             assert stats['node_success_total{tier="single_shot"}'] == 2 and stats["node_inflight"] == 0
             assert world.sidecar._budget.used == 0 and not world.sidecar.core.calls
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_of_http_1_0_gets_a_long_answer_of_unknown_length_to_the_close():
-    async def scene():
-        body = noise(300_000)
-        async with Server(long_answer(body, "chunked")) as server, sidecar(line("s1", server.port)) as world:
+def test_http_1_0_client_gets_response_of_unknown_length_until_close():
+    async def scenario():
+        body = random_bytes(300_000)
+        async with Server(respond_in_framing(body, "chunked")) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             await client.send(head(0).replace(b"HTTP/1.1", b"HTTP/1.0"))
-            status, headers, answer = await told(client)
+            status, headers, answer = await read_response(client)
             assert status == 200 and answer == body and headers["connection"] == "close"
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -207,29 +208,29 @@
         ("chunked", b"1.0"),
     ],
 )
-def test_the_client_can_tell_an_answer_that_broke(framing, version):
-    async def scene():
-        script = long_answer(noise(5 * MB), framing, cut=2 * MB)
+def test_client_detects_an_incomplete_response(framing, version):
+    async def scenario():
+        script = respond_in_framing(random_bytes(5 * MB), framing, cut=2 * MB)
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             await client.send(head(0).replace(b"HTTP/1.1", b"HTTP/" + version))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await told(client)
+                await read_response(client)
             assert (await world.figures())['node_failure_total{tier="single_shot"}'] == 1
-            assert len(server.calls) == 1 and not world.sidecar.core.calls  # and is not sent again
+            assert len(server.calls) == 1 and not world.sidecar.core.calls  # no retry
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.plain
-def test_an_answer_is_passed_on_while_it_comes_and_the_module_hears_of_it_at_its_first_bytes():
-    async def scene():
+def test_response_is_streamed_and_reported_at_its_first_bytes():
+    async def scenario():
         go, heard = asyncio.Event(), asyncio.Event()
 
-        async def script(talk: Conversation, call: Call) -> None:
-            talk.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 100_000)
+        async def script(conversation: Conversation, call: Call) -> None:
+            conversation.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 100_000)
             await go.wait()
-            talk.writer.write(b"b" * 100_000)
+            conversation.writer.write(b"b" * 100_000)
 
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
             handle = world.sidecar.core.module.handle
@@ -249,19 +250,19 @@
             go.set()
             assert await client.reader.readexactly(100_000) == b"b" * 100_000
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_waits_at_the_server_while_the_client_does_not_read():
-    async def scene():
+def test_backpressure_of_a_slow_client_reaches_the_server():
+    async def scenario():
         written = 0
 
-        async def script(talk: Conversation, call: Call) -> None:
+        async def script(conversation: Conversation, call: Call) -> None:
             nonlocal written
-            talk.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * MB))
+            conversation.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * MB))
             for _ in range(512):
-                talk.writer.write(b"x" * 65536)
-                await talk.writer.drain()
+                conversation.writer.write(b"x" * 65536)
+                await conversation.writer.drain()
                 written += 65536
 
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
@@ -275,7 +276,7 @@
             while not (still := written) or still != written:
                 await asyncio.sleep(0.3)
             await asyncio.sleep(0.3)
-            assert written == still < 16 * MB  # the most of it in the kernel's buffers
+            assert written == still < 16 * MB  # most of it in the kernel's buffers
             held = [c._transport.get_write_buffer_size() for c in world.sidecar._listener.connections]
             assert max(held) < MB
             client.reader._transport.resume_reading()
@@ -283,17 +284,17 @@
             await client.reader.readuntil(b"\r\n\r\n")
             assert len(await client.reader.readexactly(32 * MB)) == 32 * MB
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_vanishes_mid_answer_ends_the_exchange():
-    async def scene():
+def test_disconnect_during_a_response_ends_the_exchange():
+    async def scenario():
         ended = asyncio.Event()
 
-        async def script(talk: Conversation, call: Call) -> None:
-            talk.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * MB) + b"x" * MB)
+        async def script(conversation: Conversation, call: Call) -> None:
+            conversation.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * MB) + b"x" * MB)
             with contextlib.suppress(ConnectionError):
-                await talk.reader.read()
+                await conversation.reader.read()
             ended.set()
 
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
@@ -306,36 +307,36 @@
                 await asyncio.sleep(0.01)
             assert world.sidecar._budget.used == 0 and (await world.figures())["node_inflight"] == 0
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_answer_that_no_longer_moves_is_broken_off(monkeypatch):
-    monkeypatch.setattr(server_side, "STUCK_S", 0.2)
-    monkeypatch.setattr(server_side, "LOOK_S", 0.05)
+def test_stalled_response_is_aborted(monkeypatch):
+    monkeypatch.setattr(server_side, "STALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(server_side, "PROGRESS_CHECK_S", 0.05)
 
-    async def scene():
-        async def script(talk: Conversation, call: Call) -> None:
-            talk.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + b"x" * 100_000)
+    async def scenario():
+        async def script(conversation: Conversation, call: Call) -> None:
+            conversation.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + b"x" * 100_000)
             await asyncio.sleep(60)
 
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             await client.send(head(0))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await told(client)
+                await read_response(client)
 
-    play(scene)
+    play(scenario)
 
 
 # --- requests that break ----------------------------------------------------------------------------
 
 
-def partial(size: int, given: int) -> bytes:
-    return head(size) + noise(given)
+def partial_request(size: int, given: int) -> bytes:
+    return head(size) + random_bytes(given)
 
 
-def test_a_long_body_that_has_begun_to_go_is_not_sent_again():
-    async def scene():
+def test_partially_sent_body_is_not_retried():
+    async def scenario():
         async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal begun
             await reader.readuntil(b"\r\n\r\n")
@@ -348,19 +349,19 @@
         port = server.sockets[0].getsockname()[1]
         async with sidecar(line("s1", port), line("s2", port)) as world:
             client = await world.client()
-            asking = asyncio.ensure_future(client.send(partial(8 * MB, 8 * MB)))
+            asking = asyncio.ensure_future(client.send(partial_request(8 * MB, 8 * MB)))
             status, headers, _ = await client.answer()
-            assert status == 503 and headers["connection"] == "close"  # it never ran
+            assert status == 503 and headers["connection"] == "close"  # it was not executed
             assert begun == 1
             asking.cancel()
             assert (await world.figures())["node_backend_calls_total"] == 0
         server.close()
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_client_that_vanishes_mid_body_takes_its_attempt_along():
-    async def scene():
+def test_disconnect_during_a_body_cancels_the_attempt():
+    async def scenario():
         broken = asyncio.Event()
 
         async def reads(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -373,7 +374,7 @@
         server = await asyncio.start_server(reads, "127.0.0.1", 0)
         async with sidecar(line("s1", server.sockets[0].getsockname()[1])) as world:
             client = await world.client()
-            await client.send(partial(8 * MB, 3 * MB))
+            await client.send(partial_request(8 * MB, 3 * MB))
             client.writer.transport.abort()
             await broken.wait()
             while world.sidecar.core.calls:
@@ -381,23 +382,23 @@
             assert world.sidecar._budget.used == 0
         server.close()
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
     ("sent", "status"),
     [
-        (lambda: partial(8 * MB, 3 * MB), 408),
-        (lambda: head(None) + b"%x\r\n" % (3 * MB) + noise(3 * MB) + b"\r\nno size\r\n", 400),
-        (lambda: head(None) + (b"%x\r\n" % MB + noise(MB) + b"\r\n") * 34, 413),
+        (lambda: partial_request(8 * MB, 3 * MB), 408),
+        (lambda: head(None) + b"%x\r\n" % (3 * MB) + random_bytes(3 * MB) + b"\r\nno size\r\n", 400),
+        (lambda: head(None) + (b"%x\r\n" % MB + random_bytes(MB) + b"\r\n") * 34, 413),
     ],
 )
-def test_a_body_that_stops_or_goes_wrong_on_its_way_gets_its_error(monkeypatch, sent, status):
-    monkeypatch.setattr(client_side, "WHOLE_S", 0.2)
-    monkeypatch.setattr(client_side, "PAUSE_S", 0.5)
+def test_streamed_body_that_stalls_or_is_invalid_gets_an_error(monkeypatch, sent, status):
+    monkeypatch.setattr(client_side, "HEAD_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(client_side, "BODY_PAUSE_S", 0.5)
 
-    async def scene():
-        async with Server(digest) as server, sidecar(line("s1", server.port)) as world:
+    async def scenario():
+        async with Server(respond_with_digest) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             sending = asyncio.ensure_future(client.send(sent()))
             assert (await client.answer())[0] == status
@@ -408,82 +409,82 @@
             assert world.sidecar._budget.used == 0
             assert (await (await world.client()).ask())[0] == 200 or server.calls
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_slow_body_that_goes_on_coming_is_waited_for(monkeypatch):
-    monkeypatch.setattr(client_side, "WHOLE_S", 0.2)
+def test_slow_body_with_progress_is_accepted(monkeypatch):
+    monkeypatch.setattr(client_side, "HEAD_TIMEOUT_S", 0.2)
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
-            await client.send(partial(20_000, 0))
+            await client.send(partial_request(20_000, 0))
             for _ in range(10):
                 await asyncio.sleep(0.1)
                 await client.send(b"x" * 2000)
             assert (await client.answer())[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_expect_is_answered_when_its_turn_has_come():
-    async def scene():
+def test_expect_continue_is_answered_in_order():
+    async def scenario():
         go = asyncio.Event()
 
-        async def slow(talk: Conversation, call: Call) -> None:
+        async def slow(conversation: Conversation, call: Call) -> None:
             await go.wait()
-            await ok(talk, call)
+            await ok(conversation, call)
 
         async with Server(slow) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             await client.send(head(0) + head(3, b"Expect: 100-continue"))
             await asyncio.sleep(0.05)
             go.set()
-            assert (await client.answer())[0] == 200  # the answer before comes first
+            assert (await client.answer())[0] == 200  # the response to the first request comes first
             assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             await client.send(b"abc")
             assert (await client.answer())[0] == 200 and server.calls[1].body == b"abc"
 
-    play(scene)
+    play(scenario)
 
 
-def test_blanks_around_values_are_no_part_of_them():
-    """Found on the bench: a deadline with a blank behind it passed for none."""
+def test_whitespace_around_header_values_is_stripped():
+    """A deadline with trailing whitespace was ignored."""
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             sent = head(0).replace(b"X-Timeout: 5", b"X-Timeout:\t 5 \t").replace(b"Host: app", b"Host: app ")
             await client.send(sent)
             assert (await client.answer())[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_trailers_are_no_headers():
-    async def scene():
+def test_trailers_are_ignored():
+    async def scenario():
         async with Server(ok) as server, sidecar(line("s1", server.port)) as world:
             client = await world.client()
             await client.send(head(None) + b"3\r\nabc\r\n0\r\nX-Timeout: 9\r\nX-Request-ID: other\r\n\r\n")
             assert (await client.answer())[0] == 200
             assert server.calls[0].headers["x-request-id"].startswith("long-")
 
-    play(scene)
+    play(scenario)
 
 
 # --- the budget -------------------------------------------------------------------------------------
 
 
-def test_a_share_shrinks_as_memory_fills_and_never_below_the_floor():
+def test_budget_share_shrinks_as_memory_fills_but_not_below_the_floor():
     budget = Budget(192)
-    assert budget.share == CEILING
+    assert budget.share == MAX_SHARE_BYTES
     bodies = [Body(budget, None, lambda: None) for _ in range(200)]
     for body in bodies:
         while body.held < budget.share:
             body.put(b"x" * 8192)
-    assert budget.used < 1.1 * budget.total and FLOOR <= budget.share < CEILING // 4
+    assert budget.used < 1.1 * budget.total and MIN_SHARE_BYTES <= budget.share < MAX_SHARE_BYTES // 4
     for body in bodies:
         body.drop()
-    assert budget.used == 0 and budget.share == CEILING
+    assert budget.used == 0 and budget.share == MAX_SHARE_BYTES
     budget.resize(48, 2)
-    assert budget.share >= FLOOR
+    assert budget.share >= MIN_SHARE_BYTES
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Two processes that are one sidecar: handing over, and all the ways in which one of them is not there."""
+"""Takeover between two processes of one sidecar, and failures of either process."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 import pytest
 from backend import Call, Client, Conversation, Server, line, listing, ok, operate, play
-from build import MS, SECOND, accept, balancer, fleet, only, outcome
+from build import MS, SECOND, accept, balancer, fleet, of_type, outcome
 from test_process import LIMIT_S, config, free_port
 
 from rosechute.load_balancing import Directory, Entry, Submit, memory
 from rosechute.sidecar import takeover
 from rosechute.sidecar.config import ConfigError, load
-from rosechute.sidecar.takeover import LENGTH, Takeover
+from rosechute.sidecar.takeover import LENGTH_PREFIX, Takeover
 
 ROOT = Path(__file__).parent.parent
 
 
 class Platform:
-    """Holds the clients' socket and starts processes on it."""
+    """Holds the listening socket for clients and starts sidecar processes on it."""
 
     def __init__(self, folder: Path, *lines: dict) -> None:
         self.folder, self.lines = folder, lines
@@ -43,7 +43,7 @@
         self.socket.close()
 
     async def start(self) -> tuple[asyncio.subprocess.Process, int]:
-        """One process, once it says that it is ready; and its operators' port."""
+        """Start a process; return it and its control port once it is ready."""
         control, number = free_port(), len(self.started)
         path = self.folder / f"config{number}.json"
         path.write_text(json.dumps(config(listen=f"127.0.0.1:{self.port}", known=listing(*self.lines))))
@@ -64,7 +64,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
         self.started.append(process)
-        await heard(process, b"listening")
+        await wait_for_log(process, b"listening")
         assert (await operate(control, "GET /healthcheck"))[0] == 200
         return process, control
 
@@ -72,21 +72,21 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
-async def heard(process: asyncio.subprocess.Process, text: bytes) -> None:
-    while text not in (said := await process.stderr.readline()):
-        assert said, "the log ended"
+async def wait_for_log(process: asyncio.subprocess.Process, text: bytes) -> None:
+    while text not in (frame_bytes := await process.stderr.readline()):
+        assert frame_bytes, "the log ended"
 
 
-def test_the_new_process_goes_on_where_the_old_one_stands(tmp_path):
-    """Nothing refused, nothing lost, ids known across both, and nothing taken back from the queue."""
+def test_new_process_continues_without_loss(tmp_path):
+    """No request is refused or lost, both processes know all ids, and queued connections are served."""
 
-    async def scene():
-        came, go = asyncio.Event(), asyncio.Event()
+    async def scenario():
+        received, proceed = asyncio.Event(), asyncio.Event()
 
         async def slow(talk: Conversation, call: Call) -> None:
             if call.headers["x-request-id"] == "slow":
-                came.set()
-                await go.wait()
+                received.set()
+                await proceed.wait()
             await ok(talk, call)
 
         async with Server(slow) as server, Platform(tmp_path, line("s1", server.port)) as platform:
@@ -94,32 +94,32 @@
             kept = await platform.client()
             assert (await kept.ask("single_shot", "once"))[0] == 200
             waiting = asyncio.ensure_future((await platform.client()).ask("single_shot", "slow"))
-            await came.wait()
+            await received.wait()
             new, control = await platform.start()
             old.send_signal(signal.SIGTERM)
-            await heard(new, b"takeover.clients_taken")
+            await wait_for_log(new, b"takeover.clients_taken")
             fresh = await platform.client()
-            assert (await fresh.ask("single_shot", "slow"))[0] == 409  # open at the old one
+            assert (await fresh.ask("single_shot", "slow"))[0] == 409  # still open in the old process
             assert (await (await platform.client()).ask("single_shot", "once"))[0] == 409
             assert (await (await platform.client()).ask("single_shot", "next"))[0] == 200
-            go.set()
+            proceed.set()
             status, headers, _ = await waiting
             assert status == 200 and headers["connection"] == "close"
             assert await asyncio.wait_for(old.wait(), LIMIT_S) == 0
             assert (await (await platform.client()).ask())[0] == 200
             assert (await operate(control, "GET /healthcheck"))[0] == 200
-            third, _ = await platform.start()  # and once more
+            third, _ = await platform.start()  # a second takeover
             new.send_signal(signal.SIGTERM)
-            await heard(third, b"takeover.clients_taken")
+            await wait_for_log(third, b"takeover.clients_taken")
             assert (await (await platform.client()).ask())[0] == 200
             assert await asyncio.wait_for(new.wait(), LIMIT_S) == 0
             assert (await (await platform.client()).ask())[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_an_id_taken_by_either_after_the_handover_is_known_to_both(tmp_path):
-    async def scene():
+def test_ids_accepted_after_the_takeover_are_known_to_both(tmp_path):
+    async def scenario():
         async with Server(ok) as server, Platform(tmp_path, line("s1", server.port)) as platform:
             old, _ = await platform.start()
             kept = [await platform.client() for _ in range(2)]
@@ -127,72 +127,72 @@
                 assert (await client.ask())[0] == 200
             new, _ = await platform.start()
             old.send_signal(signal.SIGTERM)
-            await heard(new, b"takeover.clients_taken")
-            assert (await kept[0].ask("single_shot", "at-old"))[0] == 200  # its connection is the old one's
+            await wait_for_log(new, b"takeover.clients_taken")
+            assert (await kept[0].ask("single_shot", "at-old"))[0] == 200  # on a connection of the old process
             assert (await (await platform.client()).ask("single_shot", "at-old"))[0] == 409
             assert (await (await platform.client()).ask("single_shot", "at-new"))[0] == 200
             assert (await kept[1].ask("single_shot", "at-new"))[0] == 409
 
-    play(scene)
+    play(scenario)
 
 
-def test_the_old_process_dying_early_leaves_the_clients_to_the_new_one(tmp_path):
-    async def scene():
+def test_new_process_accepts_clients_if_the_old_one_is_killed(tmp_path):
+    async def scenario():
         async with Server(ok) as server, Platform(tmp_path, line("s1", server.port)) as platform:
             old, _ = await platform.start()
             new, _ = await platform.start()
             old.kill()
-            await heard(new, b"takeover.clients_taken")
+            await wait_for_log(new, b"takeover.clients_taken")
             assert (await (await platform.client()).ask())[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_new_process_that_dies_before_its_yes_changes_nothing(tmp_path):
-    async def scene():
+def test_new_process_killed_before_it_is_ready_changes_nothing(tmp_path):
+    async def scenario():
         async with Server(ok) as server, Platform(tmp_path, line("s1", server.port)) as platform:
             old, _ = await platform.start()
-            _, link = await asyncio.open_unix_connection(str(tmp_path / takeover.NAME))
-            await heard(old, b"takeover.called")
+            _, link = await asyncio.open_unix_connection(str(tmp_path / takeover.SOCKET_NAME))
+            await wait_for_log(old, b"takeover.called")
             link.close()
             assert (await (await platform.client()).ask())[0] == 200
             new, _ = await platform.start()
             new.kill()
             await new.wait()
             assert (await (await platform.client()).ask())[0] == 200
-            last, _ = await platform.start()  # the next one still finds the old one
+            last, _ = await platform.start()  # the next process still finds the old one
             old.send_signal(signal.SIGTERM)
-            await heard(last, b"takeover.clients_taken")
+            await wait_for_log(last, b"takeover.clients_taken")
             assert (await (await platform.client()).ask())[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
-def test_without_a_new_process_the_queue_is_left_as_it_is(tmp_path):
-    """Shutting the socket down would end it for the platform and for whoever comes next."""
+def test_listen_queue_survives_without_a_new_process(tmp_path):
+    """Shutting down the socket would also close it for the platform and the next process."""
 
-    async def scene():
+    async def scenario():
         async with Server(ok) as server, Platform(tmp_path, line("s1", server.port)) as platform:
             old, _ = await platform.start()
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), LIMIT_S) == 0
             early = await platform.client()
             asking = asyncio.ensure_future(early.ask())
-            await platform.start()  # the path is there, and nobody behind it
+            await platform.start()  # the socket file exists, but no process listens
             assert (await asking)[0] == 200
 
-    play(scene)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
-    "said",
+    "frame_bytes",
     [
         b"",
         b"\xff" * 40,
-        LENGTH.pack(4) + b"nope",
-        LENGTH.pack(2) + b"[]",
+        LENGTH_PREFIX.pack(4) + b"nope",
+        LENGTH_PREFIX.pack(2) + b"[]",
         *[
-            LENGTH.pack(len(text)) + text
+            LENGTH_PREFIX.pack(len(text)) + text
             for text in (
                 b'{"kind": "hello", "v": 99}',
                 b'{"kind": "hello", "v": 1}',
@@ -202,10 +202,10 @@
         ],
     ],
 )
-def test_an_old_process_that_says_nothing_usable_means_a_cold_start(monkeypatch, tmp_path, said):
-    monkeypatch.setattr(takeover, "HELLO_S", 0.2)
+def test_invalid_hello_leads_to_a_cold_start(monkeypatch, tmp_path, frame_bytes):
+    monkeypatch.setattr(takeover, "HELLO_TIMEOUT_S", 0.2)
 
-    async def scene():
+    async def scenario():
         from backend import settings
 
         from rosechute.load_balancing import Settings
@@ -214,13 +214,13 @@
         from rosechute.sidecar.sidecar import Sidecar
 
         async def greet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(said)
+            writer.write(frame_bytes)
             await reader.read()
             writer.close()
 
-        held = socket.create_server(("127.0.0.1", 0))
+        listening = socket.create_server(("127.0.0.1", 0))
         async with Server(ok) as server:
-            await asyncio.start_unix_server(greet, str(tmp_path / takeover.NAME))
+            await asyncio.start_unix_server(greet, str(tmp_path / takeover.SOCKET_NAME))
             made = Sidecar(
                 Config(
                     "n0",
@@ -230,21 +230,21 @@
                     1024,
                     listing(line("s1", server.port)),
                     Settings.parse(settings()),
-                    listen_fd=os.dup(held.fileno()),
+                    listen_fd=os.dup(listening.fileno()),
                     folder=str(tmp_path),
                 ),
                 asyncio.get_running_loop(),
             )
             port = await made.start()
-            assert made.healthy()  # a first yes; the old one's word is due
+            assert made.healthy()  # first positive health check: the timeout for the predecessor starts
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             assert (await client.ask())[0] == 200
-        held.close()
+        listening.close()
 
-    play(scene)
+    play(scenario)
 
 
-def test_a_socket_that_is_none_is_turned_down(tmp_path):
+def test_invalid_listen_descriptor_is_rejected(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
     with socket.socket() as idle:
@@ -253,68 +253,68 @@
                 load({"NODE_CONFIG": str(path), "NODE_LISTEN_FD": text})
 
 
-def test_two_processes_keep_to_half_the_descriptors_each(tmp_path):
-    async def scene():
+def test_two_processes_halve_the_limits(tmp_path):
+    async def scenario():
         shares: list[int] = []
 
-        class Half:
-            def share(self, processes: int) -> None:
+        class FakeSidecar:
+            def set_process_count(self, processes: int) -> None:
                 shares.append(processes)
 
             def state(self) -> dict:
                 return {}
 
             def adopt(self, state: dict) -> None: ...
-            def hear(self, frame: dict) -> None: ...
-            def open_up(self) -> None: ...
+            def receive_frame(self, frame: dict) -> None: ...
+            def open_to_clients(self) -> None: ...
 
         loop = asyncio.get_running_loop()
-        old, new = Takeover(Half(), loop, str(tmp_path)), Takeover(Half(), loop, str(tmp_path))
+        old, new = Takeover(FakeSidecar(), loop, str(tmp_path)), Takeover(FakeSidecar(), loop, str(tmp_path))
         await old.serve()
-        assert await new.find()
+        assert await new.find_predecessor()
         assert shares == [2, 2]
         new.close()
         while len(shares) < 4:
             await asyncio.sleep(0.01)
-        assert shares == [2, 2, 1, 1] and not old.linked()
+        assert shares == [2, 2, 1, 1] and not old.is_linked()
         old.close()
 
-    play(scene)
+    play(scenario)
 
 
-# --- what the module hands on -----------------------------------------------------------------------
+# --- State of the decision module -----------------------------------------------------------------------
 
 
-def taught():
+def trained_balancer():
     b = balancer(servers=3)
     for i in range(60):
-        for send in only(b.handle(i * 20 * MS, accept(f"c{i}", cls=2)), Submit):
+        for send in of_type(b.handle(i * 20 * MS, accept(f"c{i}", cls=2)), Submit):
             b.handle(i * 20 * MS + 15 * MS, outcome(send, lag_ns=15 * MS))
     b._servers["10.0.0.1:80"].k = 0
     b._servers["10.0.0.1:80"].retry_at = 9 * SECOND
     return b
 
 
-def test_what_was_learnt_passes_on_as_plain_data():
-    old, new = taught(), balancer(servers=3)
-    assert memory.recall(new, SECOND, json.loads(json.dumps(memory.told(old, SECOND))))
-    assert new._extra[2] == old._extra[2] and new._stretch == old._stretch
+def test_module_state_is_transferred_as_plain_data():
+    old, new = trained_balancer(), balancer(servers=3)
+    assert memory.restore_state(new, SECOND, json.loads(json.dumps(memory.export_state(old, SECOND))))
+    assert new._class_latency[2] == old._class_latency[2] and new._stretch == old._stretch
     for name, server in old._servers.items():
         assert new._servers[name].stretch == server.stretch and new._servers[name].k == server.k
-    assert new.census(SECOND) == (3, 1) and new._live == 2
-    sent = {s.server for i in range(40) for s in only(new.handle(SECOND + i, accept(f"n{i}")), Submit)}
+    assert new.census(SECOND) == (3, 1) and new._live_count == 2
+    sent = {s.server for i in range(40) for s in of_type(new.handle(SECOND + i, accept(f"n{i}")), Submit)}
     assert sent and "10.0.0.1:80" not in sent
 
 
-def test_memory_of_another_process_of_a_server_is_left_aside():
+def test_state_of_a_restarted_server_is_ignored():
     new = balancer(servers=0)
     new.handle(0, Directory("FULL", (Entry("10.0.0.1:80", started_ns=SECOND),)))
-    assert memory.recall(new, 2 * SECOND, memory.told(taught(), SECOND))
+    assert memory.restore_state(new, 2 * SECOND, memory.export_state(trained_balancer(), SECOND))
     assert new._servers["10.0.0.1:80"].k == 1
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda m: None,
         lambda m: [],
@@ -326,20 +326,20 @@
         lambda m: {**m, "servers": 7},
     ],
 )
-def test_useless_memory_changes_nothing(spoil):
+def test_invalid_module_state_changes_nothing(corrupt):
     new = balancer(servers=3)
-    before = memory.told(new, 0)
-    assert not memory.recall(new, SECOND, spoil(memory.told(taught(), SECOND)))
-    assert memory.told(new, 0) == before
+    before = memory.export_state(new, 0)
+    assert not memory.restore_state(new, SECOND, corrupt(memory.export_state(trained_balancer(), SECOND)))
+    assert memory.export_state(new, 0) == before
 
 
-def test_one_process_alone_feeds_cold_servers():
+def test_only_one_process_sends_to_cold_servers():
     b = balancer(servers=0)
     b.handle(0, fleet(1))
     now = 100 * SECOND
     b.handle(now, Directory("FULL", (Entry("10.0.0.0:80", started_ns=now),)))
     b._servers["10.0.0.0:80"].credit = 1.0
     b.ceded = True
-    assert not only(b.handle(now + 1, accept("a")), Submit)
+    assert not of_type(b.handle(now + 1, accept("a")), Submit)
     b.ceded = False
-    assert only(b.handle(now + 2, accept("b")), Submit)
+    assert of_type(b.handle(now + 2, accept("b")), Submit)
--- a/tests/test_wire_rows.py
+++ b/tests/test_wire_rows.py
@@ -1,4 +1,4 @@
-"""Every row of the wire page: what comes in reaches the module, and what it decides goes out."""
+"""Every row of the wire protocol: decoding of events and settings, encoding of actions."""
 
 import io
 import json
@@ -37,23 +37,23 @@
 
 
 class Recorder:
-    """Stands in for the module: keeps what it is handed and answers with the actions given."""
+    """Substitute for the module: records events and returns preset actions."""
 
-    seen: list = []
+    events: list = []
     answer: list = []
 
     def __init__(self, settings, seed, now):
         Recorder.made = (settings, seed, now)
 
     def handle(self, now, event):
-        Recorder.seen.append((now, event))
+        Recorder.events.append((now, event))
         return Recorder.answer
 
 
 @pytest.fixture
-def talk(monkeypatch):
+def run_host(monkeypatch):
     monkeypatch.setattr(adapter, "Balancer", Recorder)
-    Recorder.seen, Recorder.answer = [], []
+    Recorder.events, Recorder.answer = [], []
 
     def run(*lines, at=5):
         out = io.StringIO()
@@ -87,25 +87,25 @@
         ("directory_update who=0 scope=FAILED gen=3", Directory("FAILED", (), 3)),
     ],
 )
-def test_events_come_in(talk, line, event):
-    assert talk(line) == ["next"]
-    assert Recorder.seen == [(5, event)]
+def test_events_are_decoded(run_host, line, event):
+    assert run_host(line) == ["next"]
+    assert Recorder.events == [(5, event)]
 
 
 @pytest.mark.parametrize("scope", ["INCREMENTAL", "FULL", "SAVED"])
-def test_lists_come_in(talk, scope):
-    talk(
+def test_server_lists_are_decoded(run_host, scope):
+    run_host(
         "roster slot=3 nodesList=2",
         SERVER,
         "server server=b:1",
         f"directory_update who=0 scope={scope} gen=41 slot=3",
     )
     entries = (Entry("a:1", 2, 3, 4, "draining", 1.5, 600), Entry("b:1"))
-    assert Recorder.seen == [(5, Directory(scope, entries, 41))]
+    assert Recorder.events == [(5, Directory(scope, entries, 41))]
 
 
-def test_a_new_roster_takes_the_number_of_an_old_one(talk):
-    talk(
+def test_roster_slot_can_be_reused(run_host):
+    run_host(
         "roster slot=0 nodesList=1",
         "server server=a:1",
         "directory_update who=0 scope=FULL slot=0",
@@ -113,11 +113,11 @@
         "server server=b:1",
         "directory_update who=0 scope=FULL slot=0",
     )
-    assert [event.entries[0].server for _, event in Recorder.seen] == ["a:1", "b:1"]
+    assert [event.entries[0].server for _, event in Recorder.events] == ["a:1", "b:1"]
 
 
-def test_seed_and_clock_come_in(talk):
-    talk(at=9)
+def test_seed_and_clock_are_passed_to_the_module(run_host):
+    run_host(at=9)
     assert Recorder.made[1:] == (7, 9)
 
 
@@ -139,14 +139,14 @@
         (Defer(5, 7), "defer who=0 inNs=5 tag=7"),
     ],
 )
-def test_actions_go_out(talk, action, line):
+def test_actions_are_encoded(run_host, action, line):
     Recorder.answer = [action]
-    assert talk("alarm who=0 tag=1") == [line, "next"]
+    assert run_host("alarm who=0 tag=1") == [line, "next"]
 
 
-def test_a_failing_decision_gives_in(talk, capsys):
-    Recorder.answer = None  # not a list: as good as any mistake in the module
-    out = talk("alarm who=0 tag=1")
+def test_exception_in_the_module_is_reported(run_host, capsys):
+    Recorder.answer = None  # not a list, as an example of a fault in the module
+    out = run_host("alarm who=0 tag=1")
     assert out[0].startswith("give_in who=0 line=TypeError") and out[1:] == ["next"]
     assert "Traceback" in capsys.readouterr().err
 
@@ -271,7 +271,7 @@
         ("limits.streams_per_conn", 8),
     ],
 )
-def test_settings_come_in(path, value):
+def test_settings_are_parsed(path, value):
     found = Settings.parse(SET)
     for step in path.split("."):
         found = found[int(step)] if step.isdigit() else getattr(found, step)
@@ -301,12 +301,12 @@
         ({"discovery": 4}, "discovery"),
     ],
 )
-def test_unusable_settings_name_the_key(change, key):
+def test_error_of_invalid_settings_names_the_key(change, key):
     with pytest.raises(SettingsError) as caught:
         Settings.parse({**ENV, **change})
     assert key in str(caught.value)
 
 
-def test_settings_that_are_no_object():
+def test_settings_must_be_an_object():
     with pytest.raises(SettingsError):
         Settings.parse([])
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,7 +1,7 @@
-"""Sidecars on a clock of their own: a real event loop whose time moves only when nothing is left to do at it.
+"""Sidecars in virtual time: a real event loop whose clock advances only when no callback is ready.
 
-Everything is real but time and the network: `Sidecar`, its module, `Discovery`, asyncio's tasks and time limits.
-`Loop.create_connection` leads to a scripted `Place` or nowhere, so a run is a function of its inputs.
+Only time and the network are simulated; `Sidecar`, its module, `Discovery` and asyncio's tasks and timeouts are real.
+`VirtualLoop.create_connection` connects to a `ScriptedDiscovery` or fails, so a run depends only on its inputs.
 """
 
 from __future__ import annotations
@@ -23,51 +23,51 @@
 from rosechute.sidecar import sidecar as process
 from rosechute.sidecar.config import Config
 
-START = 1_000_000_000_000_000_000  # Unix time at the loop's 0, in nanoseconds
-HOST = "10.9.0.1"  # no address of this machine: what isn't scripted can't come up
-HOW = {"ask": "subscribe", "push": "automatic"}  # the settings' words
-SPAN = 1e-6  # a timer is due from so long before its time on, as floating point can't tell
+START = 1_000_000_000_000_000_000  # Unix time at loop time 0, in nanoseconds
+HOST = "10.9.0.1"  # not an address of this machine: unscripted connections fail
+DISCOVERY_SETTINGS = {"ask": "subscribe", "push": "automatic"}  # values of the setting `discovery`
+TIMER_RESOLUTION_S = 1e-6  # timers may fire this much early, because of floating-point rounding
 
 
-class Jump(selectors.DefaultSelector):
-    """Waits by moving the clock on."""
+class VirtualSelector(selectors.DefaultSelector):
+    """Selector that advances the clock instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         ready = super().select(0)
         if not ready:
-            assert timeout is not None, "nothing will ever happen"
+            assert timeout is not None, "deadlock: no timer is pending"
             self.now += max(0.0, timeout)
         return ready
 
 
-class Loop(asyncio.SelectorEventLoop):
-    """An event loop in virtual time, with a scripted network."""
+class VirtualLoop(asyncio.SelectorEventLoop):
+    """Event loop in virtual time with a scripted network."""
 
     def __init__(self) -> None:
-        self._jump = Jump()
-        super().__init__(self._jump)
-        self._clock_resolution = SPAN
-        self.places: dict[int, Place] = {}  # by port
-        self.pair = socket.socketpair()  # what connections poll; nothing ever comes there
+        self._virtual_selector = VirtualSelector()
+        super().__init__(self._virtual_selector)
+        self._clock_resolution = TIMER_RESOLUTION_S
+        self.discoveries: dict[int, ScriptedDiscovery] = {}  # by port
+        self.pair = socket.socketpair()  # socket for the connections; it never receives data
         self.open = 0
 
     def time(self) -> float:
-        return self._jump.now
+        return self._virtual_selector.now
 
     def clock(self) -> int:
-        return START + int(self._jump.now * 1e9)
+        return START + int(self._virtual_selector.now * 1e9)
 
-    async def create_connection(self, made: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
-        place = self.places.get(port)
-        if place is None:
+    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
+        scripted = self.discoveries.get(port)
+        if scripted is None:
             raise ConnectionRefusedError
-        mood = await place.connect()
-        protocol = made()
-        wire = Wire(self, protocol, place, mood)
-        protocol.connection_made(wire)
-        return wire, protocol
+        outcome = await scripted.connect()
+        protocol = protocol_factory()
+        transport = ScriptedTransport(self, protocol, scripted, outcome)
+        protocol.connection_made(transport)
+        return transport, protocol
 
     def close(self) -> None:
         for end in self.pair:
@@ -75,22 +75,22 @@
         super().close()
 
 
-class Wire(asyncio.Transport):
-    """A connection to a scripted place."""
+class ScriptedTransport(asyncio.Transport):
+    """Connection to a scripted discovery."""
 
-    def __init__(self, loop: Loop, protocol: Any, place: Place, mood: str) -> None:
+    def __init__(self, loop: VirtualLoop, protocol: Any, scripted: ScriptedDiscovery, outcome: str) -> None:
         super().__init__({"socket": loop.pair[0]})
-        self._loop, self._protocol, self._place = loop, protocol, place
-        self.mood: str | None = mood  # what becomes of its first call
+        self._loop, self._protocol, self._discovery = loop, protocol, scripted
+        self.outcome: str | None = outcome  # outcome of its first call
         self._closing = False
         self.answering: asyncio.Task[None] | None = None
         loop.open += 1
 
     def write(self, data: bytes) -> None:
         if not self._closing:
-            self.answering = self._loop.create_task(self._place.call(self, data))
+            self.answering = self._loop.create_task(self._discovery.call(self, data))
 
-    def tell(self, status: int, body: bytes = b"") -> None:
+    def respond(self, status: int, body: bytes = b"") -> None:
         if not self._closing:
             self._protocol.data_received(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
 
@@ -114,132 +114,132 @@
         pass
 
 
-class Place:
-    """A discovery. `mood(call)` says what becomes of each call; the list changes with `change`.
+class ScriptedDiscovery:
+    """Discovery with scripted outcomes, which `outcome_of(call)` returns; `change` changes the list.
 
-    - "up": answered as the protocol says, after `lag` seconds
-    - "refused", "late": its connect is refused, or never comes up
-    - "503", "reset", "silent": its connect comes up, and the call ends in that way, or in none
+    - "up": answered according to the protocol, after `lag` seconds
+    - "refused", "late": the connection is refused, or never established
+    - "503", "reset", "silent": connected, then answered with 503, reset, or not answered
     """
 
-    def __init__(self, loop: Loop, port: int, index: int = 1, lag: float = 0.001) -> None:
+    def __init__(self, loop: VirtualLoop, port: int, index: int = 1, lag: float = 0.001) -> None:
         self.loop, self.port, self.index, self.lag = loop, port, index, lag
         self.state = "SERVING"
-        self.mood: Callable[[int], str] = lambda call: "up"
-        self.calls: list[tuple[float, str]] = []  # when, and what became of it
-        self.watching: set[Wire] = set()
-        self._news = asyncio.Event()
-        loop.places[port] = self
+        self.outcome_of: Callable[[int], str] = lambda call: "up"
+        self.calls: list[tuple[float, str]] = []  # time and outcome
+        self.watching: set[ScriptedTransport] = set()
+        self._changed = asyncio.Event()
+        loop.discoveries[port] = self
 
     def fail(self, kind: str) -> None:
-        """All calls fail from now on, and the watches that are on."""
-        self.mood = lambda call: kind
+        """Let all further calls and the running watches fail."""
+        self.outcome_of = lambda call: kind
         if kind in ("refused", "503", "reset"):
-            for wire in list(self.watching):
-                wire.reset()
-        for wire in list(self.watching):
-            if wire.answering is not None:
-                wire.answering.cancel()
+            for transport in list(self.watching):
+                transport.reset()
+        for transport in list(self.watching):
+            if transport.answering is not None:
+                transport.answering.cancel()
         self.watching.clear()
 
     def change(self) -> None:
-        """The server drains."""
+        """Change the list: the server drains."""
         self.state, self.index = "DRAINING", self.index + 1
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        changed, self._changed = self._changed, asyncio.Event()
+        changed.set()
 
-    def _next(self) -> str:
-        mood = self.mood(len(self.calls))
-        self.calls.append((self.loop.time(), mood))
-        return mood
+    def _next_outcome(self) -> str:
+        outcome = self.outcome_of(len(self.calls))
+        self.calls.append((self.loop.time(), outcome))
+        return outcome
 
     async def connect(self) -> str:
-        """Let one come up, or not; what becomes of the call that it is for."""
-        mood = self._next()
-        if mood in ("refused", "late"):
-            await asyncio.sleep(3600 if mood == "late" else 0)
+        """Accept or refuse a connection; return the outcome of its first call."""
+        outcome = self._next_outcome()
+        if outcome in ("refused", "late"):
+            await asyncio.sleep(3600 if outcome == "late" else 0)
             raise ConnectionRefusedError
-        return mood
-
-    async def call(self, wire: Wire, data: bytes) -> None:
-        mood, wire.mood = wire.mood or self._next(), None
-        if mood == "503":
-            wire.tell(503)
-        elif mood in ("reset", "refused"):
-            wire.reset()
-        elif mood == "up":
-            await self._answer(wire, parse_qs(urlsplit(data.split(b" ")[1].decode()).query))
-
-    async def _answer(self, wire: Wire, asked: dict[str, list[str]]) -> None:
+        return outcome
+
+    async def call(self, transport: ScriptedTransport, data: bytes) -> None:
+        outcome, transport.outcome = transport.outcome or self._next_outcome(), None
+        if outcome == "503":
+            transport.respond(503)
+        elif outcome in ("reset", "refused"):
+            transport.reset()
+        elif outcome == "up":
+            await self._answer(transport, parse_qs(urlsplit(data.split(b" ")[1].decode()).query))
+
+    async def _answer(self, transport: ScriptedTransport, query: dict[str, list[str]]) -> None:
         await asyncio.sleep(self.lag)
-        after, wait = int(asked.get("after", ["-1"])[0]), int(asked.get("wait_ms", ["0"])[0]) / 1e3
+        after, wait = int(query.get("after", ["-1"])[0]), int(query.get("wait_ms", ["0"])[0]) / 1e3
         if wait and after >= self.index:
-            self.watching.add(wire)
+            self.watching.add(transport)
             try:
                 async with asyncio.timeout(wait):
-                    await self._news.wait()
+                    await self._changed.wait()
             except TimeoutError:
                 pass
             finally:
-                self.watching.discard(wire)
+                self.watching.discard(transport)
         lines = [line("s1", 1, status=self.state)] if after < self.index else []
-        wire.tell(200, json.dumps(listing(*lines, index=self.index, snapshot=after < 0)).encode())
+        transport.respond(200, json.dumps(listing(*lines, index=self.index, snapshot=after < 0)).encode())
 
 
-class Busy(Place):
-    """Handles calls in turn, `per_s` of them, those that were given up as well; one that waited too long gets 503."""
+class SerialDiscovery(ScriptedDiscovery):
+    """Discovery that handles `per_s` calls per second in order, also cancelled ones; long waits end with 503."""
 
-    def __init__(self, loop: Loop, port: int, per_s: float, patience_s: float) -> None:
+    def __init__(self, loop: VirtualLoop, port: int, per_s: float, patience_s: float) -> None:
         super().__init__(loop, port)
         self._per_s, self._patience_s, self._free_at = per_s, patience_s, 0.0
 
-    async def _answer(self, wire: Wire, asked: dict[str, list[str]]) -> None:
+    async def _answer(self, transport: ScriptedTransport, query: dict[str, list[str]]) -> None:
         now = self.loop.time()
         start = max(now, self._free_at)
         if start - now > self._patience_s:
             await asyncio.sleep(self._patience_s)
-            wire.tell(503)
+            transport.respond(503)
             return
         self._free_at = start + 1 / self._per_s
         await asyncio.sleep(self._free_at - now)
-        await super()._answer(wire, asked)
+        await super()._answer(transport, query)
 
 
 def config(port: int, mode: str, seed: int = 1, **invariants: int) -> Config:
-    """`mode` is one of HOW."""
-    raw = settings(discovery=HOW[mode], invariants=invariants)
+    """Return the configuration of a sidecar; `mode` is a key of DISCOVERY_SETTINGS."""
+    raw = settings(discovery=DISCOVERY_SETTINGS[mode], invariants=invariants)
     return Config(
         "n0", Address("127.0.0.1", 0), Address(HOST, port), seed, 1024, listing(line("s1", 1)), Settings.parse(raw)
     )
 
 
-def sidecar(loop: Loop, made: Config) -> process.Sidecar:
-    """One that does not listen."""
+def sidecar(loop: VirtualLoop, instance: Config) -> process.Sidecar:
+    """Return a sidecar that does not listen."""
     core, process.Core = process.Core, functools.partial(Core, clock=loop.clock, monotonic=loop.time)  # type: ignore
     try:
-        return process.Sidecar(made, loop)
+        return process.Sidecar(instance, loop)
     finally:
         process.Core = core  # type: ignore[misc]
 
 
-def told(made: process.Sidecar) -> bool:
-    """Whether it knows of the change."""
-    return made._lines["s1"].entry.lifecycle == "draining"
+def has_change(instance: process.Sidecar) -> bool:
+    """Return whether the sidecar has received the change."""
+    return instance._lines["s1"].entry.lifecycle == "draining"
 
 
-async def by(loop: Loop, until: float, state: Callable[[], object]) -> bool:
-    """Look every 10 ms until `state()` is true or the time has come."""
+async def wait_until(loop: VirtualLoop, until: float, state: Callable[[], object]) -> bool:
+    """Poll `state()` every 10 ms until it is true or loop time `until` is reached; return the last result."""
     while not state() and loop.time() < until:
         await asyncio.sleep(0.01)
     return bool(state())
 
 
-def play(scene: Callable[[Loop], Awaitable[Any]]) -> Any:
-    """Run a scene in virtual time, from 0."""
-    loop = Loop()
+def play(scenario: Callable[[VirtualLoop], Awaitable[Any]]) -> Any:
+    """Run a scenario in virtual time, from 0."""
+    loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(scene(loop))
+        return loop.run_until_complete(scenario(loop))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
